--- a/crates/cells/tests/transfer.rs
+++ b/crates/cells/tests/transfer.rs
@@ -31,6 +31,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
+        dependencies: Vec::new(),
     }
 }
 
--- a/crates/core/src/tests/jobs.rs
+++ b/crates/core/src/tests/jobs.rs
@@ -25,6 +25,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
+        dependencies: Vec::new(),
     };
     let record = Arc::new(SpecRecord::submitted(spec, 0));
     Job::new(record, 1, 0.0, &Tuning::default(), &mut StdRng::seed_from_u64(1))
--- a/crates/core/src/tests/provision.rs
+++ b/crates/core/src/tests/provision.rs
@@ -70,6 +70,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: Some(3.0 * RUN_S),
+            dependencies: Vec::new(),
         };
         let record = Arc::new(SpecRecord::submitted(spec, 0));
         let mut rng = rand::rngs::StdRng::seed_from_u64(1);
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -125,6 +125,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
+        dependencies: Vec::new(),
     }
 }
 
--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -84,6 +84,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
+        dependencies: Vec::new(),
     }
 }
 
--- a/crates/proto/src/job.rs
+++ b/crates/proto/src/job.rs
@@ -12,6 +12,9 @@
 const MAX_NAME: usize = 200;
 /// Most machine types a job may list.
 const MAX_TYPES: usize = 64;
+/// Most jobs a submission may name as its DAG dependencies: each is a condition of the
+/// check that they were accepted, and the check must fit a few transactions of the store.
+pub const MAX_DEPENDENCIES: usize = 64;
 
 /// Whether tasks end by themselves.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
@@ -107,6 +110,12 @@
     /// When it should be complete, seconds after submission.
     #[serde(rename = "due_s", default, deserialize_with = "cbor::opt_f64_lax")]
     pub deadline_s: Option<f64>,
+    /// DAG dependencies: jobs that must be done before any task of this one starts. Wire
+    /// name `waits_on`. Left out of the record when empty, so that a spec without
+    /// dependencies is stored byte for byte as the version before them stored it, and a
+    /// version that does not know the field reads one with it (unknown fields are ignored).
+    #[serde(rename = "waits_on", default, skip_serializing_if = "Vec::is_empty")]
+    pub dependencies: Vec<JobId>,
 }
 
 /// Why a submission is malformed.
@@ -179,6 +188,10 @@
         };
         let zone = f.optional("quarter").map(|_| f.text("quarter")).transpose()?;
         let deadline_s = f.optional("due_s").map(|_| f.amount("due_s")).transpose()?;
+        let dependencies = match f.optional("waits_on") {
+            None => Vec::new(),
+            Some(v) => parse_dependencies(v)?,
+        };
         Ok(Self {
             id: JobId::new(&id),
             class: f.text("lot")?,
@@ -200,10 +213,33 @@
             checkpoint_s: f.amount("mark_s")?,
             save_s: f.amount("stow_s")?,
             deadline_s,
+            dependencies,
         })
     }
 }
 
+/// Reads `waits_on`: a list of well-formed job ids, at most [`MAX_DEPENDENCIES`]. A name
+/// given twice counts once; the order of first mention is kept.
+fn parse_dependencies(value: &Value) -> Result<Vec<JobId>, BadJob> {
+    const FIELD: &str = "waits_on";
+    let list = value.as_array().ok_or(BadJob::Field(FIELD))?;
+    let mut dependencies: Vec<JobId> = Vec::with_capacity(list.len());
+    for item in list {
+        let name = item.as_text().ok_or(BadJob::Field(FIELD))?;
+        if !JobId::well_formed(name) {
+            return Err(BadJob::Field(FIELD));
+        }
+        let id = JobId::new(name);
+        if !dependencies.contains(&id) {
+            dependencies.push(id);
+        }
+    }
+    if dependencies.len() > MAX_DEPENDENCIES {
+        return Err(BadJob::Field(FIELD));
+    }
+    Ok(dependencies)
+}
+
 #[cfg(test)]
 #[path = "tests/job.rs"]
 mod tests;
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/world/users.rs
@@ -28,6 +28,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: Some(30.0),
+            dependencies: Vec::new(),
         }
     }
 
