--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -35,7 +35,7 @@
         self.doubts_cancelled(now, id);
         self.writer.close(id, now);
         self.place_due = true;
-        self.dependency_cancelled(id);
+        self.dependency_cancelled(now, id);
     }
 
     /// An attempt is surely over: frees its place, and keeps the result.
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -272,6 +272,11 @@
         self.to_cancel.remove(job);
     }
 
+    /// How many jobs are queued for cancellation by cascade.
+    pub fn cascade_count(&self) -> usize {
+        self.to_cancel.len()
+    }
+
     /// How many jobs wait for dependencies.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -75,16 +75,30 @@
     /// was cancelled, are cancelled too.
     pub(crate) fn dependency_finished(&mut self, now: Secs, id: &JobId, cancelled: bool) {
         self.dependencies.forget(id);
-        let outcome = if cancelled { Outcome::Cancelled } else { Outcome::Done };
-        let ready = self.dependencies.finished(id, outcome);
+        if cancelled {
+            return self.dependency_cancelled(now, id);
+        }
+        let ready = self.dependencies.finished(id, Outcome::Done);
         self.start_ready(now, ready);
     }
 
-    /// The leader learned that a job is cancelled (its cancel mark): the jobs that need
-    /// it are cancelled at once, without waiting for its tasks to be gone.
-    pub(crate) fn dependency_cancelled(&mut self, id: &JobId) {
+    /// The leader learned that a job is cancelled (its cancel mark, or its last word):
+    /// the jobs that need it are cancelled at once, without waiting for its tasks to be
+    /// gone. A cascade that queues new cancellations is logged at info with its size.
+    pub(crate) fn dependency_cancelled(&mut self, now: Secs, id: &JobId) {
+        let before = self.dependencies.cascade_count();
         // A cancellation makes no job ready; it only queues the cascade.
         let _ = self.dependencies.finished(id, Outcome::Cancelled);
+        let queued = self.dependencies.cascade_count();
+        if queued > before {
+            let term = self.term.0;
+            self.log.info(now, || {
+                format!(
+                    "event=cascade job={id} added={} queued={queued} term={term}",
+                    queued - before
+                )
+            });
+        }
     }
 
     fn start_ready(&mut self, now: Secs, ready: Vec<JobId>) {
