--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -165,6 +165,19 @@
 /// A peer's word on the store is believed for this long, seconds.
 pub const HEARTBEAT_FRESH_S: f64 = 2.5;
 
+// --- versions -------------------------------------------------------------
+
+/// What this version's records and requests may hold, a number: 2 knows DAG dependencies
+/// (`waits_on`). Raised by a change that an older version would misread.
+pub const FORMAT: u32 = 2;
+/// The format of a version that announces none: the one in production before formats.
+pub const PRODUCTION_FORMAT: u32 = 1;
+/// The format that users' DAG dependencies need on every controller.
+pub const DEPENDENCIES_FORMAT: u32 = 2;
+/// A peer's announced version counts for this long, seconds: as long as its word on the
+/// store, over two beats; a process that ends may come back with another version.
+pub const MEMBER_FRESH_S: f64 = HEARTBEAT_FRESH_S;
+
 // --- workers --------------------------------------------------------------
 
 /// Added to a worker's lease before its tasks count as gone, seconds: our
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -214,6 +214,13 @@
         /// whether it holds the leadership.
         leading: Option<bool>,
     },
+    /// A peer told what it runs, in a beat or in the answer to one.
+    Announced {
+        /// The peer.
+        node: NodeId,
+        /// What it runs.
+        runs: crate::membership::Announcement,
+    },
     /// A leader asks for a pledge.
     PledgeAsked {
         /// Where the answer goes.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod jobs;
 pub mod leader;
 pub mod log;
+pub mod membership;
 pub mod node;
 mod orders;
 mod place;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -6,6 +6,7 @@
 use crate::facts::Facts;
 use crate::leader::{Knowledge, Leader};
 use crate::log::{Log, LogLine};
+use crate::membership::Membership;
 use crate::replica::{Change, Replica};
 use crate::user_api::{RequestContext, UserApi};
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest, Exchange};
@@ -36,6 +37,8 @@
     peers_ok: BTreeMap<NodeId, (Secs, bool)>,
     /// The leader and its term, as last logged.
     leader_shown: Option<(NodeId, u64)>,
+    /// What every configured controller is known to run.
+    membership: Membership,
     log: Log,
 }
 
@@ -45,6 +48,7 @@
         let facts = Arc::new(facts);
         let log = Log::new(facts.log);
         let election = Election::new(facts.node.clone(), facts.others.clone(), boot, now).founded();
+        let membership = Membership::new(facts.node.clone(), &facts.others, now);
         Self {
             facts,
             election,
@@ -62,6 +66,7 @@
             due: now,
             peers_ok: BTreeMap::new(),
             leader_shown: None,
+            membership,
             log,
         }
     }
@@ -85,6 +90,18 @@
         self.leader.as_ref()
     }
 
+    /// The version gate of DAG dependencies: whether every configured controller is known
+    /// to run a version that keeps `waits_on` now. Until then users' dependencies are
+    /// refused, lest an old leader start a job before what it waits on is done.
+    pub fn dependencies_allowed(&self, now: Secs) -> bool {
+        self.membership.all_run_at_least(DEPENDENCIES_FORMAT, now)
+    }
+
+    /// What every configured controller is known to run.
+    pub fn membership(&self) -> &Membership {
+        &self.membership
+    }
+
     /// Whether this controller may act for all of them now.
     pub fn may_act(&self, now: Secs) -> bool {
         self.authority().is_some_and(|(_, until)| now < until)
@@ -411,6 +428,7 @@
                 self.note_knowledge();
             }
             PeerNews::Progress(jobs) => self.learn_progress(jobs),
+            PeerNews::Announced { node, runs } => self.membership.heard(&node, runs, now),
         }
     }
 
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -4,6 +4,7 @@
 use crate::owner::{Inbox, Message};
 use crate::settings::Other;
 use marblebarrow_core::event::{Event, JobCounts, PeerNews, PledgeAnswer, Secs, TaskCounts};
+use marblebarrow_core::membership::Announcement;
 use marblebarrow_proto::ids::{JobId, NodeId};
 use marblebarrow_proto::peer::peer_client::PeerClient;
 use marblebarrow_proto::peer::peer_server::{Peer, PeerServer};
@@ -131,9 +132,11 @@
     while let Some(word) = rx.recv().await {
         match word {
             PeerMessage::Heartbeat(store_ok, leading) => {
-                let req = BeatRequest { node: me.to_string(), store_ok, leading };
+                let (version, format) = own_announcement();
+                let req = BeatRequest { node: me.to_string(), store_ok, leading, version, format };
                 if let Ok(reply) = client.beat(req).await {
                     let reply = reply.into_inner();
+                    announced(&inbox, &peer, &reply.version, reply.format);
                     let news = PeerNews::Heartbeat {
                         node: peer.clone(),
                         store_ok: reply.store_ok,
@@ -185,6 +188,18 @@
     }
 }
 
+// What this process runs, as the beats carry it.
+fn own_announcement() -> (String, u32) {
+    let own = Announcement::own();
+    (own.version.unwrap_or_default(), own.format)
+}
+
+// Tells the owner what a peer runs; the production version leaves both fields empty.
+fn announced(inbox: &Inbox, node: &NodeId, version: &str, format: u32) {
+    let runs = Announcement::from_wire(version, format);
+    inbox.offer(Message::Event(Event::Peer(PeerNews::Announced { node: node.clone(), runs })));
+}
+
 struct Service {
     inbox: Inbox,
     store_ok: Arc<AtomicBool>,
@@ -201,9 +216,13 @@
             leading: None,
         };
         self.inbox.offer(Message::Event(Event::Peer(news)));
+        announced(&self.inbox, &NodeId::new(&req.node), &req.version, req.format);
+        let (version, format) = own_announcement();
         Ok(Response::new(BeatReply {
             store_ok: self.store_ok.load(Ordering::Relaxed),
             leading: self.leading.load(Ordering::Relaxed),
+            version,
+            format,
         }))
     }
 
