--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -54,6 +54,8 @@
     Full(u32),
     /// Can't decide now; come back after so many seconds.
     Unavailable(u32),
+    /// The controllers and what each runs.
+    Members(Box<crate::membership::MembershipView>),
 }
 
 /// A request to the state service.
@@ -268,6 +270,8 @@
     CellRequest(ReplyTo, Box<CellRequest>),
     /// Another cell answered, or didn't.
     CellAnswer(OpId, Result<Box<CellReply>, CellError>),
+    /// An operator asks which controllers run what.
+    Members(ReplyTo),
 }
 
 /// What the core wants done.
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -210,6 +210,9 @@
             }
             Event::Peer(news) => self.peer(now, news),
             Event::CellRequest(to, request) => self.cell_request(now, wall_ms, to, *request),
+            Event::Members(to) => {
+                self.out.reply(to, Answer::Members(Box::new(self.membership.view(now))));
+            }
             Event::CellAnswer(op, answer) => {
                 // Whatever comes of it depends on the leader key in the store.
                 if let Some(l) = &mut self.leader {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -85,6 +85,12 @@
         #[arg(long, default_value_t = 0)]
         seed: u64,
     },
+    /// Show each controller, the version and format it runs, and for how long it is seen so
+    Members {
+        /// A controller or the load balancer
+        #[arg(long, value_name = "IP:PORT")]
+        server: SocketAddr,
+    },
     /// Cancel a job
     Cancel {
         /// A controller or the load balancer
@@ -131,6 +137,7 @@
             (Some(Cmd::Cancel { server, job }), _) => {
                 call(server, "POST", &format!("/api/jobs/{job}/abort"), &[])
             }
+            (Some(Cmd::Members { server }), _) => members(server),
             (None, None) => bad("give --config FILE to serve, or a command (see --help)"),
         }
     }
@@ -246,6 +253,44 @@
     if status < 300 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
+/// The answer to `GET /api/members`.
+#[derive(serde::Deserialize)]
+struct MembershipView {
+    controllers: Vec<Member>,
+    dependencies_allowed: bool,
+}
+
+/// A controller in it.
+#[derive(serde::Deserialize)]
+struct Member {
+    node: String,
+    version: String,
+    format: u32,
+    seen_for_s: f64,
+    current: bool,
+}
+
+fn members(server: SocketAddr) -> ExitCode {
+    let answer = Client::new(server).call("GET", "/api/members", &[], PATIENCE);
+    let Ok((status, body)) = answer else {
+        return failed(&format!("no answer from {server}"));
+    };
+    if status != 200 {
+        return failed(&format!("{server} answered {status}"));
+    }
+    let Ok(view) = marblebarrow_proto::cbor::decode::<MembershipView>(&body) else {
+        return failed(&format!("{server} answered what is no list of controllers"));
+    };
+    for m in view.controllers {
+        let version = if m.version.is_empty() { "-" } else { &m.version };
+        let heard = if m.current { "heard" } else { "silent" };
+        let (format, seen) = (m.format, m.seen_for_s);
+        println!("{} version={version} format={format} seen_for_s={seen:.1} {heard}", m.node);
+    }
+    println!("dependencies_allowed={}", view.dependencies_allowed);
+    ExitCode::SUCCESS
+}
+
 fn show(v: &Value) -> String {
     match v {
         Value::Text(t) => t.clone(),
--- a/src/owner.rs
+++ b/src/owner.rs
@@ -26,6 +26,8 @@
     User(UserRequest),
     /// A worker's report.
     Report(Box<Report>),
+    /// An operator's: which controllers run what.
+    Members,
 }
 
 /// Who waits for an answer.
@@ -150,7 +152,7 @@
     /// those that outrank: submissions are refused first, reports last.
     pub fn ask(&self, ask: Ask, wait: Duration) -> Answer {
         let most = match &ask {
-            Ask::Report(_) | Ask::User(UserRequest::Health) => QUEUE,
+            Ask::Report(_) | Ask::User(UserRequest::Health) | Ask::Members => QUEUE,
             Ask::User(UserRequest::Submit(_)) => QUEUE_SUBMIT,
             Ask::User(_) => QUEUE_POLL,
         };
@@ -318,6 +320,7 @@
                 match ask {
                     Ask::User(req) => Event::User(to, req),
                     Ask::Report(report) => Event::Report(to, report),
+                    Ask::Members => Event::Members(to),
                 }
             }
             Message::Cell(request, reply) => {
--- a/src/server.rs
+++ b/src/server.rs
@@ -205,6 +205,7 @@
         let path = req.path.split('?').next().unwrap_or_default();
         match (req.method.as_str(), path) {
             ("GET", "/healthz") => self.ask(Ask::User(UserRequest::Health)),
+            ("GET", "/api/members") => self.ask(Ask::Members),
             ("POST", "/hello") => match cbor::decode::<Report>(&req.body) {
                 Ok(report) => self.ask(Ask::Report(Box::new(report))),
                 Err(e) => Response::plain(400, &e.to_string()),
@@ -215,7 +216,7 @@
             },
             (method, path) => {
                 let Some(rest) = path.strip_prefix("/api/jobs/") else {
-                    let known = ["/healthz", "/hello", "/api/jobs"].contains(&path);
+                    let known = ["/healthz", "/hello", "/api/jobs", "/api/members"].contains(&path);
                     return Response::plain(if known { 405 } else { 404 }, "no such resource");
                 };
                 let (id, abort) = match rest.strip_suffix("/abort") {
@@ -251,6 +252,9 @@
                 Response { status, retry_after: None, body: cbor::encode(&job) }
             }
             Answer::Healthy => Response::plain(200, "none"),
+            Answer::Members(members) => {
+                Response { status: 200, retry_after: None, body: cbor::encode(&members) }
+            }
             // Nor may a worker be held by a leader whose time ran out.
             Answer::Report(r) if !self.authority.holds(r.token) => elsewhere(None),
             Answer::Report(r) => {
