--- a/tests/stand_in/cluster.rs
+++ b/tests/stand_in/cluster.rs
@@ -11,7 +11,7 @@
 use marblebarrow_proto::records::{LEADER, LeaderRecord};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Stdio};
 use std::sync::Arc;
 use std::thread;
@@ -49,6 +49,12 @@
 
     /// Starts what is planned, with a file on cells for each controller if there are others.
     pub fn start_in_cell(plan: Plan, cell_files: Option<Vec<String>>) -> Self {
+        let program = Path::new(env!("CARGO_BIN_EXE_marblebarrow"));
+        Self::start_programs(plan, cell_files, &vec![program; plan.controllers])
+    }
+
+    /// Starts what is planned, each controller from the program at its place.
+    pub fn start_programs(plan: Plan, cell_files: Option<Vec<String>>, programs: &[&Path]) -> Self {
         let count = plan.controllers;
         let addrs: Vec<String> =
             free_addresses(count * 2).iter().map(ToString::to_string).collect();
@@ -66,20 +72,30 @@
                 let file = dir.join(format!("c{i}.toml"));
                 let text = settings_text(i, &plan, &nodes, &peers, &cloud_addr, &store_addr);
                 std::fs::write(&file, text).expect("settings");
-                let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_marblebarrow"));
-                command.arg("--config").arg(&file);
                 if let Some(files) = &cell_files {
-                    let path = dir.join(format!("c{i}.hcl"));
-                    std::fs::write(&path, &files[i]).expect("cells");
-                    command.arg("--cells").arg(path);
+                    std::fs::write(dir.join(format!("c{i}.hcl")), &files[i]).expect("cells");
                 }
-                let child = command.stderr(Stdio::null()).spawn().expect("start");
-                Some(child)
+                Some(launch(&dir, i, programs[i]))
             })
             .collect();
         Self { children, nodes, fleet, store, dir }
     }
 
+    /// Kills a controller, if it lives, and starts the program in its place, same settings.
+    pub fn replace(&mut self, i: usize, program: &Path) {
+        if let Some(mut child) = self.children[i].take() {
+            child.kill().expect("kill");
+            child.wait().expect("wait");
+        }
+        self.children[i] = Some(launch(&self.dir, i, program));
+    }
+
+    /// Asks one controller once, if it lives.
+    pub fn ask_one(&self, i: usize, method: &str, path: &str) -> Option<(u16, Vec<u8>)> {
+        self.children[i].as_ref()?;
+        ask(&self.nodes[i], method, path, &[], Duration::from_secs(5))
+    }
+
     /// Asks the controllers that live, in turn, until one answers for good.
     pub fn call(&self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
         let end = Instant::now() + PATIENCE;
@@ -287,6 +303,17 @@
     }
 }
 
+/// Starts controller `i` from its files in `dir`.
+fn launch(dir: &Path, i: usize, program: &Path) -> Child {
+    let mut command = std::process::Command::new(program);
+    command.arg("--config").arg(dir.join(format!("c{i}.toml")));
+    let cells = dir.join(format!("c{i}.hcl"));
+    if cells.exists() {
+        command.arg("--cells").arg(cells);
+    }
+    command.stderr(Stdio::null()).spawn().expect("start")
+}
+
 impl Drop for Cluster {
     fn drop(&mut self) {
         for child in self.children.iter_mut().flatten() {
--- a/tests/stand_in/inputs.rs
+++ b/tests/stand_in/inputs.rs
@@ -86,7 +86,7 @@
     text += "[facts.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n";
     let Resources { core_share, memory_mb, sockets } = plan.resources;
     text += &format!("[facts.resources]\ncore_share = {core_share:.3}\n");
-    text + &format!("mem_mb = {memory_mb:.1}\nfd_limit = {sockets}\n")
+    text + format!("mem_mb = {memory_mb:.1}\nfd_limit = {sockets}\n").as_str()
 }
 
 /// A submission's body.
--- /dev/null
+++ b/tests/upgrade.rs
@@ -0,0 +1,150 @@
+//! A rolling upgrade over loopback: three controllers of the version in production (named in
+//! deploy/service.toml, built from the repository's history) are replaced one at a time by
+//! this one while jobs are submitted, polled and cancelled. Waits are bounded, not judged.
+
+mod stand_in;
+
+use marblebarrow_core::consts::{FORMAT, PRODUCTION_FORMAT};
+use stand_in::{Cluster, Plan, stage};
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+const ROOT: &str = env!("CARGO_MANIFEST_DIR");
+
+/// Builds the commit in production into target/production, once a run; its program.
+fn production_program() -> PathBuf {
+    let text = std::fs::read_to_string(Path::new(ROOT).join("deploy/service.toml")).expect("read");
+    let deploy: toml::Table = toml::from_str(&text).expect("deploy/service.toml is TOML");
+    let commit = deploy["production"].as_str().expect("production = \"COMMIT\"").to_owned();
+    let git = |args: &[&str]| Command::new("git").current_dir(ROOT).args(args).status();
+    let known = git(&["merge-base", "--is-ancestor", &commit, "HEAD"]).is_ok_and(|s| s.success());
+    assert!(known, "production = {commit:?} in deploy/service.toml is not in this history");
+    let base = Path::new(ROOT).join("target/production");
+    let source = base.join(format!("src-{}", &commit[..commit.len().min(12)]));
+    if !source.join(".extracted").exists() {
+        let (tar, _) = (base.join("source.tar"), std::fs::remove_dir_all(&source));
+        std::fs::create_dir_all(&source).expect("dir");
+        assert!(
+            git(&["archive", "-o", tar.to_str().expect("path"), &commit]).expect("git").success()
+        );
+        let unpacked = Command::new("tar").arg("-xf").arg(&tar).arg("-C").arg(&source).status();
+        assert!(unpacked.expect("tar").success(), "can't unpack {commit}");
+        std::fs::write(source.join(".extracted"), &commit).expect("mark");
+    }
+    let begun = std::time::Instant::now();
+    let built = Command::new(std::env::var("CARGO").unwrap_or_else(|_| "cargo".into()))
+        .current_dir(&source)
+        .env("CARGO_TARGET_DIR", base.join("target"))
+        .args(["build", "--locked", "--bin", "marblebarrow"])
+        .status();
+    assert!(built.expect("cargo").success(), "the production commit {commit} does not build");
+    eprintln!("production {commit} built in {:.1} s", begun.elapsed().as_secs_f64());
+    base.join("target/debug/marblebarrow")
+}
+
+/// What users were told: nothing told may be taken back.
+#[derive(Default)]
+struct Told {
+    accepted: BTreeSet<String>,
+    cancelled: BTreeSet<String>,
+    ended: BTreeMap<String, String>,
+}
+
+impl Told {
+    /// Polls every living controller on every accepted job.
+    fn poll(&mut self, cluster: &Cluster) {
+        for (job, i) in self.accepted.clone().iter().flat_map(|j| (0..3).map(move |i| (j, i))) {
+            let Some((status, body)) = cluster.ask_one(i, "GET", &format!("/api/jobs/{job}"))
+            else {
+                continue;
+            };
+            assert_ne!(status, 404, "c{i} forgot accepted {job}");
+            let Some(now) = stage(&body).filter(|_| status == 200) else { continue };
+            if let Some(before) = self.ended.get(job) {
+                assert_eq!(&now, before, "c{i} took back the end of {job}");
+            } else if now == "done" || (now == "aborted" && self.cancelled.contains(job)) {
+                self.ended.insert(job.clone(), now);
+            } else {
+                assert_ne!(now, "aborted", "c{i}: {job} aborted unasked");
+            }
+        }
+    }
+
+    fn submit(&mut self, cluster: &Cluster, job: &str, shape: &str, tasks: u32) {
+        cluster.submit(job, shape, tasks);
+        self.accepted.insert(job.into());
+    }
+
+    fn cancel(&mut self, cluster: &Cluster, job: &str) {
+        self.cancelled.insert(job.into());
+        assert_eq!(cluster.call("POST", &format!("/api/jobs/{job}/abort"), &[]).0, 200);
+        cluster.until(job, "aborted");
+        cluster.until_gone(job);
+    }
+}
+
+/// What GET /api/members tells, in part.
+#[derive(Debug, PartialEq, serde::Deserialize)]
+struct Members {
+    controllers: Vec<Member>,
+    dependencies_allowed: bool,
+}
+
+/// A controller in it.
+#[derive(Debug, PartialEq, serde::Deserialize)]
+struct Member {
+    node: String,
+    format: u32,
+    current: bool,
+}
+
+/// How they should look when the first `new` of them run this version.
+fn expected(new: usize) -> Members {
+    let member = |o: usize| {
+        let format = if o < new { FORMAT } else { PRODUCTION_FORMAT };
+        Member { node: format!("c{o}"), format, current: true }
+    };
+    Members { controllers: (0..3).map(member).collect(), dependencies_allowed: new == 3 }
+}
+
+/// What controller `i` tells on GET /api/members, if it lives and knows it.
+fn members(cluster: &Cluster, i: usize) -> Option<Members> {
+    let (status, body) = cluster.ask_one(i, "GET", "/api/members")?;
+    (status == 200).then(|| marblebarrow_proto::cbor::decode(&body).expect("members"))
+}
+
+#[test]
+fn a_rolling_upgrade_keeps_every_job() {
+    let old = production_program();
+    let new = Path::new(env!("CARGO_BIN_EXE_marblebarrow"));
+    let mut cluster = Cluster::start_programs(Plan::small(3), None, &[&old, &old, &old]);
+    let mut told = Told::default();
+    told.submit(&cluster, "req-000101", "sweep", 4);
+    told.submit(&cluster, "req-000102", "daemon", 2);
+    cluster.until("req-000101", "done");
+    for i in 0..3 {
+        let (sweep, daemon) = (format!("req-0002{i}1"), format!("req-0002{i}2"));
+        told.submit(&cluster, &sweep, "sweep", 3);
+        told.submit(&cluster, &daemon, "daemon", 1);
+        cluster.replace(i, new);
+        told.poll(&cluster);
+        cluster.until(&sweep, "done");
+        cluster.until(&daemon, "running");
+        told.cancel(&cluster, &daemon);
+        told.poll(&cluster);
+        // Each new one hears the others, the old ones at the production format: no gate yet.
+        for n in 0..=i {
+            cluster.wait_for("members as they run", |c| members(c, n) == Some(expected(i + 1)));
+        }
+    }
+    told.submit(&cluster, "req-000301", "sweep", 5);
+    cluster.until("req-000301", "done");
+    told.cancel(&cluster, "req-000102");
+    told.poll(&cluster);
+    for job in &told.accepted {
+        cluster.until(job, if told.cancelled.contains(job) { "aborted" } else { "done" });
+    }
+    assert!(cluster.completions().values().all(|&n| n == 1), "{:?}", cluster.completions());
+    assert_eq!(cluster.broken(), Vec::<String>::new());
+}
