--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -128,6 +128,9 @@
 pub const PAGE_LIMIT: u32 = 200;
 /// Conditions of a transaction per change allowed (protocol page).
 pub const CONDS_PER_OP: usize = 4;
+/// Conditions that a check of one DAG dependency takes: its spec and its last
+/// word, both absent (version 0).
+pub const CONDS_PER_DEPENDENCY: usize = 2;
 /// Bytes of encoded values in a transaction: below the 64 KiB body limit, with
 /// room for conditions and for JSON being longer than CBOR.
 pub const TXN_BYTES: usize = 24 * 1024;
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -50,6 +50,8 @@
     NotFound,
     /// Can never run, and why.
     NeverRuns(&'static str),
+    /// Names DAG dependencies that were never accepted (422), which these are.
+    UnknownDependencies(Vec<JobId>),
     /// Too much is asked; come back after so many seconds.
     Full(u32),
     /// Can't decide now; come back after so many seconds.
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -293,6 +293,9 @@
             replica: &self.replica,
             types: self.types.as_deref().or(self.replica.types.as_deref()),
             store_bad: self.store_fails >= STORE_BAD_AFTER,
+            // A version gate may hold this back until every controller knows
+            // dependencies; this version does.
+            dependencies_allowed: true,
         };
         f(&mut self.user_api, &around, &mut self.out);
         // Before any answer leaves: what we tell users, we know ourselves.
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -5,6 +5,9 @@
 //! anything else, the store confirms in a transaction without changes that no
 //! last word exists; many polls share one such check. So no answer is ever
 //! older than one that any controller gave before.
+//!
+//! A submission that names DAG dependencies (`waits_on`) is accepted only once
+//! every job it names is proven accepted; see [`DependencyCheck`].
 
 use crate::consts::*;
 use crate::event::{
@@ -36,6 +39,40 @@
     End(JobId, ReplyTo, Absent),
     /// Records that a cancellation is wanted of a job that may be in another cell.
     CancelWanted,
+    /// A check transaction that proves some DAG dependencies accepted, or not.
+    DependencyCheck(Box<DependencyCheck>, Vec<JobId>),
+    /// Reads the last word of a DAG dependency that has one.
+    DependencyEnd(Box<DependencyCheck>, JobId),
+    /// The transaction that accepts a job already cancelled with a dependency.
+    SubmitCancelled(JobId, ReplyTo, u32),
+}
+
+/// A submission with DAG dependencies, while their acceptance is proven.
+///
+/// Why this is safe: a job accepted at controller A a millisecond ago was
+/// committed to the store before its user got 201, and B's check transaction
+/// is ordered after that commit by the store; so a check that commits proves
+/// that the job was never accepted. No cache is trusted for absence: the
+/// replica and the remembered last words only prove presence, which never
+/// goes back (records are monotonic).
+///
+/// Why no cycle can arise: a job may only name jobs accepted before its own
+/// check, and nobody can name a job not yet accepted; so every edge points to
+/// an older job, and the graph is acyclic by construction.
+#[derive(Debug)]
+struct DependencyCheck {
+    spec: JobSpec,
+    to: ReplyTo,
+    /// Dependencies whose acceptance is not proven either way yet.
+    unproven: VecDeque<JobId>,
+    /// Dependencies that have a last word not known here yet.
+    ends_to_read: Vec<JobId>,
+    /// Dependencies that a committed check proved never accepted.
+    unknown: Vec<JobId>,
+    /// Whether some dependency is cancelled: then so is this job.
+    cancelled_dependency: bool,
+    /// Most dependencies in one check transaction (two conditions each).
+    per_check: usize,
 }
 
 /// What it means that a job has no last word.
@@ -80,6 +117,9 @@
     pub types: Option<&'a [MachineType]>,
     /// Whether the store has been refusing us.
     pub store_bad: bool,
+    /// Whether submissions may name DAG dependencies: only once every
+    /// controller runs a version that knows them.
+    pub dependencies_allowed: bool,
 }
 
 /// Why a job can never run, if so.
@@ -150,9 +190,27 @@
         if let Some(why) = never_runs(&spec, context.facts, types) {
             return out.reply(to, Answer::NeverRuns(why));
         }
+        if !spec.dependencies.is_empty() && !context.dependencies_allowed {
+            return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
+        }
         if self.writes >= USER_WRITES_MAX {
             return out.reply(to, Answer::Full(RETRY_FULL_S));
         }
+        self.writes += 1;
+        if spec.dependencies.is_empty() {
+            return self.write_submission(context, to, spec, out);
+        }
+        self.check_dependencies(context, to, spec, out);
+    }
+
+    /// The transaction that accepts a job: its spec, if there is no record yet.
+    fn write_submission(
+        &mut self,
+        context: &RequestContext<'_>,
+        to: ReplyTo,
+        spec: JobSpec,
+        out: &mut ActionSink,
+    ) {
         let id = spec.id.clone();
         let record = SpecRecord::submitted(spec, context.wall_ms);
         let txn = Txn {
@@ -163,10 +221,170 @@
             writes: vec![Write::Put { key: spec_key(&id), value: to_value(&record), grant: None }],
         };
         let op = out.store(StoreRequest::Commit(txn));
-        self.writes += 1;
         self.pending.insert(op, Pending::Submit(id, to));
     }
 
+    /// Starts proving a submission's dependencies accepted: what is known
+    /// here proves it at once, the rest is asked of the store.
+    fn check_dependencies(
+        &mut self,
+        context: &RequestContext<'_>,
+        to: ReplyTo,
+        spec: JobSpec,
+        out: &mut ActionSink,
+    ) {
+        let most = context.facts.store_txn_ops * CONDS_PER_OP;
+        let mut check = Box::new(DependencyCheck {
+            unproven: VecDeque::new(),
+            ends_to_read: Vec::new(),
+            unknown: Vec::new(),
+            cancelled_dependency: false,
+            per_check: (most / CONDS_PER_DEPENDENCY).max(1),
+            to,
+            spec,
+        });
+        for dependency in &check.spec.dependencies {
+            match self.terminal_states.get(dependency) {
+                Some(end) => check.cancelled_dependency |= end.cancelled,
+                None if context.replica.specs.contains_key(dependency) => {}
+                None => check.unproven.push_back(dependency.clone()),
+            }
+        }
+        self.advance(context, check, out);
+    }
+
+    /// Takes the next step of a dependency check, or ends it.
+    fn advance(
+        &mut self,
+        context: &RequestContext<'_>,
+        mut check: Box<DependencyCheck>,
+        out: &mut ActionSink,
+    ) {
+        if !check.unproven.is_empty() {
+            let take = check.per_check.min(check.unproven.len());
+            let batch: Vec<JobId> = check.unproven.drain(..take).collect();
+            let conds = batch
+                .iter()
+                .flat_map(|d| [spec_key(d), end_key(d)])
+                .map(|key| Cond { key, version: 0 })
+                .collect();
+            let op = out.store(StoreRequest::Commit(Txn { conds, writes: Vec::new() }));
+            self.pending.insert(op, Pending::DependencyCheck(check, batch));
+            return;
+        }
+        if !check.unknown.is_empty() {
+            self.writes -= 1;
+            return out.reply(check.to, Answer::UnknownDependencies(check.unknown));
+        }
+        if !check.cancelled_dependency
+            && let Some(dependency) = check.ends_to_read.pop()
+        {
+            let op = out.store(StoreRequest::Get(end_key(&dependency)));
+            self.pending.insert(op, Pending::DependencyEnd(check, dependency));
+            return;
+        }
+        let DependencyCheck { spec, to, cancelled_dependency, .. } = *check;
+        if cancelled_dependency {
+            self.write_cancelled_submission(spec.id, to, spec.tasks, out);
+        } else {
+            self.write_submission(context, to, spec, out);
+        }
+    }
+
+    /// What a check transaction of dependencies proves.
+    fn dependencies_checked(
+        &mut self,
+        context: &RequestContext<'_>,
+        mut check: Box<DependencyCheck>,
+        batch: Vec<JobId>,
+        result: &StoreResult,
+        out: &mut ActionSink,
+    ) {
+        match result {
+            // Neither spec nor last word exists: never accepted.
+            StoreResult::Committed(_) => check.unknown.extend(batch),
+            StoreResult::Conflict(keys) => {
+                let mut unlisted = Vec::new();
+                for dependency in &batch {
+                    if keys.contains(&end_key(dependency)) {
+                        check.ends_to_read.push(dependency.clone());
+                    } else if !keys.contains(&spec_key(dependency)) {
+                        unlisted.push(dependency.clone());
+                    }
+                }
+                if batch.len() == 1 && unlisted.len() == 1 {
+                    // Alone in a failed check, it exists; whether it has a
+                    // last word is read.
+                    check.ends_to_read.extend(unlisted);
+                } else {
+                    if unlisted.len() == batch.len() {
+                        // The store named none of them: one at a time then.
+                        check.per_check = 1;
+                    }
+                    for dependency in unlisted.into_iter().rev() {
+                        check.unproven.push_front(dependency);
+                    }
+                }
+            }
+            _ => {
+                self.writes -= 1;
+                return out.reply(check.to, Answer::Unavailable(RETRY_STORE_S));
+            }
+        }
+        self.advance(context, check, out);
+    }
+
+    /// What a dependency's last word says.
+    fn dependency_end_read(
+        &mut self,
+        context: &RequestContext<'_>,
+        mut check: Box<DependencyCheck>,
+        dependency: JobId,
+        result: &StoreResult,
+        out: &mut ActionSink,
+    ) {
+        match result {
+            StoreResult::Value(Some(item)) => match from_value::<EndRecord>(&item.value) {
+                Ok(end) => {
+                    check.cancelled_dependency |= end.cancelled;
+                    self.remember(&dependency, end);
+                }
+                Err(_) => {
+                    self.writes -= 1;
+                    return out.reply(check.to, Answer::Unavailable(RETRY_STORE_S));
+                }
+            },
+            // Its acceptance is proven already; it has no last word yet.
+            StoreResult::Value(None) => {}
+            _ => {
+                self.writes -= 1;
+                return out.reply(check.to, Answer::Unavailable(RETRY_STORE_S));
+            }
+        }
+        self.advance(context, check, out);
+    }
+
+    /// Accepts a job that names a cancelled dependency as cancelled itself:
+    /// its last word and no spec, if there is no record of it yet.
+    fn write_cancelled_submission(
+        &mut self,
+        id: JobId,
+        to: ReplyTo,
+        tasks: u32,
+        out: &mut ActionSink,
+    ) {
+        let end = EndRecord { cancelled: true, tasks };
+        let txn = Txn {
+            conds: vec![
+                Cond { key: spec_key(&id), version: 0 },
+                Cond { key: end_key(&id), version: 0 },
+            ],
+            writes: vec![Write::Put { key: end_key(&id), value: to_value(&end), grant: None }],
+        };
+        let op = out.store(StoreRequest::Commit(txn));
+        self.pending.insert(op, Pending::SubmitCancelled(id, to, tasks));
+    }
+
     fn poll(&mut self, context: &RequestContext<'_>, to: ReplyTo, id: JobId, out: &mut ActionSink) {
         if let Some(end) = self.terminal_states.get(&id) {
             return out.reply(to, Answer::Job(200, terminal_status(&id, end)));
@@ -336,11 +554,33 @@
             Pending::Check(asked) => self.checked(context, asked, result, out),
             // The user asks again, whatever came of it.
             Pending::CancelWanted => {}
+            Pending::DependencyCheck(check, batch) => {
+                self.dependencies_checked(context, check, batch, result, out);
+            }
+            Pending::DependencyEnd(check, dependency) => {
+                self.dependency_end_read(context, check, dependency, result, out);
+            }
+            Pending::SubmitCancelled(id, to, tasks) => {
+                self.writes -= 1;
+                match result {
+                    StoreResult::Committed(revision) => {
+                        let end = EndRecord { cancelled: true, tasks };
+                        self.confirmed.push((id.clone(), *revision));
+                        self.remember(&id, end.clone());
+                        out.reply(to, Answer::Job(201, terminal_status(&id, &end)));
+                    }
+                    // Accepted before, perhaps over since.
+                    StoreResult::Conflict(_) => self.read_end(id, to, Absent::Open, out),
+                    _ => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
+                }
+            }
             Pending::Submit(id, to) => {
                 self.writes -= 1;
                 match result {
                     StoreResult::Committed(_) => {
-                        let status = JobStatus { id, stage: Stage::Queued, done: 0, running: 0 };
+                        let stage = Stage::Queued;
+                        let status =
+                            JobStatus { id, stage, done: 0, running: 0, waits_on: Vec::new() };
                         out.reply(to, Answer::Job(201, status));
                     }
                     // Accepted before, perhaps over since.
@@ -391,7 +631,7 @@
                 },
                 StoreResult::Value(None) => match absent {
                     Absent::Open => {
-                        let status = self.open_status(id);
+                        let status = self.open_status(context, id);
                         out.reply(to, Answer::Job(200, status));
                     }
                     Absent::Never => out.reply(to, Answer::NotFound),
@@ -415,7 +655,7 @@
             StoreResult::Committed(_) => {
                 for (id, to, known) in asked {
                     if known || context.replica.specs.contains_key(&id) {
-                        let status = self.open_status(id);
+                        let status = self.open_status(context, id);
                         out.reply(to, Answer::Job(200, status));
                     } else {
                         out.reply(to, Answer::NotFound);
@@ -443,10 +683,23 @@
         }
     }
 
-    fn open_status(&self, id: JobId) -> JobStatus {
+    fn open_status(&self, context: &RequestContext<'_>, id: JobId) -> JobStatus {
         let TaskCounts { done, running } = self.progress.get(&id).copied().unwrap_or_default();
         let stage = if running > 0 { Stage::Running } else { Stage::Queued };
-        JobStatus { id, stage, done, running }
+        let waits_on = self.unfinished_dependencies(context, &id);
+        JobStatus { id, stage, done, running, waits_on }
+    }
+
+    /// The DAG dependencies of a job that this controller still sees
+    /// unfinished: their spec is in the replica and no last word is known.
+    fn unfinished_dependencies(&self, context: &RequestContext<'_>, id: &JobId) -> Vec<JobId> {
+        let Some((record, _)) = context.replica.specs.get(id) else {
+            return Vec::new();
+        };
+        let unfinished = |d: &&JobId| {
+            context.replica.specs.contains_key(*d) && !self.terminal_states.contains_key(*d)
+        };
+        record.spec.dependencies.iter().filter(unfinished).cloned().collect()
     }
 
     /// Cancellations confirmed since the last call, with their revisions.
@@ -471,5 +724,5 @@
 fn terminal_status(id: &JobId, end: &EndRecord) -> JobStatus {
     let (stage, done) =
         if end.cancelled { (Stage::Cancelled, 0) } else { (Stage::Done, end.tasks) };
-    JobStatus { id: id.clone(), stage, done, running: 0 }
+    JobStatus { id: id.clone(), stage, done, running: 0, waits_on: Vec::new() }
 }
--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -1,18 +1,37 @@
 //! Users at a controller that is asked more than it can take, or cut off.
 
-use marblebarrow_core::consts::{FINALS_KEPT, USER_WRITES_MAX};
+use ciborium::Value;
+use marblebarrow_core::consts::{CONDS_PER_OP, FINALS_KEPT, RETRY_STORE_S, USER_WRITES_MAX};
 use marblebarrow_core::event::*;
 use marblebarrow_core::facts::{Facts, Team, Tuning};
 use marblebarrow_core::node::Node;
+use marblebarrow_core::replica::Replica;
+use marblebarrow_core::user_api::{RequestContext, UserApi};
 use marblebarrow_proto::cbor::to_value;
 use marblebarrow_proto::ids::{JobId, NodeId};
 use marblebarrow_proto::job::{JobSpec, Kind, Priority};
-use marblebarrow_proto::records::EndRecord;
-use marblebarrow_proto::wire::{Item, MachineType, Stage};
+use marblebarrow_proto::records::{EndRecord, SpecRecord, end_key, spec_key};
+use marblebarrow_proto::wire::{Item, JobStatus, MachineType, Stage, Write};
+use std::collections::BTreeMap;
+use std::sync::Arc;
 
 fn node() -> Node {
+    let mut node = Node::new(facts(), 1, 0.0);
+    node.handle(0.0, 0, Event::Watch(fresh(0.0, Vec::new())));
+    node.tick(0.1, 0);
+    // It asks for the machine types before it takes a job.
+    let types = node.take_actions().into_iter().find_map(|a| match a {
+        Action::Cloud(op, CloudRequest::Types) => Some(op),
+        _ => None,
+    });
+    let op = types.expect("asks for types");
+    node.handle(0.2, 0, Event::Cloud(op, CloudResult::Types(vec![machine_type()])));
+    node
+}
+
+fn facts() -> Facts {
     let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
-    let facts = Facts {
+    Facts {
         node: NodeId::new("c0"),
         others: vec![NodeId::new("c1"), NodeId::new("c2")],
         teams: vec![team],
@@ -31,16 +50,11 @@
         direct_most: 40,
         tuning: Tuning::default(),
         cells: None,
-    };
-    let mut node = Node::new(facts, 1, 0.0);
-    node.handle(0.0, 0, Event::Watch(fresh(0.0, Vec::new())));
-    node.tick(0.1, 0);
-    // It asks for the machine types before it takes a job.
-    let types = node.take_actions().into_iter().find_map(|a| match a {
-        Action::Cloud(op, CloudRequest::Types) => Some(op),
-        _ => None,
-    });
-    let kind = MachineType {
+    }
+}
+
+fn machine_type() -> MachineType {
+    MachineType {
         name: "k".into(),
         cpus: 4.0,
         gpus: 0.0,
@@ -51,10 +65,7 @@
         spot_price: 0.4,
         boot_s: 3.0,
         zones: vec!["a".into()],
-    };
-    let op = types.expect("asks for types");
-    node.handle(0.2, 0, Event::Cloud(op, CloudResult::Types(vec![kind])));
-    node
+    }
 }
 
 /// All watched keys, read anew.
@@ -202,3 +213,114 @@
     let (told, asked) = ask(at + 2.0, 0, &mut node);
     assert!(done(&told) && asked == 2, "the oldest is read again");
 }
+
+type Store = BTreeMap<String, Item>;
+
+/// The job whose submission comes while the version gate is shut, before
+/// every controller knows DAG dependencies.
+const GATED: u32 = 0;
+
+/// The store's answer. Of the conditions that fail it names only the first, as
+/// a store may, and it holds transactions to `store_txn_ops = 1`.
+fn play(store: &mut Store, request: StoreRequest) -> StoreResult {
+    let txn = match request {
+        StoreRequest::Get(key) => return StoreResult::Value(store.get(&key).cloned()),
+        StoreRequest::Commit(txn) => txn,
+        _ => return StoreResult::Refused,
+    };
+    assert!(txn.conds.len() <= CONDS_PER_OP, "{} conditions", txn.conds.len());
+    let version = |key: &String| store.get(key).map_or(0, |item| item.version);
+    if let Some(failed) = txn.conds.iter().find(|c| version(&c.key) != c.version) {
+        return StoreResult::Conflict(vec![failed.key.clone()]);
+    }
+    for write in txn.writes {
+        if let Write::Put { key, value, .. } = write {
+            store.insert(key.clone(), Item { key, value, version: 1 });
+        }
+    }
+    StoreResult::Committed(1)
+}
+
+/// What a user is told by one controller's user API, with the store played.
+fn ask(api: &mut UserApi, replica: &Replica, store: &mut Store, request: UserRequest) -> Answer {
+    let (facts, types) = (Facts { store_txn_ops: 1, ..facts() }, [machine_type()]);
+    let context = RequestContext {
+        now: 0.0,
+        wall_ms: 0,
+        facts: &facts,
+        replica,
+        types: Some(&types),
+        store_bad: false,
+        dependencies_allowed: !matches!(&request, UserRequest::Submit(s) if s.id == id(GATED)),
+    };
+    let mut out = ActionSink::default();
+    api.ask(&context, ReplyTo(1), request, &mut out);
+    loop {
+        match out.actions.pop().expect("somebody is told") {
+            Action::Reply(_, answer) => return answer,
+            Action::Store(op, request) => api.store(&context, op, &play(store, request), &mut out),
+            other => panic!("{other:?}"),
+        };
+    }
+}
+
+fn submit(n: u32, dependencies: &[u32]) -> UserRequest {
+    let dependencies = dependencies.iter().map(|&d| job(d).id).collect();
+    UserRequest::Submit(Box::new(JobSpec { dependencies, ..job(n) }))
+}
+
+fn id(n: u32) -> JobId {
+    job(n).id
+}
+
+fn told(code: u16, n: u32, stage: Stage, waits_on: Vec<JobId>) -> Answer {
+    Answer::Job(code, JobStatus { id: id(n), stage, done: 0, running: 0, waits_on })
+}
+
+fn item(key: String, value: Value) -> (String, Item) {
+    (key.clone(), Item { key, value, version: 1 })
+}
+
+/// Known here, accepted elsewhere just before (in the store only), done,
+/// unknown: only a committed check proves a job never accepted, and a store
+/// that names only the first failed condition misleads nobody.
+#[test]
+fn dependencies_never_accepted_get_422_naming_them() {
+    let (mut api, mut replica) = (UserApi::default(), Replica::default());
+    replica.synced = true;
+    let record = |n| SpecRecord::submitted(job(n), 0);
+    replica.specs.insert(id(1), (Arc::new(record(1)), 1));
+    let done = to_value(&EndRecord { cancelled: false, tasks: 1 });
+    let mut store =
+        Store::from([item(spec_key(&id(2)), to_value(&record(2))), item(end_key(&id(3)), done)]);
+    store.extend([item(spec_key(&id(5)), to_value(&record(5)))]);
+    let unknown = Answer::UnknownDependencies(vec![id(4), id(6)]);
+    assert_eq!(ask(&mut api, &replica, &mut store, submit(9, &[1, 2, 3, 4, 5, 6])), unknown);
+    assert!(!store.contains_key(&spec_key(&id(9))), "nothing written");
+    let accepted = ask(&mut api, &replica, &mut store, submit(9, &[1, 2, 3, 5]));
+    assert_eq!(accepted, told(201, 9, Stage::Queued, vec![]));
+    // A poll names the dependencies that this controller still sees unfinished.
+    let spec = JobSpec { dependencies: vec![id(1), id(2)], ..job(9) };
+    replica.specs.insert(id(9), (Arc::new(SpecRecord::submitted(spec, 0)), 1));
+    let polled = ask(&mut api, &replica, &mut store, UserRequest::Poll(id(9)));
+    assert_eq!(polled, told(200, 9, Stage::Queued, vec![id(1)]));
+}
+
+/// Naming a cancelled job: accepted as cancelled, a last word and no spec, and
+/// so told again by another controller from that last word. Until every
+/// controller knows dependencies ([`GATED`]), naming any gets 503.
+#[test]
+fn a_job_naming_a_cancelled_one_is_accepted_aborted() {
+    let (mut api, mut replica) = (UserApi::default(), Replica::default());
+    replica.synced = true;
+    let cancelled = to_value(&EndRecord { cancelled: true, tasks: 1 });
+    let mut store = Store::from([item(end_key(&id(1)), cancelled)]);
+    let gated = ask(&mut api, &replica, &mut store, submit(GATED, &[1]));
+    assert_eq!(gated, Answer::Unavailable(RETRY_STORE_S));
+    let first = ask(&mut api, &replica, &mut store, submit(2, &[1]));
+    assert_eq!(first, told(201, 2, Stage::Cancelled, vec![]));
+    assert!(!store.contains_key(&spec_key(&id(2))) && store.contains_key(&end_key(&id(2))));
+    let again = ask(&mut UserApi::default(), &replica, &mut store, submit(2, &[1]));
+    assert_eq!(again, told(200, 2, Stage::Cancelled, vec![]));
+    assert_eq!(store.len(), 2, "the gated one wrote nothing");
+}
--- a/crates/proto/src/tests/job.rs
+++ b/crates/proto/src/tests/job.rs
@@ -90,3 +90,35 @@
         let _ = JobSpec::parse(&body);
     }
 }
+
+/// `waits_on`: well-formed job ids, a name given twice counted once, at most
+/// [`MAX_DEPENDENCIES`] of them.
+#[test]
+fn reads_dag_dependencies_and_refuses_bad_lists() {
+    let with = |list: Value| {
+        let mut m = example();
+        m.push((Value::Text("waits_on".into()), list));
+        parse(m)
+    };
+    let ids = |names: &[String]| Value::Array(names.iter().cloned().map(Value::Text).collect());
+    let names: Vec<String> = (0..=MAX_DEPENDENCIES).map(|n| format!("req-{n:06}")).collect();
+    let twice = [names[1].clone(), names[2].clone(), names[1].clone()];
+    let spec = with(ids(&twice)).expect("valid");
+    assert_eq!(spec.dependencies, vec![JobId::new(&names[1]), JobId::new(&names[2])]);
+    let back: JobSpec = cbor::from_value(&cbor::to_value(&spec)).expect("round trip");
+    assert_eq!(back, spec);
+    assert_eq!(
+        with(ids(&names[..MAX_DEPENDENCIES])).map(|s| s.dependencies.len()),
+        Ok(MAX_DEPENDENCIES)
+    );
+    let wrong = [
+        ids(&names),
+        ids(&["nonsense".into()]),
+        Value::Text(names[1].clone()),
+        Value::Array(vec![Value::from(7)]),
+        Value::Map(vec![]),
+    ];
+    for list in wrong {
+        assert_eq!(with(list.clone()), Err(BadJob::Field("waits_on")), "{list:?}");
+    }
+}
--- a/crates/proto/src/tests/wire.rs
+++ b/crates/proto/src/tests/wire.rs
@@ -52,3 +52,13 @@
     let back: Txn = cbor::decode(&cbor::encode(&txn)).expect("round trip");
     assert_eq!(back, txn);
 }
+
+/// Answers without DAG dependencies stay as before: no `waits_on` in them.
+#[test]
+fn a_status_names_dependencies_only_when_there_are_some() {
+    let id = JobId::new("req-1");
+    let mut status = JobStatus { id, stage: Stage::Queued, done: 0, running: 0, waits_on: vec![] };
+    assert!(matches!(Value::serialized(&status), Ok(Value::Map(fields)) if fields.len() == 4));
+    status.waits_on = vec![JobId::new("req-0")];
+    assert_eq!(cbor::decode::<JobStatus>(&cbor::encode(&status)).ok(), Some(status));
+}
--- a/crates/proto/src/wire.rs
+++ b/crates/proto/src/wire.rs
@@ -19,6 +19,10 @@
     /// Running tasks, for display.
     #[serde(default)]
     pub running: u32,
+    /// DAG dependencies that this controller still sees unfinished. Left out
+    /// when empty, so that answers without dependencies stay as before.
+    #[serde(rename = "waits_on", default, skip_serializing_if = "Vec::is_empty")]
+    pub waits_on: Vec<JobId>,
 }
 
 /// A job's stage.
@@ -216,6 +220,15 @@
     pub report_to: Option<String>,
 }
 
+/// The body of a 422 to a submission that names DAG dependencies never accepted.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct UnknownDependencies {
+    /// What is wrong, for people.
+    pub error: String,
+    /// The named jobs that were never accepted.
+    pub waits_on: Vec<JobId>,
+}
+
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
--- a/src/server.rs
+++ b/src/server.rs
@@ -21,7 +21,7 @@
 use marblebarrow_proto::cbor;
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::job::JobSpec;
-use marblebarrow_proto::wire::{Elsewhere, Report};
+use marblebarrow_proto::wire::{Elsewhere, Report, UnknownDependencies};
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Registry, Token};
 use std::net::{TcpListener, TcpStream};
@@ -259,12 +259,20 @@
             Answer::Elsewhere(node) => elsewhere(node.map(|n| n.to_string())),
             Answer::NotFound => Response::plain(404, "no such job"),
             Answer::NeverRuns(why) => Response::plain(422, why),
+            Answer::UnknownDependencies(waits_on) => unknown_dependencies(waits_on),
             Answer::Full(after) => Response::later(429, after, "too much is asked"),
             Answer::Unavailable(after) => Response::later(503, after, "can't decide now"),
         }
     }
 }
 
+/// 422 naming the DAG dependencies that were never accepted.
+fn unknown_dependencies(waits_on: Vec<JobId>) -> Response {
+    let error = "names jobs that were never accepted".to_owned();
+    let body = cbor::encode(&UnknownDependencies { error, waits_on });
+    Response { status: 422, retry_after: None, body }
+}
+
 fn elsewhere(report_to: Option<String>) -> Response {
     Response { status: 421, retry_after: None, body: cbor::encode(&Elsewhere { report_to }) }
 }
