--- a/src/cli.rs
+++ b/src/cli.rs
@@ -219,6 +219,8 @@
     }
 }
 
+/// The body of a submission: the TOML table as CBOR, field for field, so that
+/// `waits_on = ["req-000398"]` goes out as the list of DAG dependencies.
 fn job_body(file: &Path) -> Result<Vec<u8>, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let table: toml::Table =
@@ -246,9 +248,12 @@
     if status < 300 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
+/// One field of an answer as text; a list, such as the DAG dependencies that a
+/// job still waits on (`waits_on`), as its items joined by commas.
 fn show(v: &Value) -> String {
     match v {
         Value::Text(t) => t.clone(),
+        Value::Array(items) => items.iter().map(show).collect::<Vec<_>>().join(","),
         Value::Integer(i) => i128::from(*i).to_string(),
         Value::Float(f) => f.to_string(),
         Value::Bool(b) => b.to_string(),
