--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -306,6 +306,7 @@
         wall_ms: u64,
         f: impl FnOnce(&mut UserApi, &RequestContext<'_>, &mut ActionSink),
     ) {
+        let dependencies_allowed = self.dependencies_allowed(now);
         let around = RequestContext {
             now,
             wall_ms,
@@ -313,6 +314,9 @@
             replica: &self.replica,
             types: self.types.as_deref().or(self.replica.types.as_deref()),
             store_bad: self.store_fails >= STORE_BAD_AFTER,
+            // The version gate: only once every controller runs a version that knows
+            // DAG dependencies (an old leader would start such a job at once).
+            dependencies_allowed,
         };
         f(&mut self.user_api, &around, &mut self.out);
         // Before any answer leaves: what we tell users, we know ourselves.
--- a/crates/proto/src/tests/job.rs
+++ b/crates/proto/src/tests/job.rs
@@ -90,3 +90,25 @@
         let _ = JobSpec::parse(&body);
     }
 }
+
+/// `waits_on`: job ids, a name given twice counted once, at most [`MAX_DEPENDENCIES`].
+#[test]
+fn reads_dag_dependencies_and_refuses_bad_lists() {
+    let with = |list: Vec<Value>| {
+        let mut m = example();
+        m.push((Value::Text("waits_on".into()), Value::Array(list)));
+        parse(m)
+    };
+    let ids: Vec<Value> = (0..=MAX_DEPENDENCIES).map(|n| Value::Text(format!("req-{n}"))).collect();
+    let spec = with(vec![ids[1].clone(), ids[2].clone(), ids[1].clone()]).expect("valid");
+    assert_eq!(spec.dependencies, [JobId::new("req-1"), JobId::new("req-2")]);
+    assert_eq!(cbor::from_value::<JobSpec>(&cbor::to_value(&spec)).ok(), Some(spec));
+    let most = with(ids[..MAX_DEPENDENCIES].to_vec()).map(|s| s.dependencies.len());
+    assert_eq!(most, Ok(MAX_DEPENDENCIES));
+    for list in [ids, vec![Value::from(7)], vec![Value::Text("nonsense".into())]] {
+        assert_eq!(with(list), Err(BadJob::Field("waits_on")));
+    }
+    let mut not_a_list = example();
+    not_a_list.push((Value::Text("waits_on".into()), Value::Text("req-1".into())));
+    assert_eq!(parse(not_a_list), Err(BadJob::Field("waits_on")));
+}
