--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -102,12 +102,15 @@
     pub log: bool,
     /// Share of a core that this controller has.
     pub core_share: f64,
-    /// Store requests a second.
+    /// Store requests a second. This and the other limits of the store are the smaller
+    /// ones of those in force and those announced, which come without notice.
     pub store_rps: f64,
     /// Store changes a second.
     pub store_write_rps: f64,
     /// Changes in a transaction.
     pub store_txn_ops: usize,
+    /// Bytes of a value as JSON.
+    pub store_value_bytes: usize,
     /// Cloud requests a second.
     pub cloud_rps: f64,
     /// Lag of the machine list, seconds.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -23,6 +23,7 @@
 mod place;
 mod preempt;
 mod provision;
+pub mod record_shape;
 mod recover;
 pub mod replica;
 mod reports;
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -252,7 +252,7 @@
                     if m.touch_image(image, gb)
                         && let Some(block) = m.block
                     {
-                        self.writer.machine_changed(block, now);
+                        self.writer.images_changed(block, now);
                     }
                 }
                 _ if live.phase != Phase::Running => live.phase = Phase::Seen,
--- a/crates/core/src/tests/provision.rs
+++ b/crates/core/src/tests/provision.rs
@@ -29,6 +29,7 @@
         store_rps: 300.0,
         store_write_rps: 90.0,
         store_txn_ops: 24,
+        store_value_bytes: 16 * 1024,
         cloud_rps: 7.0,
         list_lag_s: 8.0,
         direct_most: 200,
--- /dev/null
+++ b/crates/core/src/writer/answers.rs
@@ -0,0 +1,232 @@
+//! What the state service answered to the leader's transactions and reads.
+
+use super::{Entry, Mark, Running, Urgency};
+use crate::consts::*;
+use crate::event::{ActionSink, OpId, Secs, StoreResult};
+use crate::jobs::{Job, Outcome, Phase};
+use crate::leader::Leader;
+use crate::record_shape::largest_value;
+use marblebarrow_proto::cbor::from_value;
+use marblebarrow_proto::ids::{Attempt, JobId, MachineId, TaskId};
+use marblebarrow_proto::intset::{IntSet, PackedSet};
+use marblebarrow_proto::records::{self, *};
+use marblebarrow_proto::wire::Txn;
+
+impl Leader {
+    /// A transaction or a read of ours was answered. False: we don't lead.
+    pub(crate) fn written(
+        &mut self,
+        now: Secs,
+        op: OpId,
+        result: StoreResult,
+        out: &mut ActionSink,
+    ) -> bool {
+        if self.writer.reading == Some(op) {
+            self.writer.reading = None;
+            match result {
+                StoreResult::Value(item) => {
+                    let version = item.as_ref().map_or(0, |i| i.version);
+                    if let Some((_, entry)) = self.writer.resync.pop_front() {
+                        self.resynced(now, entry, version, item.map(|i| i.value));
+                    }
+                }
+                _ => self.writer.next = now + STORE_RETRY_S,
+            }
+            return true;
+        }
+        let running = self.writer.running.take_if(|running| running.op == op);
+        let Some(Running { txn, entries, .. }) = running else {
+            return true;
+        };
+        match result {
+            StoreResult::Committed(version) => {
+                for entry in entries {
+                    self.entry_written(now, entry, version);
+                }
+                self.push_direct(now, out);
+            }
+            StoreResult::Conflict(keys) if keys.iter().any(|k| k == records::LEADER) => {
+                return false;
+            }
+            // Not executed: as it was.
+            StoreResult::Refused => {
+                self.writer.next = now + STORE_RETRY_S;
+                entries.into_iter().for_each(|e| self.entry_again(now, e));
+            }
+            StoreResult::Rejected => {
+                self.writer.next = now + STORE_RETRY_S;
+                self.rejected(now, &txn);
+                entries.into_iter().for_each(|e| self.entry_again(now, e));
+            }
+            // Perhaps executed, or a version wasn't what we thought: read each.
+            _ => {
+                self.writer.next = now + STORE_RETRY_S;
+                for entry in entries {
+                    let key = match &entry {
+                        Entry::Part { job, part, .. } => progress_key(job, *part),
+                        Entry::Block(number, _) => block_key(*number),
+                        Entry::Close { job, cancelled: false, .. } => end_key(job),
+                        Entry::Close { job, .. } => spec_key(job),
+                        Entry::Garbage(key, _) => key.clone(),
+                        Entry::Types => TYPES.into(),
+                    };
+                    self.writer.resync.push_back((key, entry));
+                }
+            }
+        }
+        true
+    }
+
+    /// The state service takes less than we thought: the limits may fall at any time.
+    fn rejected(&mut self, now: Secs, txn: &Txn) {
+        self.writer.limits.shrink(txn);
+        let limits = self.writer.limits;
+        let (changes, largest) = (txn.writes.len(), largest_value(txn));
+        self.log.info(now, || {
+            format!(
+                "event=write_rejected changes={changes} largest_value={largest} \
+                 now_changes={} now_value={}",
+                limits.changes, limits.value_bytes
+            )
+        });
+    }
+
+    fn entry_written(&mut self, now: Secs, entry: Entry, version: u64) {
+        match entry {
+            Entry::Part { job, part, sets } => {
+                let Some(j) = self.jobs.get_mut(&job) else {
+                    return;
+                };
+                j.parts[part as usize] = version;
+                if part == 0 {
+                    j.stored_machines = sets.machines;
+                }
+                merge(&mut j.stored_started, &sets.started, part);
+                merge(&mut j.stored_finished, &sets.finished, part);
+                for live in j.live.values_mut().filter(|l| l.phase == Phase::Placed) {
+                    live.phase = Phase::Ready;
+                    if let Some(m) = self.machines.get_mut(&live.machine) {
+                        m.push = true;
+                    }
+                }
+            }
+            Entry::Block(number, names) => {
+                if let Some(block) = self.writer.blocks.get_mut(&number) {
+                    block.version = if names.is_empty() { 0 } else { version };
+                }
+                for id in names {
+                    if let Some(m) = self.machines.get_mut(&id).filter(|m| !m.recorded) {
+                        m.recorded = true;
+                        m.push = true;
+                    }
+                }
+            }
+            Entry::Close { job, cancelled, tasks } => self.closed(now, &job, cancelled, tasks),
+            Entry::Garbage(..) | Entry::Types => {}
+        }
+    }
+
+    pub(crate) fn closed(&mut self, now: Secs, id: &JobId, cancelled: bool, tasks: u32) {
+        // Attempts that are of no more use, if any.
+        let left: Vec<(u32, MachineId, Attempt)> = self.jobs.get(id).map_or(Vec::new(), |j| {
+            j.live.iter().map(|(n, l)| (*n, l.machine.clone(), l.attempt)).collect()
+        });
+        for (n, machine, attempt) in left {
+            self.over(id, n, Outcome::Lost, now);
+            if let Some(m) = self.machines.get_mut(&machine) {
+                m.strangers.insert((TaskId { job: id.clone(), index: n }, attempt));
+                m.push = true;
+            }
+        }
+        let Some(job) = self.jobs.remove(id) else {
+            return;
+        };
+        for (part, version) in job.parts.iter().enumerate().filter(|(_, v)| **v != 0) {
+            self.writer.discard(progress_key(id, part as u32), *version);
+        }
+        self.writer.closed.push_back((id.clone(), job.spec_version));
+        if self.writer.closed.len() > FINALS_KEPT {
+            self.writer.closed.pop_front();
+        }
+        self.terminal_states.push((id.clone(), EndRecord { cancelled, tasks }));
+        self.dependency_finished(now, id, cancelled);
+        self.log.push(|| format!(
+            "event=closed job={id} cancelled={cancelled} after_s={:.1} due_s={:.1} tasks={tasks} mean_s={:.1} guess_s={:.1} term={}",
+            now - job.arrived,
+            job.spec().deadline_s.unwrap_or(0.0),
+            job.mean_run().unwrap_or(0.0),
+            job.spec().estimate_s,
+            self.term.0
+        ));
+    }
+
+    // A record's true version is known again.
+    fn resynced(&mut self, now: Secs, entry: Entry, version: u64, value: Option<ciborium::Value>) {
+        match entry {
+            Entry::Part { job, part, .. } => {
+                if let Some(j) = self.jobs.get_mut(&job) {
+                    j.parts[part as usize] = version;
+                    self.writer.touch_task(&job, part * PART_TASKS, now, true);
+                }
+            }
+            Entry::Block(number, names) => {
+                if let Some(block) = self.writer.blocks.get_mut(&number) {
+                    block.version = version;
+                }
+                self.entry_again(now, Entry::Block(number, names));
+            }
+            Entry::Close { job, cancelled: false, tasks } => {
+                match value.as_ref().map(from_value::<EndRecord>) {
+                    Some(Ok(end)) if end.cancelled => {
+                        // A user's cancel came first.
+                        if let Some(j) = self.jobs.get_mut(&job) {
+                            j.closing = false;
+                        }
+                        self.cancel(now, &job);
+                    }
+                    Some(_) => self.closed(now, &job, false, tasks),
+                    None => self.entry_again(now, Entry::Close { job, cancelled: false, tasks }),
+                }
+            }
+            Entry::Close { job, cancelled, tasks } => {
+                if value.is_none() {
+                    self.closed(now, &job, cancelled, tasks);
+                } else {
+                    self.entry_again(now, Entry::Close { job, cancelled, tasks });
+                }
+            }
+            Entry::Garbage(key, _) => {
+                if version != 0 {
+                    self.writer.discard(key, version);
+                }
+            }
+            Entry::Types => {}
+        }
+    }
+
+    fn entry_again(&mut self, now: Secs, entry: Entry) {
+        match entry {
+            Entry::Part { job, part, .. } => {
+                self.writer.touch_task(&job, part * PART_TASKS, now, true);
+            }
+            Entry::Block(number, _) => {
+                if let Some(block) = self.writer.blocks.get_mut(&number) {
+                    Mark::merge(&mut block.mark, now, Urgency::Starts);
+                }
+            }
+            Entry::Close { job, .. } => {
+                if let Some(j) = self.jobs.get_mut(&job) {
+                    j.closing = false;
+                }
+                self.writer.close(&job, now);
+            }
+            Entry::Garbage(key, version) => self.writer.discard(key, version),
+            Entry::Types => self.writer.types_key.clear(),
+        }
+    }
+}
+
+fn merge(into: &mut IntSet, from: &IntSet, part: u32) {
+    let (start, len) = Job::part_range(part);
+    PackedSet::pack(from, start, len).unpack(start, len, into);
+}
--- /dev/null
+++ b/crates/core/src/writer/batch.rs
@@ -0,0 +1,296 @@
+//! The leader's next transaction: which records go into it, and in which shape.
+
+use super::{Entry, Mark, Running, Urgency};
+use crate::consts::*;
+use crate::event::{ActionSink, Secs, StoreRequest};
+use crate::jobs::Job;
+use crate::leader::Leader;
+use crate::record_shape::{ProgressSets, ShapeLimits, fit_progress, split_block};
+use crate::replica::Replica;
+use marblebarrow_proto::cbor::{json_len, to_value};
+use marblebarrow_proto::ids::{JobId, MachineId};
+use marblebarrow_proto::intset::IntSet;
+use marblebarrow_proto::job::Kind;
+use marblebarrow_proto::records::*;
+use marblebarrow_proto::wire::{Cond, Txn, Write};
+
+/// A transaction as it grows.
+struct Batch {
+    txn: Txn,
+    entries: Vec<Entry>,
+    room: usize,
+    bytes: usize,
+}
+
+impl Batch {
+    fn full(&self) -> bool {
+        self.txn.writes.len() >= self.room || self.bytes > TXN_BYTES
+    }
+    /// Changes that still find room.
+    fn free(&self) -> usize {
+        self.room.saturating_sub(self.txn.writes.len())
+    }
+    fn put(&mut self, key: String, version: u64, value: ciborium::Value) {
+        self.bytes += json_len(&value);
+        self.txn.conds.push(Cond { key: key.clone(), version });
+        self.txn.writes.push(Write::Put { key, value, grant: None });
+    }
+    fn drop_key(&mut self, key: String, version: u64) {
+        self.txn.conds.push(Cond { key: key.clone(), version });
+        self.txn.writes.push(Write::Delete { key });
+    }
+}
+
+impl Leader {
+    /// Sends the next transaction, if one is due.
+    pub(crate) fn flush(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
+        let w = &mut self.writer;
+        w.refill(now);
+        if w.running.is_some() || w.reading.is_some() || now < w.next {
+            return;
+        }
+        if let Some((key, _)) = w.resync.front() {
+            w.reading = Some(out.store(StoreRequest::Get(key.clone())));
+            return;
+        }
+        let Batch { txn, entries, .. } = self.batch(now, replica);
+        if txn.writes.is_empty() {
+            return;
+        }
+        let w = &mut self.writer;
+        w.budget -= txn.writes.len() as f64;
+        w.next = now + FLUSH_EVERY_S;
+        let op = out.store(StoreRequest::Commit(txn.clone()));
+        w.running = Some(Running { op, txn, entries });
+    }
+
+    // What others wait for goes first: jobs whose end is overdue, machines and
+    // tasks whose starts wait (services before arrays), other ends; then, after
+    // a while in which they gather, finished tasks, images and machines gone.
+    fn batch(&mut self, now: Secs, replica: &Replica) -> Batch {
+        let mut b = Batch {
+            txn: Txn {
+                conds: vec![Cond { key: LEADER.into(), version: self.version }],
+                writes: Vec::new(),
+            },
+            entries: Vec::new(),
+            room: self.writer.limits.changes.min(self.writer.budget.max(0.0) as usize),
+            bytes: 0,
+        };
+        if b.room == 0 {
+            return b;
+        }
+        if !self.batch_closes(now, CLOSE_LATEST_S, &mut b) && b.txn.writes.is_empty() {
+            // Saves up for an end that is overdue: it takes several changes at
+            // once, and single ones that always went before it once held up
+            // all ends for minutes.
+            return b;
+        }
+        if !self.batch_blocks(now, Urgency::Starts, &mut b) && b.txn.writes.is_empty() {
+            // Saves up likewise, for a block that splits.
+            return b;
+        }
+        self.batch_parts(now, &mut b);
+        self.batch_closes(now, 0.0, &mut b);
+        self.batch_blocks(now, Urgency::Lazy, &mut b);
+        self.batch_blocks(now, Urgency::Images, &mut b);
+        while !b.full()
+            && let Some((key, version)) = self.writer.garbage.pop_first()
+        {
+            b.entries.push(Entry::Garbage(key.clone(), version));
+            b.drop_key(key, version);
+        }
+        self.types_entry(replica, &mut b);
+        b
+    }
+
+    /// Adds blocks of machines that are due; false if one found no room.
+    fn batch_blocks(&mut self, now: Secs, urgency: Urgency, b: &mut Batch) -> bool {
+        let age = match urgency {
+            Urgency::Starts => 0.0,
+            Urgency::Lazy => BLOCK_LAZY_S,
+            Urgency::Images => self.images_age(),
+        };
+        let due = |mark: &Mark| mark.urgency == urgency && now - mark.since >= age;
+        let blocks = self.writer.blocks.iter();
+        let numbers: Vec<u32> = blocks
+            .filter(|(_, block)| block.mark.as_ref().is_some_and(due))
+            .map(|(number, _)| *number)
+            .collect();
+        let mut all = true;
+        for number in numbers {
+            if b.full() {
+                break;
+            }
+            all &= self.add_block(number, b);
+        }
+        all
+    }
+
+    /// How long images gather before a block is written for them alone, seconds: so long
+    /// that all blocks together take their share of the store's changes.
+    fn images_age(&self) -> Secs {
+        let blocks = self.writer.blocks.len() as f64;
+        (blocks / (self.writer.rps * IMAGES_WRITE_SHARE)).max(BLOCK_LAZY_S)
+    }
+
+    /// Adds a block, split where its records have outgrown a value; false if there is no
+    /// room for all that it splits into. They go in one transaction: a machine that is in
+    /// no block would be unknown to the next leader.
+    fn add_block(&mut self, number: u32, b: &mut Batch) -> bool {
+        let Some(block) = self.writer.blocks.get(&number) else { return true };
+        let version = block.version;
+        let machines: Vec<(MachineId, MachineRecord)> = block
+            .members
+            .iter()
+            .filter_map(|id| Some((id.clone(), self.machines.get(id)?.info.clone())))
+            .collect();
+        if machines.is_empty() {
+            self.writer.blocks.entry(number).or_default().mark = None;
+            if version != 0 {
+                b.drop_key(block_key(number), version);
+                b.entries.push(Entry::Block(number, Vec::new()));
+            }
+            return true;
+        }
+        let parts = split_block(machines, self.writer.limits);
+        if parts.len() > b.free() {
+            return false;
+        }
+        let mut numbers = vec![number];
+        let next = self.writer.next_block();
+        numbers.extend((next..).take(parts.len() - 1));
+        for (number, part) in numbers.into_iter().zip(parts) {
+            self.put_block(number, &part, b);
+        }
+        true
+    }
+
+    fn put_block(&mut self, number: u32, part: &MachineBlock, b: &mut Batch) {
+        let names: Vec<MachineId> = part.machines.iter().map(|(id, _)| id.clone()).collect();
+        let block = self.writer.blocks.entry(number).or_default();
+        block.mark = None;
+        block.members = names.iter().cloned().collect();
+        b.put(block_key(number), block.version, to_value(part));
+        for id in &names {
+            if let Some(machine) = self.machines.get_mut(id) {
+                machine.block = Some(number);
+            }
+        }
+        b.entries.push(Entry::Block(number, names));
+    }
+
+    fn batch_parts(&mut self, now: Secs, b: &mut Batch) {
+        let mut due: Vec<(u8, Secs, (JobId, u32))> = Vec::new();
+        let jobs = &self.jobs;
+        self.writer.parts.retain(|(id, part), mark| {
+            // A job that is complete is closed instead.
+            let job = jobs.get(id).filter(|j| !j.closing && !j.complete());
+            let Some(job) = job.filter(|j| (*part as usize) < j.parts.len()) else {
+                return false;
+            };
+            let class = match (mark.starts_wait(), job.spec().kind) {
+                (true, Kind::Service) => 0,
+                (true, _) => 1,
+                (false, _) => 2,
+            };
+            if class < 2 || now - mark.since > FINISH_LAZY_S {
+                due.push((class, mark.since, (id.clone(), *part)));
+            }
+            true
+        });
+        due.sort_by(|x, y| x.0.cmp(&y.0).then(x.1.total_cmp(&y.1)));
+        for (_, _, (id, part)) in due {
+            if b.full() {
+                break;
+            }
+            let Some(job) = self.jobs.get(&id) else { continue };
+            let (record, sets) = progress_part(job, part, self.writer.limits);
+            b.put(progress_key(&id, part), job.parts[part as usize], to_value(&record));
+            b.entries.push(Entry::Part { job: id.clone(), part, sets });
+            self.writer.parts.remove(&(id, part));
+        }
+    }
+
+    /// Adds ends that have waited so long; false if one found no room.
+    fn batch_closes(&mut self, now: Secs, age: Secs, b: &mut Batch) -> bool {
+        let mut all = true;
+        let mut due: Vec<(Secs, JobId)> = self
+            .writer
+            .closing
+            .iter()
+            .filter(|(_, since)| now - **since >= age)
+            .map(|(id, since)| (*since, id.clone()))
+            .collect();
+        due.sort_by(|x, y| x.0.total_cmp(&y.0));
+        for (_, id) in due {
+            let Some(job) = self.jobs.get_mut(&id) else {
+                self.writer.closing.remove(&id);
+                continue;
+            };
+            let cancelled = job.cancelled;
+            let over = if cancelled {
+                job.live.is_empty() && job.maybe_running.is_empty()
+            } else {
+                job.complete()
+            };
+            if !over || job.closing {
+                self.writer.closing.remove(&id);
+                continue;
+            }
+            if b.txn.writes.len() + 2 > b.room {
+                all = false;
+                continue;
+            }
+            let spec = &job.record.spec;
+            if !cancelled {
+                let end = EndRecord { cancelled: false, tasks: spec.tasks };
+                b.put(end_key(&id), 0, to_value(&end));
+            } else {
+                b.txn.writes.push(Write::Delete { key: cancel_key(&id) });
+            }
+            b.drop_key(spec_key(&id), job.spec_version);
+            job.closing = true;
+            b.entries.push(Entry::Close { job: id.clone(), cancelled, tasks: spec.tasks });
+            self.writer.closing.remove(&id);
+        }
+        all
+    }
+
+    // The machine types, without their moving prices, for controllers that
+    // start while the cloud is down.
+    fn types_entry(&mut self, replica: &Replica, b: &mut Batch) {
+        let names: String =
+            self.cloud_requests.types.iter().map(|t| format!("{} ", t.name)).collect();
+        if self.cloud_requests.types.is_empty() || self.writer.types_key == names || b.full() {
+            return;
+        }
+        self.writer.types_key = names;
+        if replica.types.as_ref().is_some_and(|t| t.len() == self.cloud_requests.types.len()) {
+            return;
+        }
+        let types = to_value(&self.cloud_requests.types);
+        if json_len(&types) > self.writer.limits.record_bytes() {
+            // Too many types for one value: controllers then wait for the cloud.
+            return;
+        }
+        b.put(TYPES.into(), replica.types_version, types);
+        b.entries.push(Entry::Types);
+    }
+}
+
+/// A part's record, and the sets that it holds.
+fn progress_part(job: &Job, part: u32, limits: ShapeLimits) -> (ProgressRecord, ProgressSets) {
+    let first = part == 0;
+    let rest = ProgressRecord {
+        mean_ms: if first { job.mean_run().map_or(0, |m| (m * 1e3) as u64) } else { 0 },
+        queue: if first { job.queue } else { None },
+        ..ProgressRecord::default()
+    };
+    let sets = ProgressSets {
+        started: job.started.clone(),
+        finished: job.finished.clone(),
+        machines: if first { job.machines.clone() } else { IntSet::default() },
+    };
+    fit_progress(sets, Job::part_range(part), &rest, limits)
+}
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -35,6 +35,7 @@
         store_rps: 100.0,
         store_write_rps: 20.0,
         store_txn_ops: 16,
+        store_value_bytes: 16 * 1024,
         cloud_rps: 5.0,
         list_lag_s: 2.0,
         direct_most: 40,
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -76,6 +76,7 @@
         store_rps: 100.0,
         store_write_rps: 60.0,
         store_txn_ops: 16,
+        store_value_bytes: 16 * 1024,
         cloud_rps: 5.0,
         list_lag_s: 2.0,
         direct_most: 40,
--- a/crates/proto/src/cbor.rs
+++ b/crates/proto/src/cbor.rs
@@ -40,6 +40,31 @@
     value.deserialized().map_err(|e| CborError(e.to_string()))
 }
 
+/// Length of a value written as JSON, bytes: the form in which the protocol page counts the
+/// state service's size limits.
+pub fn json_len(value: &Value) -> usize {
+    let mut counter = ByteCounter(0);
+    // Our records have text keys only, which JSON can express; anything else counts as huge.
+    match serde_json::to_writer(&mut counter, value) {
+        Ok(()) => counter.0,
+        Err(_) => usize::MAX,
+    }
+}
+
+/// Counts the bytes written to it.
+struct ByteCounter(usize);
+
+impl std::io::Write for ByteCounter {
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
+        self.0 += bytes.len();
+        Ok(bytes.len())
+    }
+
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
+
 /// A number as `f64`, whatever its CBOR type.
 pub fn number(v: &Value) -> Option<f64> {
     match v {
--- a/crates/proto/src/intset.rs
+++ b/crates/proto/src/intset.rs
@@ -109,6 +109,30 @@
         Self { ranges }
     }
 
+    /// This set, or the part of it that lies in its `most` longest ranges.
+    pub fn longest_ranges(&self, most: usize) -> Self {
+        if self.ranges.len() <= most {
+            return self.clone();
+        }
+        let mut by_length: Vec<(u32, u32)> = self.ranges.clone();
+        by_length.sort_by_key(|&(first, last)| (std::cmp::Reverse(last - first), first));
+        by_length.truncate(most);
+        by_length.sort_unstable();
+        Self { ranges: by_length }
+    }
+
+    /// The numbers of this set within `[start, start + len)`.
+    pub fn within(&self, start: u32, len: u32) -> Self {
+        let end = start.saturating_add(len);
+        let ranges = self
+            .ranges
+            .iter()
+            .filter(|&&(first, last)| last >= start && first < end)
+            .map(|&(first, last)| (first.max(start), last.min(end - 1)))
+            .collect();
+        Self { ranges }
+    }
+
     /// All numbers in order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.ranges.iter().flat_map(|&(lo, hi)| lo..=hi)
@@ -130,12 +154,11 @@
 impl PackedSet {
     /// Packs the numbers of `set` within `[start, start + len)`.
     pub fn pack(set: &IntSet, start: u32, len: u32) -> Self {
-        let end = start.saturating_add(len);
         let inside: Vec<(u32, u32)> = set
+            .within(start, len)
             .ranges
             .iter()
-            .filter(|&&(lo, hi)| hi >= start && lo < end)
-            .map(|&(lo, hi)| (lo.max(start) - start, hi.min(end - 1) - start))
+            .map(|&(lo, hi)| (lo - start, hi - start))
             .collect();
         let words = len.div_ceil(32) as usize;
         if inside.len() * 2 <= words {
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -515,6 +515,7 @@
             store_rps: 200.0,
             store_write_rps: 60.0,
             store_txn_ops: 16,
+            store_value_bytes: 16 * 1024,
             cloud_rps: 5.0,
             list_lag_s: 2.0,
             direct_most: 40,
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -147,9 +147,9 @@
 pub const CELL_ANSWER_TIME: Duration = Duration::from_millis(3_500);
 /// Frames between cells, bytes.
 pub const CELL_FRAME: u32 = 16 * 1024;
-/// Least value limit of the state service that our records fit, KiB: two bit
-/// maps of a part's tasks, and the names of the machines a job may be on.
-pub const VALUE_KB_MIN: f64 = 8.0;
+/// Least value limit of the state service that our records fit, KiB: a submission with
+/// a few dozen DAG dependencies, and a few machines' records.
+pub const VALUE_KB_MIN: f64 = 2.0;
 
 /// How the memory, the sockets and the threads that the settings allow are
 /// shared out.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,6 +2,7 @@
 //! ignored; a missing or invalid one stops the start with one line.
 
 use crate::limits::VALUE_KB_MIN;
+use marblebarrow_core::consts::CHANGES_LEAST;
 use marblebarrow_core::facts::{DeadlineAim, Facts, Team, TimeAim, Tuning};
 use marblebarrow_proto::ids::NodeId;
 use serde::Deserialize;
@@ -89,6 +90,63 @@
     write_rps: f64,
     value_kb: f64,
     txn_ops: usize,
+    /// Limits that come into force later, without notice.
+    next: Option<RawNextState>,
+}
+
+/// Limits of the state service to come; what is absent stays as it is.
+#[derive(Debug, Default, Deserialize)]
+struct RawNextState {
+    rps: Option<f64>,
+    write_rps: Option<f64>,
+    value_kb: Option<f64>,
+    txn_ops: Option<usize>,
+}
+
+/// Limits of the state service that hold whenever the announced ones come into force: of
+/// each the smaller.
+#[derive(Debug)]
+struct StoreLimits {
+    rps: f64,
+    write_rps: f64,
+    value_bytes: usize,
+    txn_ops: usize,
+}
+
+impl RawState {
+    fn limits(&self) -> Result<StoreLimits, (String, String)> {
+        let next = RawNextState::default();
+        let next = self.next.as_ref().unwrap_or(&next);
+        let value_kb = smaller("value_kb", self.value_kb, next.value_kb)?;
+        if value_kb < VALUE_KB_MIN {
+            return Err(("facts.state.value_kb".into(), format!("is below {VALUE_KB_MIN}")));
+        }
+        let txn_ops = next.txn_ops.map_or(self.txn_ops, |ops| ops.min(self.txn_ops));
+        if txn_ops < CHANGES_LEAST {
+            return Err(("facts.state.txn_ops".into(), format!("is below {CHANGES_LEAST}")));
+        }
+        Ok(StoreLimits {
+            rps: smaller("rps", self.rps, next.rps)?,
+            write_rps: smaller("write_rps", self.write_rps, next.write_rps)?,
+            value_bytes: (value_kb * 1024.0) as usize,
+            txn_ops,
+        })
+    }
+}
+
+/// The smaller of a limit in force and an announced one, if there is any.
+fn smaller(field: &str, now: f64, next: Option<f64>) -> Result<f64, (String, String)> {
+    let now = positive(&format!("facts.state.{field}"), now)?;
+    let next = next.map(|next| positive(&format!("facts.state.next.{field}"), next)).transpose()?;
+    Ok(next.map_or(now, |next| now.min(next)))
+}
+
+fn positive(field: &str, n: f64) -> Result<f64, (String, String)> {
+    if n.is_finite() && n > 0.0 {
+        Ok(n)
+    } else {
+        Err((field.to_owned(), format!("{n} is not a positive number")))
+    }
 }
 
 #[derive(Debug, Deserialize)]
@@ -150,13 +208,6 @@
             .map_err(|e| ("(syntax)".to_owned(), one_line(e.message())))?;
         let raw: Raw = serde_path_to_error::deserialize(toml)
             .map_err(|e| (e.path().to_string(), one_line(e.inner().message())))?;
-        let positive = |field: &str, n: f64| {
-            if n.is_finite() && n > 0.0 {
-                Ok(n)
-            } else {
-                Err((field.to_owned(), format!("{n} is not a positive number")))
-            }
-        };
         if raw.node.is_empty() {
             return Err(("node".into(), "is empty".into()));
         }
@@ -171,13 +222,7 @@
                 }
             }
         }
-        if f.state.txn_ops == 0 {
-            return Err(("facts.state.txn_ops".into(), "is zero".into()));
-        }
-        // Progress records are split to stay below this; see `PART_TASKS`.
-        if positive("facts.state.value_kb", f.state.value_kb)? < VALUE_KB_MIN {
-            return Err(("facts.state.value_kb".into(), format!("is below {VALUE_KB_MIN}")));
-        }
+        let store = f.state.limits()?;
         if f.resources.fd_limit < 64 {
             return Err(("facts.resources.fd_limit".into(), "is below 64".into()));
         }
@@ -220,9 +265,10 @@
             report_s: positive("facts.workers.report_s", f.workers.report_s)?,
             lease_s: positive("facts.workers.lease_s", f.workers.lease_s)?,
             cancel_s: positive("facts.workers.cancel_s", f.workers.cancel_s)?,
-            store_rps: positive("facts.state.rps", f.state.rps)?,
-            store_write_rps: positive("facts.state.write_rps", f.state.write_rps)?,
-            store_txn_ops: f.state.txn_ops,
+            store_rps: store.rps,
+            store_write_rps: store.write_rps,
+            store_txn_ops: store.txn_ops,
+            store_value_bytes: store.value_bytes,
             cloud_rps: positive("facts.cloud.rps", f.cloud.rps)?,
             list_lag_s: positive("facts.cloud.list_lag_s", f.cloud.list_lag_s)?,
             log: true,
