--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -473,6 +473,13 @@
 pub const WARM_MIN: f64 = 1.0;
 /// A job's last task takes about this many times the mean, as tasks differ.
 pub const RUN_SPREAD: f64 = 2.0;
+/// Tasks that an objective wants started within so long are due to start after this share
+/// of it: a machine may fetch an image, and some boots take longer.
+pub const START_AIM_SHARE: f64 = 0.5;
+/// Between a job's last task and the next job's start: the heartbeat that tells of it, the
+/// write of its last word, placing and the command, seconds. Each stage of a pipeline
+/// takes so much besides its tasks.
+pub const STAGE_LAG_S: f64 = 2.0;
 /// Renting reckons with this many times the mean for a job's last task: more
 /// than the usual spread, as estimates are off by half and machines get lost,
 /// and a late job costs users more than a machine for a minute.
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -118,6 +118,11 @@
         self.waiting.contains_key(job)
     }
 
+    /// Jobs that wait, in order of their names.
+    pub fn waiting(&self) -> impl Iterator<Item = &JobId> {
+        self.waiting.keys()
+    }
+
     /// The dependencies a job still waits for.
     pub fn pending(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
         self.waiting.get(job).into_iter().flatten()
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -92,6 +92,8 @@
     pub deadlines: Vec<DeadlineAim>,
     /// Aims on being done, whatever the deadline.
     pub finishes: Vec<TimeAim>,
+    /// Aims on tasks having started, from when their job may run.
+    pub starts: Vec<TimeAim>,
     /// Worker report interval, seconds.
     pub report_s: f64,
     /// Worker lease, seconds.
@@ -131,8 +133,28 @@
         aims.map(|a| a.within_s).reduce(f64::min)
     }
 
-    /// Whether an aim says by when jobs of a class should be done.
+    /// Within how many seconds tasks of a class should start, if an aim says so and none
+    /// says by when its jobs should be done: that one then rules.
+    pub fn start_within(&self, class: &str) -> Option<f64> {
+        if self.aims_at_the_end(class) {
+            return None;
+        }
+        let aims = self.starts.iter().filter(|a| a.class == class);
+        aims.map(|a| a.within_s).reduce(f64::min)
+    }
+
+    /// The widest multiple of a class's deadlines that an aim names.
+    pub fn deadline_times(&self, class: &str) -> f64 {
+        let aims = self.deadlines.iter().filter(|a| a.class == class);
+        aims.map(|a| a.times).fold(1.0, f64::max)
+    }
+
+    /// Whether an aim says by when jobs of a class should be done, or their tasks start.
     pub fn aimed(&self, class: &str) -> bool {
+        self.aims_at_the_end(class) || self.start_within(class).is_some()
+    }
+
+    fn aims_at_the_end(&self, class: &str) -> bool {
         self.deadlines.iter().any(|a| a.class == class)
             || self.finishes.iter().any(|a| a.class == class)
     }
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -258,6 +258,7 @@
         job.cancelled = cancelled;
         job.aimed = self.facts.aimed(&job.spec().class);
         job.finish_s = self.facts.finish_s(&job.spec().class);
+        job.start_within = self.facts.start_within(&job.spec().class);
         self.cloud_requests.saw_job(now, job.spec());
         self.log.push(|| {
             format!(
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod fencing;
 pub mod fleet;
 mod gangs;
+pub mod inheritance;
 pub mod jobs;
 pub mod leader;
 pub mod log;
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -11,13 +11,25 @@
 use crate::consts::*;
 use crate::dependencies::{DependencyState, Outcome};
 use crate::event::{ActionSink, OpId, Secs, StoreRequest, StoreResult};
+use crate::jobs::Job;
 use crate::leader::Leader;
 use crate::replica::Replica;
 use marblebarrow_proto::cbor::{from_value, to_value};
 use marblebarrow_proto::ids::JobId;
+use marblebarrow_proto::job::Kind;
 use marblebarrow_proto::records::{EndRecord, cancel_key, end_key, spec_key};
 use marblebarrow_proto::wire::{Cond, Txn, Write};
-use std::collections::BTreeSet;
+
+/// A job that other jobs hold up, but not for long.
+#[derive(Debug)]
+pub(crate) struct NextStage<'a> {
+    /// The job.
+    pub job: &'a Job,
+    /// When the jobs that it needs will probably be done.
+    pub ready_at: Secs,
+    /// When it is due, on the leader's clock.
+    pub due: Secs,
+}
 
 impl Leader {
     /// A job that names dependencies joined the picture: it waits for those not yet
@@ -52,25 +64,57 @@
 
     /// Jobs that a job needs, directly or through others, are treated as having its
     /// priority if that is higher, and as due early enough that it can still be done by
-    /// its deadline: each level ahead of it takes off one run time, as the pilots
-    /// measured it (or the user's estimate before they ran).
+    /// its deadline: each stage on the way takes off one run time, as the pilots
+    /// measured it (or the user's estimate before they ran), and what lies between two
+    /// stages.
     fn inherit_urgency(&mut self, id: &JobId) {
-        let mut stack = vec![id.clone()];
-        let mut seen = BTreeSet::new();
-        while let Some(next) = stack.pop() {
+        let mut changed = vec![id.clone()];
+        while let Some(next) = changed.pop() {
             let Some(job) = self.jobs.get(&next) else { continue };
-            let priority = job.priority();
-            let due_ahead = job.deadline_at().map(|due| due - job.likely_run());
+            let stage = job.likely_run() + self.start_lag + STAGE_LAG_S;
+            let urgency = job.urgency(self.facts.deadline_times(&job.spec().class));
+            let passed_on = urgency.passed_on(stage);
             for dependency in job.spec().dependencies.clone() {
-                let Some(upstream) = self.jobs.get_mut(&dependency) else { continue };
-                upstream.inherit(priority, due_ahead);
-                if seen.insert(dependency.clone()) {
-                    stack.push(dependency);
+                let upstream = self.jobs.get_mut(&dependency);
+                if upstream.is_some_and(|upstream| upstream.inherit(passed_on)) {
+                    changed.push(dependency);
                 }
             }
         }
     }
 
+    /// Arrays that wait for other jobs and may probably run before `until`, as far as can
+    /// be told from the run times of these: machines for them are rented ahead, so that
+    /// they boot while the last job that is needed still runs.
+    pub(crate) fn next_stages(&self, now: Secs, until: Secs) -> Vec<NextStage<'_>> {
+        let waiting = self.dependencies.waiting().filter_map(|id| {
+            let job = self.jobs.get(id)?;
+            let counts = job.spec().kind == Kind::Array && !job.cancelled && !job.spare();
+            let ready_at = counts.then(|| self.ready_at(id, now)).flatten()?;
+            let due = match job.deadline_at() {
+                Some(_) => job.due(),
+                None => job.due() - job.arrived.max(job.ready_since) + ready_at,
+            };
+            Some(NextStage { job, ready_at, due })
+        });
+        waiting.filter(|stage| stage.ready_at <= until).collect()
+    }
+
+    /// When the jobs that a waiting job needs will probably be done; `None` if one of them
+    /// waits itself: that is at least a run away, and then too soon to tell.
+    fn ready_at(&self, id: &JobId, now: Secs) -> Option<Secs> {
+        let mut ready_at = now;
+        for dependency in self.dependencies.pending(id) {
+            // One that is not known here has ended, and its last word is being read.
+            let Some(job) = self.jobs.get(dependency) else { continue };
+            if job.waits_for_dependencies {
+                return None;
+            }
+            ready_at = ready_at.max(job.likely_end(now, self.start_lag) + STAGE_LAG_S);
+        }
+        Some(ready_at)
+    }
+
     /// A job's last word is durable: the jobs that wait for it may start, or, if it
     /// was cancelled, are cancelled too.
     pub(crate) fn dependency_finished(&mut self, now: Secs, id: &JobId, cancelled: bool) {
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -9,6 +9,7 @@
 use crate::consts::*;
 use crate::event::Secs;
 use crate::fleet::Machine;
+use crate::inheritance::DeadlineAhead;
 use crate::jobs::{Job, Live, Phase};
 use crate::leader::Leader;
 use marblebarrow_proto::ids::{Attempt, JobId, MachineId, TaskId};
@@ -428,8 +429,11 @@
     /// there is time (or none is set), 2 if it is missed whatever is done, so
     /// that it takes no other along.
     fn press(&self, job: &Job, now: Secs) -> u8 {
-        let Some(deadline) = job.deadline_s() else { return 1 };
         let run = job.likely_run();
+        if let Some(deadline) = job.inherited_deadline() {
+            return press_of_inherited(deadline, now + run);
+        }
+        let Some(deadline) = job.spec().deadline_s else { return 1 };
         let slack = |times: f64| job.arrived + deadline * times - now - run;
         let aims = self.facts.deadlines.iter().filter(|a| a.class == job.spec().class);
         let mut slacks: Vec<f64> = aims.map(|a| slack(a.times)).collect();
@@ -645,3 +649,14 @@
 pub(crate) fn fits(spec: &JobSpec, free: &[f64; 3]) -> bool {
     spec.cpus <= free[0] + 1e-9 && spec.gpus <= free[1] + 1e-9 && spec.memory_gb <= free[2] + 1e-9
 }
+
+/// How the deadline of the jobs after it presses a job that would be done by `done` if it
+/// started now; see [`Leader::press`]. Each stage to come needs some slack of its own.
+fn press_of_inherited(deadline: DeadlineAhead, done: Secs) -> u8 {
+    let slack = if done <= deadline.due { deadline.due - done } else { deadline.latest - done };
+    if slack < 0.0 {
+        // Past all that the jobs after it could still meet: no sooner than its turn.
+        return 1;
+    }
+    u8::from(slack >= URGENT_SLACK_S * f64::from(deadline.stages + 1))
+}
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -18,7 +18,8 @@
     /// team's arrays: they are stopped, and it starts once they are gone. (It
     /// once waited for them for a minute.)
     pub(crate) fn make_quota(&mut self, pass: &mut Pass, id: &JobId, tasks: u32) {
-        let Some(spec) = self.jobs.get(id).map(|j| j.spec().clone()) else { return };
+        let Some(job) = self.jobs.get(id) else { return };
+        let (spec, priority) = (job.spec().clone(), job.priority());
         let Some(team) = self.facts.teams.iter().find(|t| t.name == spec.team) else { return };
         let limits = [team.cpus_max, team.gpus_max];
         let fits = self.within_limit(pass, &spec);
@@ -42,8 +43,7 @@
                 if l.stop.is_some() {
                     over[0] -= s.cpus;
                     over[1] -= s.gpus;
-                } else if s.kind == Kind::Array && s.priority < spec.priority && stoppable(l, pass)
-                {
+                } else if s.kind == Kind::Array && j.priority() < priority && stoppable(l, pass) {
                     let lost = j.loses(l, pass.now);
                     let task = TaskId { job: job.clone(), index: *n };
                     victims.push((lost, task, [s.cpus, s.gpus]));
@@ -123,7 +123,7 @@
                     let l = j.live.get(&task.index)?;
                     let s = j.spec();
                     let below = match claim {
-                        Claim::Rank => s.priority < spec.priority,
+                        Claim::Rank => j.priority() < job.priority(),
                         // Not if more were lost than is won.
                         Claim::Spare => j.spare() && j.loses(l, pass.now) < job.likely_run(),
                         Claim::Guarantee => {
--- a/crates/core/src/provision.rs
+++ b/crates/core/src/provision.rs
@@ -5,6 +5,7 @@
 use crate::event::{ActionSink, CloudRequest, Secs};
 use crate::jobs::Job;
 use crate::leader::Leader;
+use crate::pipelines::NextStage;
 use crate::user_api::type_allows;
 use marblebarrow_proto::ids::{JobId, MachineId};
 use marblebarrow_proto::job::{JobSpec, Kind};
@@ -411,10 +412,9 @@
                 }
             }
             if waits(&job) {
-                waiting.push((job.due(), job, run, width));
+                waiting.push((job.due(), job, run, width, now));
             }
         }
-        waiting.sort_by(|a, b| a.0.total_cmp(&b.0));
         // The quickest boot that can be had: the quicker kind may be used up.
         let h = &self.cloud_requests;
         let had = |t: &&MachineType| {
@@ -426,18 +426,24 @@
         };
         let boot =
             h.types.iter().filter(had).map(|t| h.boot_anywhere(t)).fold(f64::INFINITY, f64::min);
+        for NextStage { job, ready_at, due } in self.next_stages(now, now + boot) {
+            let width = job.spec().cpus.ceil().max(1.0) as u32;
+            waiting.push((due, job, job.likely_run(), width, ready_at));
+        }
+        waiting.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut late = Vec::new();
         // Those beyond need no laying out: they wait longer than a boot anyway.
         let most = LAID_OUT_MIN.max((f64::from(cpus.all) * LAID_OUT_SHARE) as u32);
         let mut laid_out = 0;
         let mut laid_cpus = 0.0;
-        for (due, job, run, width) in waiting {
+        for (due, job, run, width, ready_at) in waiting {
             let spec = job.spec();
             let mut count = 0;
             let unhurried = job.unhurried(now);
             let need = Need::of(spec, &self.cloud_requests.types);
             let allowed = |place: &Place| need.allows(*place);
-            for _ in 0..job.waiting() {
+            let tasks = if ready_at > now { job.spec().tasks } else { job.waiting() };
+            for _ in 0..tasks {
                 if laid_out >= most || !book(spec) {
                     break;
                 }
@@ -447,8 +453,8 @@
                 let whole = taken.len() == width as usize;
                 let last = taken.iter().map(|(_, at)| *at).max();
                 let start = last.map_or(f64::INFINITY, |at| at as f64 / 1e3);
-                let start = if whole { start } else { f64::INFINITY };
-                if start + lag + run * RENT_SPREAD > due && start > now + boot {
+                let start = if whole { start.max(ready_at) } else { f64::INFINITY };
+                if start + lag + run * RENT_SPREAD > due && start > ready_at.max(now + boot) {
                     // A machine rented now would start it sooner.
                     count += 1;
                     taken.into_iter().for_each(|(place, at)| cpus.add(place, 1, at));
--- a/crates/core/src/tests/jobs.rs
+++ b/crates/core/src/tests/jobs.rs
@@ -172,3 +172,40 @@
     j.over(n, Outcome::Done, 61.0);
     assert!(!j.mistaken() && j.next_task(61.0).is_some());
 }
+
+fn deadline_ahead(due: Secs) -> Urgency {
+    let deadline = DeadlineAhead { due, latest: due, stages: 1 };
+    Urgency { priority: Priority::High, deadline: Some(deadline) }
+}
+
+#[test]
+fn times_without_a_deadline_count_from_when_the_last_needed_job_is_done() {
+    let mut waiting = job(10);
+    waiting.waits_for_dependencies = true;
+    waiting.start_within = Some(40.0);
+    assert_eq!(waiting.waiting(), 0, "it holds no part of a quota and rents nothing");
+    waiting.dependencies_done(100.0);
+    assert_eq!(waiting.waiting(), 10);
+    let start = 100.0 + 40.0 * START_AIM_SHARE;
+    assert_eq!(waiting.due(), start + 10.0 * RENT_SPREAD);
+}
+
+#[test]
+fn a_deadline_is_inherited_with_the_priority_and_stays_however_long_the_job_waits() {
+    let mut upstream = job(10);
+    assert!(upstream.inherit(deadline_ahead(60.0)));
+    assert!(!upstream.inherit(deadline_ahead(70.0)), "a later one changes nothing");
+    upstream.dependencies_done(30.0);
+    assert_eq!((upstream.due(), upstream.priority()), (60.0, Priority::High));
+    assert_eq!(upstream.spec().priority, Priority::Normal);
+}
+
+#[test]
+fn a_job_probably_ends_with_its_last_task() {
+    let mut running = job(2);
+    place(&mut running, 0, "a", 0.0);
+    place(&mut running, 1, "b", 5.0);
+    assert_eq!(running.likely_end(6.0, 1.0), 15.0);
+    assert_eq!(running.likely_end(14.0, 1.0), 14.0 + 10.0 * OVERDUE_SHARE);
+    assert_eq!(job(2).likely_end(6.0, 1.0), 17.0, "what waits has its run before it");
+}
--- a/crates/core/src/tests/provision.rs
+++ b/crates/core/src/tests/provision.rs
@@ -21,6 +21,7 @@
         teams: Vec::new(),
         deadlines: Vec::new(),
         finishes: Vec::new(),
+        starts: Vec::new(),
         report_s: 6.0,
         lease_s: 31.0,
         cancel_s: 56.0,
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -27,6 +27,7 @@
         teams: Vec::new(),
         deadlines: Vec::new(),
         finishes: Vec::new(),
+        starts: Vec::new(),
         report_s: 1.0,
         lease_s,
         cancel_s,
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -68,6 +68,7 @@
         teams: vec![Team { name: "t".into(), cpus: 8.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }],
         deadlines: Vec::new(),
         finishes: Vec::new(),
+        starts: Vec::new(),
         report_s: REPORT_S,
         lease_s: LEASE_S,
         cancel_s: CANCEL_S,
--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -37,6 +37,7 @@
         teams: vec![team],
         deadlines: Vec::new(),
         finishes: Vec::new(),
+        starts: Vec::new(),
         report_s: 1.0,
         lease_s: 8.0,
         cancel_s: 20.0,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -134,6 +134,16 @@
     }
 }
 
+/// Aims of a kind that name a class and a time.
+fn time_aims(objectives: &[RawAim], kind: &str) -> Vec<TimeAim> {
+    let aims = objectives.iter().filter(|o| o.kind == kind);
+    aims.filter_map(|o| {
+        let within_s = o.within_s.filter(|w| w.is_finite() && *w > 0.0)?;
+        Some(TimeAim { class: o.class.clone()?, within_s })
+    })
+    .collect()
+}
+
 /// The smaller of a limit in force and an announced one, if there is any.
 fn smaller(field: &str, now: f64, next: Option<f64>) -> Result<f64, (String, String)> {
     let now = positive(&format!("facts.state.{field}"), now)?;
@@ -237,15 +247,8 @@
             })
             .collect();
         // Aims of other kinds are the users' to judge.
-        let finishes = f
-            .objectives
-            .iter()
-            .filter(|o| o.kind == "finished")
-            .filter_map(|o| {
-                let within_s = o.within_s.filter(|w| w.is_finite() && *w > 0.0)?;
-                Some(TimeAim { class: o.class.clone()?, within_s })
-            })
-            .collect();
+        let finishes = time_aims(&f.objectives, "finished");
+        let starts = time_aims(&f.objectives, "wait");
         let facts = Facts {
             node: NodeId::new(&raw.node),
             others: raw.others.iter().map(|o| NodeId::new(&o.node)).collect(),
@@ -262,6 +265,7 @@
                 .collect(),
             deadlines,
             finishes,
+            starts,
             report_s: positive("facts.workers.report_s", f.workers.report_s)?,
             lease_s: positive("facts.workers.lease_s", f.workers.lease_s)?,
             cancel_s: positive("facts.workers.cancel_s", f.workers.cancel_s)?,
@@ -291,3 +295,7 @@
         })
     }
 }
+
+#[cfg(test)]
+#[path = "tests/settings.rs"]
+mod tests;
