--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -347,6 +347,10 @@
             StoreResult::Value(Some(item)) => match from_value::<EndRecord>(&item.value) {
                 Ok(end) => {
                     check.cancelled_dependency |= end.cancelled;
+                    if end.cancelled {
+                        // Users may be told from memory from now on.
+                        self.confirmed.push((dependency.clone(), item.version));
+                    }
                     self.remember(&dependency, end);
                 }
                 Err(_) => {
--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -324,3 +324,41 @@
     assert_eq!(again, told(200, 2, Stage::Cancelled, vec![]));
     assert_eq!(store.len(), 2, "the gated one wrote nothing");
 }
+
+/// A cancellation that a controller knows from a dependency's last word alone is told to
+/// users from memory later: the leader must hear of it with the next pledge all the same.
+#[test]
+fn a_cancelled_dependency_that_was_read_counts_as_confirmed() {
+    let (mut api, mut replica) = (UserApi::default(), Replica::default());
+    replica.synced = true;
+    let cancelled = to_value(&EndRecord { cancelled: true, tasks: 1 });
+    let mut store = Store::from([item(end_key(&id(1)), cancelled)]);
+    ask(&mut api, &replica, &mut store, submit(2, &[1]));
+    let polled = ask(&mut api, &replica, &mut store, UserRequest::Poll(id(1)));
+    assert_eq!(polled, told(200, 1, Stage::Cancelled, vec![]));
+    let confirmed: Vec<JobId> = api.take_confirmed().into_iter().map(|(job, _)| job).collect();
+    assert_eq!(confirmed, [id(1), id(2)]);
+}
+
+/// What can never be accepted, and what a retry is told whose first answer was lost.
+#[test]
+fn a_job_naming_itself_is_refused_and_a_retry_is_told_what_was_accepted() {
+    let (mut api, mut replica) = (UserApi::default(), Replica::default());
+    replica.synced = true;
+    let mut store = Store::new();
+    let itself = ask(&mut api, &replica, &mut store, submit(1, &[1]));
+    assert_eq!(itself, Answer::UnknownDependencies(vec![id(1)]));
+    assert!(store.is_empty());
+    // The first is accepted by one controller, as its dependency is unfinished; the other,
+    // asked again, reads that the dependency was cancelled meanwhile.
+    let record = to_value(&SpecRecord::submitted(job(3), 0));
+    store.extend([item(spec_key(&id(3)), record)]);
+    let first = ask(&mut api, &replica, &mut store, submit(4, &[3]));
+    assert_eq!(first, told(201, 4, Stage::Queued, vec![]));
+    let cancelled = to_value(&EndRecord { cancelled: true, tasks: 1 });
+    store.extend([item(end_key(&id(3)), cancelled)]);
+    store.remove(&spec_key(&id(3)));
+    let again = ask(&mut UserApi::default(), &replica, &mut store, submit(4, &[3]));
+    assert_eq!(again, told(200, 4, Stage::Queued, vec![]), "the leader's cascade ends it");
+    assert!(!store.contains_key(&end_key(&id(4))));
+}
