--- a/crates/core/src/cells/home.rs
+++ b/crates/core/src/cells/home.rs
@@ -92,6 +92,8 @@
             && !job.away
             && !job.cancelled
             && !job.closing
+            // Another cell knows nothing of the jobs that it names, and would not wait.
+            && job.spec().dependencies.is_empty()
             && job.record.origin.is_none()
             && job.record.refusals < REFUSALS_MAX
             && now - job.arrived > cells.settings.patience_s
--- a/crates/rehearsal/tests/cells.rs
+++ b/crates/rehearsal/tests/cells.rs
@@ -231,3 +231,23 @@
         prop_assert_eq!(&fleet.broken, &Vec::<String>::new());
     }
 }
+
+/// A job that names others stays where they are: another cell knows nothing of them, and
+/// would start it before they are done, or wait for good.
+#[test]
+fn jobs_that_name_others_never_move() {
+    let mut moved = 0;
+    for seed in 0..4 {
+        let plan = Plan { patience_s: 1.0, ..Plan::one_full(seed) };
+        let mut fleet = FleetOfCells::new(&plan);
+        fleet.cells[0].pipeline = Some(3);
+        fleet.run(FleetOfCells::steps_of(&plan));
+        assert_eq!(fleet.broken, Vec::<String>::new(), "seed {seed}");
+        let guests = &fleet.cells[1].guest_specs;
+        for job in &fleet.cells[0].elsewhere {
+            assert_eq!(guests[job].dependencies, [], "seed {seed}: {job} moved");
+            moved += 1;
+        }
+    }
+    assert!(moved > 0, "nothing moved at all");
+}
