--- a/crates/core/tests/cluster/pipelines.rs
+++ b/crates/core/tests/cluster/pipelines.rs
@@ -4,6 +4,7 @@
 //! write of `done`, late copies of heartbeats and restarts within a second.
 
 use super::*;
+use marblebarrow_proto::wire::Stage;
 
 /// Plays a day with pipelines of three jobs under the troubles, over several seeds; every
 /// fourth job is called off a second after it was accepted.
@@ -62,3 +63,24 @@
         assert!(late < 10, "seed {seed}: {late} transactions refused in the last 50 s");
     }
 }
+
+/// A job accepted as queued though one it names was cancelled just before, and is over: the
+/// leader finds that in the store and cancels it, and so does the next leader if this one
+/// ends first.
+#[test]
+fn a_job_accepted_as_its_dependency_was_cancelled_is_cancelled_too() {
+    let leader_ends = |at| (at, at_leader(Trouble::Crash(0, 40)));
+    for troubles in [vec![], vec![leader_ends(151)], vec![leader_ends(153)]] {
+        for seed in 0..4u64 {
+            let mut world = World::new(seed, troubles.clone());
+            (world.width, world.pace, world.no_services) = (3, (25, 300), true);
+            world.play(150);
+            let job = world.accept_after_cancellation();
+            world.run(600);
+            assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {troubles:?}");
+            let told = world.told(&job);
+            assert!(matches!(told, Some((Stage::Cancelled, _))), "seed {seed}: {told:?}");
+            assert!(!world.begun.contains_key(&job), "seed {seed}: it started");
+        }
+    }
+}
--- /dev/null
+++ b/crates/rehearsal/src/world/late_acceptance.rs
@@ -0,0 +1,42 @@
+//! A submission whose dependency was cancelled between the check that it was accepted and the
+//! write that accepts the submission: no controller saw both.
+
+use super::*;
+use marblebarrow_proto::records::{EndRecord, SpecRecord, end_key, spec_key};
+
+/// Number of the job that was cancelled, far beyond those of the users' jobs.
+const CANCELLED_NUMBER: u32 = 90_001;
+/// Number of the job that names it.
+const DEPENDENT_NUMBER: u32 = 90_002;
+
+impl World {
+    /// Puts into the store what such a race leaves: a job cancelled and over, of which there
+    /// is a last word alone, and one accepted as queued that names it. Returns the latter.
+    pub fn accept_after_cancellation(&mut self) -> JobId {
+        let id = |number: u32| JobId::new(&format!("req-{:06}", self.first_number + number));
+        let (cancelled, dependent) = (id(CANCELLED_NUMBER), id(DEPENDENT_NUMBER));
+        let mut spec = self.spec(DEPENDENT_NUMBER);
+        (spec.id, spec.kind) = (dependent.clone(), Kind::Array);
+        spec.dependencies = vec![cancelled.clone()];
+        let end = EndRecord { cancelled: true, tasks: 1 };
+        let record = SpecRecord::submitted(spec.clone(), 1_000_000);
+        let put = |key, value| Write::Put { key, value, grant: None };
+        let writes = vec![
+            put(end_key(&cancelled), cbor::to_value(&end)),
+            put(spec_key(&dependent), cbor::to_value(&record)),
+        ];
+        self.store(&StoreRequest::Commit(Txn { conds: Vec::new(), writes }));
+        self.told.insert(cancelled.clone(), (Stage::Cancelled, self.step));
+        self.cancels.insert(cancelled, self.step);
+        self.accepted.insert(dependent.clone());
+        self.accepted_at.insert(dependent.clone(), self.step);
+        self.heard_of.insert(dependent.clone(), self.step);
+        self.specs.insert(dependent.clone(), spec);
+        dependent
+    }
+
+    /// What a job's user was last told, if anything, and since when.
+    pub fn told(&self, id: &JobId) -> Option<(Stage, u32)> {
+        self.told.get(id).cloned()
+    }
+}
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -6,6 +6,7 @@
 mod cloud;
 mod controllers;
 mod direct;
+mod late_acceptance;
 mod store;
 mod troubles;
 mod upgrade;
