--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -243,6 +243,16 @@
 
 /// What a user is told by one controller's user API, with the store played.
 fn ask(api: &mut UserApi, replica: &Replica, store: &mut Store, request: UserRequest) -> Answer {
+    ask_with(api, replica, request, |asked| play(store, asked))
+}
+
+/// What a user is told when the store answers so.
+fn ask_with(
+    api: &mut UserApi,
+    replica: &Replica,
+    request: UserRequest,
+    mut store: impl FnMut(StoreRequest) -> StoreResult,
+) -> Answer {
     let (facts, types) = (Facts { store_txn_ops: 1, ..facts() }, [machine_type()]);
     let context = RequestContext {
         now: 0.0,
@@ -258,7 +268,7 @@
     loop {
         match out.actions.pop().expect("somebody is told") {
             Action::Reply(_, answer) => return answer,
-            Action::Store(op, request) => api.store(&context, op, &play(store, request), &mut out),
+            Action::Store(op, request) => api.store(&context, op, &store(request), &mut out),
             other => panic!("{other:?}"),
         };
     }
@@ -362,3 +372,23 @@
     assert_eq!(again, told(200, 4, Stage::Queued, vec![]), "the leader's cascade ends it");
     assert!(!store.contains_key(&end_key(&id(4))));
 }
+
+/// While the last word of a dependency that ended long ago can't be read, or the check isn't
+/// answered, users are told to come back, and no place of a submission under way is lost.
+#[test]
+fn a_submission_waits_out_a_store_that_does_not_tell_how_a_dependency_ended() {
+    let (mut api, mut replica) = (UserApi::default(), Replica::default());
+    replica.synced = true;
+    let done = to_value(&EndRecord { cancelled: false, tasks: 1 });
+    let mut store = Store::from([item(end_key(&id(1)), done)]);
+    for attempt in 0..=2 * USER_WRITES_MAX {
+        let told = ask_with(&mut api, &replica, submit(2, &[1]), |asked| match asked {
+            StoreRequest::Get(_) => StoreResult::Refused,
+            StoreRequest::Commit(_) if attempt % 2 == 0 => StoreResult::Unknown,
+            asked => play(&mut store, asked),
+        });
+        assert_eq!(told, Answer::Unavailable(RETRY_STORE_S), "attempt {attempt}");
+    }
+    let accepted = ask(&mut api, &replica, &mut store, submit(2, &[1]));
+    assert_eq!(accepted, told(201, 2, Stage::Queued, vec![]));
+}
