--- a/crates/core/tests/cluster/upgrade.rs
+++ b/crates/core/tests/cluster/upgrade.rs
@@ -106,3 +106,45 @@
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
     }
 }
+
+/// The record comes and stays though answers to its write are lost and old tries take effect
+/// late, and a leader that ends is followed by one that writes it.
+#[test]
+fn the_record_is_written_through_lost_answers_late_writes_and_a_failover() {
+    for seed in 0..6 {
+        let troubles = vec![
+            (295, Trouble::AnswersLost(200)),
+            (295, Trouble::LateWrites(200)),
+            (330, at_leader(Trouble::Crash(0, 20))),
+        ];
+        let mut world = day_of_upgrade(seed, troubles);
+        world.play(100);
+        upgrade(&mut world);
+        let mut recorded = None;
+        while world.elapsed() < 2_400 && world.broken.is_empty() {
+            world.advance(2_400);
+            let now = world.format_in_store();
+            assert!(now >= recorded, "seed {seed}: {now:?} after {recorded:?}");
+            recorded = now;
+        }
+        assert_eq!(recorded, Some(DEPENDENCIES_FORMAT), "seed {seed}");
+        world.check_over();
+        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        let late = world.met.conflicts.iter().filter(|at| **at > 1_500).count();
+        assert!(late < 10, "seed {seed}: {late} transactions refused after the troubles");
+    }
+}
+
+/// A record higher than what all were heard to run, as a later version left it, is kept.
+#[test]
+fn the_record_never_falls() {
+    let mut world = day_of_upgrade(1, Vec::new());
+    world.record_format(DEPENDENCIES_FORMAT + 1);
+    for n in 0..CONTROLLERS {
+        world.restart(n, DEPENDENCIES_FORMAT, n as u32);
+    }
+    world.play(300);
+    assert_eq!(world.format_in_store(), Some(DEPENDENCIES_FORMAT + 1));
+    assert!((0..CONTROLLERS).all(|n| world.dependencies_allowed(n) == Some(true)));
+    assert_eq!(world.broken, Vec::<String>::new());
+}
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -574,7 +574,7 @@
     pub fn advance(&mut self, steps: u32) {
         self.step += 1;
         if self.step == 1 && !self.upgrading {
-            self.record_upgrade();
+            self.record_format(FORMAT);
         }
         self.trouble();
         self.users(steps);
--- a/crates/rehearsal/src/world/upgrade.rs
+++ b/crates/rehearsal/src/world/upgrade.rs
@@ -53,8 +53,8 @@
 
     /// The record of an upgrade that was complete before the day began. It takes no revision
     /// of its own: nobody has read the store yet.
-    pub(super) fn record_upgrade(&mut self) {
-        let value = cbor::to_value(&FormatRecord { format: FORMAT });
+    pub fn record_format(&mut self, format: u32) {
+        let value = cbor::to_value(&FormatRecord { format });
         self.kv.insert(COMMON_FORMAT.into(), (value, self.revision, None));
     }
 
