--- a/crates/core/src/writer/answers.rs
+++ b/crates/core/src/writer/answers.rs
@@ -69,6 +69,7 @@
                         Entry::Close { job, .. } => spec_key(job),
                         Entry::Garbage(key, _) => key.clone(),
                         Entry::Types => TYPES.into(),
+                        Entry::Format(_) => COMMON_FORMAT.into(),
                     };
                     self.writer.resync.push_back((key, entry));
                 }
@@ -122,7 +123,7 @@
                 }
             }
             Entry::Close { job, cancelled, tasks } => self.closed(now, &job, cancelled, tasks),
-            Entry::Garbage(..) | Entry::Types => {}
+            Entry::Garbage(..) | Entry::Types | Entry::Format(_) => {}
         }
     }
 
@@ -201,6 +202,14 @@
                 }
             }
             Entry::Types => {}
+            Entry::Format(format) => {
+                let lower = |record: &FormatRecord| record.format < format;
+                let stored = value.as_ref().map(from_value::<FormatRecord>);
+                // One that can't be read is left as it is.
+                if stored.is_none_or(|read| read.as_ref().is_ok_and(lower)) {
+                    self.entry_again(now, entry);
+                }
+            }
         }
     }
 
@@ -222,6 +231,7 @@
             }
             Entry::Garbage(key, version) => self.writer.discard(key, version),
             Entry::Types => self.writer.types_key.clear(),
+            Entry::Format(_) => self.writer.format_sent = 0,
         }
     }
 }
--- a/crates/core/src/writer/batch.rs
+++ b/crates/core/src/writer/batch.rs
@@ -86,6 +86,7 @@
             // all ends for minutes.
             return b;
         }
+        self.format_entry(replica, &mut b);
         if !self.batch_blocks(now, Urgency::Starts, &mut b) && b.txn.writes.is_empty() {
             // Saves up likewise, for a block that splits.
             return b;
@@ -277,6 +278,20 @@
         b.put(TYPES.into(), replica.types_version, types);
         b.entries.push(Entry::Types);
     }
+
+    /// The common format, once it is higher than the record shows: one write in an upgrade,
+    /// for which pipelines wait.
+    fn format_entry(&mut self, replica: &Replica, b: &mut Batch) {
+        let format = self.common_format;
+        let known = replica.format_in_store().max(self.writer.format_sent).max(PRODUCTION_FORMAT);
+        if b.full() || format <= known {
+            return;
+        }
+        self.writer.format_sent = format;
+        let version = replica.common_format.as_ref().map_or(0, |(_, version)| *version);
+        b.put(COMMON_FORMAT.into(), version, to_value(&FormatRecord { format }));
+        b.entries.push(Entry::Format(format));
+    }
 }
 
 /// A part's record, and the sets that it holds.
--- a/crates/core/src/writer/mod.rs
+++ b/crates/core/src/writer/mod.rs
@@ -34,6 +34,8 @@
     /// A record of no more use, and its version.
     Garbage(String, u64),
     Types,
+    /// The format that every controller runs at least.
+    Format(u32),
 }
 
 /// Why a record is out of date: how soon it is written again follows from it.
@@ -95,6 +97,8 @@
     refilled: Secs,
     next: Secs,
     types_key: String,
+    /// The common format last sent to the store.
+    format_sent: u32,
     /// What the state service takes, as far as it is known.
     limits: ShapeLimits,
 }
@@ -125,6 +129,7 @@
             refilled: now,
             next: now,
             types_key: String::new(),
+            format_sent: 0,
             limits: ShapeLimits::new(facts),
         }
     }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -6,8 +6,10 @@
 mod cloud;
 mod controllers;
 mod direct;
+mod late_acceptance;
 mod store;
 mod troubles;
+mod upgrade;
 mod users;
 mod workers;
 
@@ -16,6 +18,7 @@
 
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest};
 use marblebarrow_cells::settings::CellsSettings;
+use marblebarrow_core::consts::FORMAT;
 use marblebarrow_core::event::*;
 use marblebarrow_core::facts::{Facts, Team, Tuning};
 use marblebarrow_core::log::{Level, LogLine};
@@ -53,6 +56,8 @@
     cut_until: u32,
     alone_until: u32,
     frozen_until: u32,
+    /// The format that its processes announce.
+    format: u32,
 }
 
 #[derive(Clone)]
@@ -191,6 +196,8 @@
     pub held_orders: u32,
     /// Answers to reports that a machine out of reach never got.
     pub unheard: u32,
+    /// When transactions with changes were refused as a condition failed, steps.
+    pub conflicts: Vec<u32>,
     /// Transactions carried out whose answer was lost.
     pub answers_lost: u32,
     /// Old reports that reached a controller as another began to lead.
@@ -375,6 +382,9 @@
     /// Arrays form pipelines of this many jobs: each names the ones before it in its
     /// pipeline as DAG dependencies, and is submitted once they are accepted.
     pub pipeline: Option<u32>,
+    /// Controllers learn what the others run from their heartbeats, and the store holds no
+    /// record of it yet. Otherwise the upgrade was complete before the day began.
+    upgrading: bool,
 }
 impl World {
     /// A cell that has just begun, with what will go wrong and when, in steps.
@@ -394,6 +404,7 @@
             cut_until: 0,
             alone_until: 0,
             frozen_until: 0,
+            format: FORMAT,
         };
         Self {
             rng: StdRng::seed_from_u64(seed),
@@ -459,6 +470,7 @@
             accepted_at: BTreeMap::new(),
             wide: None,
             pipeline: None,
+            upgrading: false,
             lapses: 0,
             mistaken: None,
             gaps: false,
@@ -563,6 +575,9 @@
     /// One step of a run of so many.
     pub fn advance(&mut self, steps: u32) {
         self.step += 1;
+        if self.step == 1 && !self.upgrading {
+            self.record_format(FORMAT);
+        }
         self.trouble();
         self.users(steps);
         self.expire();
