--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -481,6 +481,29 @@
 /// Seconds before a dependency's last word is read again when a read found none or
 /// failed.
 pub const DEPENDENCY_READ_RETRY_S: f64 = 2.0;
+/// Conditions that a check behind a poll takes at most: the job's last word and its spec.
+pub const CONDS_PER_POLL: usize = 2;
+/// How long a poll waits for a copy that lacks the latest cascade, seconds: users wait 2 s
+/// for an answer (protocol page), and a watch brings a change within tenths of one.
+pub const CASCADE_WAIT_S: f64 = 1.0;
+/// Pause before a check is tried again with such a copy, seconds: ten requests a second.
+pub const CASCADE_LOOK_S: f64 = 0.1;
+/// Jobs queued for cancellation from which on they are recorded in lists, instead of one by
+/// one: below, writing each takes at most 16 changes, a second of the smallest store's rate,
+/// while lists cost three changes more in all (the generation, a list and its removal). The
+/// operators' pipelines have 4 to 6 jobs.
+pub const CASCADE_LISTED_LEAST: usize = 9;
+/// Bytes of a cascade list's value as JSON, at most: the smallest value limit that was
+/// announced is 2 KiB.
+pub const CASCADE_LIST_BYTES: usize = 1_800;
+/// Most cascade lists in one transaction: with the generation, five changes, the smallest
+/// limit of a transaction that was announced; they hold some 500 jobs.
+pub const CASCADE_LISTS_PER_TXN: usize = 4;
+/// Most last words of listed jobs under way at once; each is one transaction.
+pub const CASCADE_ENDS_MAX: usize = 2;
+/// Share of the store's change rate that the last words of listed jobs may take: users have
+/// their answers already, and starts and submissions need the rest.
+pub const CASCADE_ENDS_SHARE: f64 = 0.25;
 /// Most cascade cancellations under way at once; each is one transaction.
 pub const CASCADE_WRITES_MAX: usize = 4;
 /// Changes one cascade cancellation costs the store: the last word and the spec.
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -68,6 +68,9 @@
     reads: HashMap<OpId, JobId>,
     /// Jobs to cancel because a job they need, directly or through others, was.
     to_cancel: BTreeSet<JobId>,
+    /// Jobs whose cancellation by a cascade is durable in a list, and which have no last
+    /// word of their own yet.
+    listed: BTreeSet<JobId>,
     /// Cancellations under way.
     cancels: HashMap<OpId, JobId>,
 }
@@ -86,6 +89,13 @@
         for dependency in dependencies {
             let known = self.outcomes.get(dependency).copied();
             match (known, state(dependency)) {
+                // Cancelled by a cascade, as this leader knows before the store does.
+                (_, _)
+                    if self.to_cancel.contains(dependency) || self.listed.contains(dependency) =>
+                {
+                    pending.insert(dependency.clone());
+                    self.cascade_from(job);
+                }
                 // It waits for good: a cancelled job is never done, and the cascade
                 // cancels this one. (It once started before its cancellation was
                 // written, as nothing held it.)
@@ -147,6 +157,7 @@
     /// A job left the leader's picture (closed): it waits for nothing any more.
     pub fn forget(&mut self, job: &JobId) {
         self.to_cancel.remove(job);
+        self.listed.remove(job);
         let Some(pending) = self.waiting.remove(job) else { return };
         for dependency in pending {
             if let Some(set) = self.dependents.get_mut(&dependency) {
@@ -160,10 +171,16 @@
 
     /// `job` and every job that needs it, directly or through others, are to be cancelled.
     fn cascade_from(&mut self, job: &JobId) {
-        self.to_cancel.insert(job.clone());
+        self.queue_cancel(job);
         self.cascade_below(job);
     }
 
+    fn queue_cancel(&mut self, job: &JobId) {
+        if !self.listed.contains(job) {
+            self.to_cancel.insert(job.clone());
+        }
+    }
+
     /// Every job that needs `job`, directly or through others, is to be cancelled.
     fn cascade_below(&mut self, job: &JobId) {
         let mut stack = vec![job.clone()];
@@ -171,11 +188,47 @@
         while let Some(next) = stack.pop() {
             for dependent in self.dependents.get(&next).into_iter().flatten() {
                 if seen.insert(dependent.clone()) {
-                    self.to_cancel.insert(dependent.clone());
                     stack.push(dependent.clone());
                 }
             }
         }
+        for job in &seen {
+            self.queue_cancel(job);
+        }
+    }
+
+    /// The cancellations of these jobs are durable in a list; last words follow.
+    pub fn recorded(&mut self, jobs: &[JobId]) {
+        for job in jobs {
+            if self.to_cancel.remove(job) {
+                self.listed.insert(job.clone());
+            }
+        }
+    }
+
+    /// A job joins the picture that is in a list, an earlier leader's perhaps.
+    pub fn found_listed(&mut self, job: &JobId) {
+        self.to_cancel.remove(job);
+        self.listed.insert(job.clone());
+        self.cascade_below(job);
+    }
+
+    /// Jobs queued for cancellation that is not durable yet.
+    pub fn queued_cancels(&self) -> &BTreeSet<JobId> {
+        &self.to_cancel
+    }
+
+    /// How many listed jobs have no last word of their own yet.
+    pub fn listed_count(&self) -> usize {
+        self.listed.len()
+    }
+
+    /// A listed job whose last word is due and not under way, if fewer than `most` are.
+    pub fn end_due(&self, most: usize) -> Option<JobId> {
+        if self.cancels.len() >= most {
+            return None;
+        }
+        self.listed.iter().find(|job| !self.cancels.values().any(|c| c == *job)).cloned()
     }
 
     fn remember(&mut self, job: &JobId, outcome: Outcome) {
@@ -261,7 +314,7 @@
     pub fn cancel_answered(&mut self, op: OpId, done: bool) -> Option<JobId> {
         let job = self.cancels.remove(&op)?;
         if done {
-            self.to_cancel.remove(&job);
+            self.cancel_dropped(&job);
         }
         Some(job)
     }
@@ -270,6 +323,7 @@
     /// cancelled it).
     pub fn cancel_dropped(&mut self, job: &JobId) {
         self.to_cancel.remove(job);
+        self.listed.remove(job);
     }
 
     /// How many jobs are queued for cancellation by cascade.
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -3,6 +3,7 @@
 //! `gangs` and `preempt` (who runs where), `writer` (records), `cloud_requests`, `provision`
 //! and `deprovision` (machines).
 
+use crate::cascade::CascadeLists;
 use crate::cells::Cells;
 use crate::cloud_requests::CloudRequests;
 use crate::consts::*;
@@ -64,6 +65,10 @@
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// DAG dependencies among them, and the cascade of cancellations.
     pub(crate) dependencies: DependencyGraph,
+    /// The lists in which large cascades become durable.
+    pub(crate) cascade_lists: CascadeLists,
+    /// Whether every controller is known to read such lists.
+    pub cascade_lists_allowed: bool,
     pub(crate) machines: Machines,
     pub(crate) released_machines: BTreeMap<MachineId, Secs>,
     pub(crate) directs: HashMap<OpId, DirectSent>,
@@ -129,6 +134,8 @@
             loading: None,
             jobs: BTreeMap::new(),
             dependencies: DependencyGraph::default(),
+            cascade_lists: CascadeLists::new(term.0, version, now),
+            cascade_lists_allowed: false,
             machines: Machines::new(),
             released_machines: BTreeMap::new(),
             directs: HashMap::new(),
@@ -193,7 +200,7 @@
             self.place(now, None);
         }
         self.flush(now, replica, out);
-        self.dependencies_tick(now, out);
+        self.dependencies_tick(now, replica, out);
         self.cloud_tick(now, replica, out);
         self.cells_tick(now, wall_ms, replica, out);
         self.push_direct(now, out);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,13 @@
 //! The scheduler without input or output: events and time in, actions out.
 
 mod attempts;
+pub mod cascade;
+pub mod cascaded_jobs;
 mod cells;
 mod cloud_requests;
 pub mod consts;
 pub mod dependencies;
+mod dependency_check;
 mod deprovision;
 mod direct_results;
 pub mod election;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -244,9 +244,11 @@
         if self.out_of_date(now) {
             self.resign(now, LossReason::OutOfDate);
         }
+        let cascade_lists_allowed = self.dependencies_allowed(now);
         if self.may_act(now)
             && let Some(l) = &mut self.leader
         {
+            l.cascade_lists_allowed = cascade_lists_allowed;
             l.tick(now, wall_ms, &self.replica, &mut self.out);
             for (id, end) in l.take_terminal_states() {
                 self.user_api.remember(&id, end);
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -7,7 +7,11 @@
 //! `cancelled` and removes its spec in one compare-and-swap transaction: a job that waits
 //! has never started a task (every job it needs would have had to be done), so no
 //! cancel mark is needed to stop tasks, and two changes per job are all the store pays.
+//!
+//! A large cascade is first made durable in lists ([`crate::cascade`]), from which every
+//! controller answers; the last words follow at a rate that leaves the store to others.
 
+use crate::cascade::CascadeOutcome;
 use crate::consts::*;
 use crate::dependencies::{DependencyState, Outcome};
 use crate::event::{ActionSink, OpId, Secs, StoreRequest, StoreResult};
@@ -30,13 +34,18 @@
         }
         let jobs = &self.jobs;
         let state = |dependency: &JobId| match jobs.get(dependency) {
+            _ if replica.cascaded.contains(dependency) => DependencyState::Cancelled,
             Some(known) if known.cancelled => DependencyState::Cancelled,
             Some(_) => DependencyState::Unfinished,
             None if replica.is_cancelled(dependency) => DependencyState::Cancelled,
             None if replica.specs.contains_key(dependency) => DependencyState::Unfinished,
             None => DependencyState::Unknown,
         };
-        let waits = self.dependencies.add(id, &dependencies, now, state);
+        let mut waits = self.dependencies.add(id, &dependencies, now, state);
+        if replica.cascaded.contains(id) {
+            self.dependencies.found_listed(id);
+            waits = true;
+        }
         if let Some(job) = self.jobs.get_mut(id) {
             job.waits_for_dependencies = waits;
         }
@@ -112,21 +121,83 @@
 
     /// Reads the last words of dependencies that ended before this leader knew them,
     /// and writes cascade cancellations.
-    pub(crate) fn dependencies_tick(&mut self, now: Secs, out: &mut ActionSink) {
+    pub(crate) fn dependencies_tick(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         for id in self.dependencies.reads_due(now, DEPENDENCY_READS_MAX) {
             let op = out.store(StoreRequest::Get(end_key(&id)));
             self.dependencies.read_sent(op, id);
         }
-        for id in self.dependencies.cancels_due(CASCADE_WRITES_MAX) {
-            match self.cascade_transaction(&id) {
-                Some(txn) => {
-                    let op = out.store(StoreRequest::Commit(txn));
-                    self.writer.saw_user_changes(CASCADE_CHANGES);
-                    self.dependencies.cancel_sent(op, id);
-                }
-                None => self.dependencies.cancel_dropped(&id),
+        if self.lists_cascade(replica) {
+            self.write_lists(now, replica, out);
+        } else {
+            for id in self.dependencies.cancels_due(CASCADE_WRITES_MAX) {
+                self.write_cascade_end(id, out);
             }
         }
+        self.end_listed(now, out);
+        self.remove_list(now, replica, out);
+    }
+
+    /// Whether what is queued goes into lists: it is much, and every controller reads them.
+    /// (They did if a list was ever written: no controller that has had its turn of an
+    /// upgrade comes back old.)
+    fn lists_cascade(&self, replica: &Replica) -> bool {
+        let allowed = self.cascade_lists_allowed || replica.cascaded.generation() != 0;
+        let large = self.dependencies.cascade_count() >= CASCADE_LISTED_LEAST;
+        self.cascade_lists.is_writing() || (allowed && large)
+    }
+
+    fn write_lists(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
+        if let Some(jobs) = self.cascade_lists.take_shown(&replica.cascaded) {
+            return self.lists_recorded(now, &jobs);
+        }
+        let queued = self.dependencies.queued_cancels();
+        self.cascade_lists.plan(queued, CASCADE_LIST_BYTES, self.facts.store_txn_ops);
+        let Some(txn) = self.cascade_lists.write_due(now, &replica.cascaded) else { return };
+        self.writer.charge(txn.writes.len() as f64);
+        let op = out.store(StoreRequest::Commit(txn));
+        self.cascade_lists.write_sent(op);
+    }
+
+    fn lists_recorded(&mut self, now: Secs, jobs: &[JobId]) {
+        self.dependencies.recorded(jobs);
+        let (queued, term) = (self.dependencies.cascade_count(), self.term.0);
+        let recorded = jobs.len();
+        self.log.info(now, || {
+            format!("event=cascade_recorded jobs={recorded} queued={queued} term={term}")
+        });
+    }
+
+    /// Writes the last words of listed jobs, in the background.
+    fn end_listed(&mut self, now: Secs, out: &mut ActionSink) {
+        if self.dependencies.listed_count() == 0 {
+            return;
+        }
+        let Some(id) = self.dependencies.end_due(CASCADE_ENDS_MAX) else { return };
+        let changes_per_s = self.facts.store_write_rps * CASCADE_ENDS_SHARE;
+        if self.cascade_lists.afford_end(now, changes_per_s) {
+            self.write_cascade_end(id, out);
+        }
+    }
+
+    /// Removes a list whose jobs all have a last word: their specs are gone, and a spec is
+    /// only removed with its job's last word or after it.
+    fn remove_list(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
+        let unfinished = |job: &JobId| replica.specs.contains_key(job);
+        let due = self.cascade_lists.removal_due(now, &replica.cascaded, unfinished);
+        let Some(txn) = due else { return };
+        self.writer.charge(txn.writes.len() as f64);
+        let op = out.store(StoreRequest::Commit(txn));
+        self.cascade_lists.removal_sent(op);
+    }
+
+    /// Sends the transaction that gives a job its last word by cascade.
+    fn write_cascade_end(&mut self, id: JobId, out: &mut ActionSink) {
+        let Some(txn) = self.cascade_transaction(&id) else {
+            return self.dependencies.cancel_dropped(&id);
+        };
+        let op = out.store(StoreRequest::Commit(txn));
+        self.writer.saw_user_changes(CASCADE_CHANGES);
+        self.dependencies.cancel_sent(op, id);
     }
 
     /// The transaction that cancels a job by cascade, if it is still to be cancelled.
@@ -172,6 +243,18 @@
             }
             return true;
         }
+        match self.cascade_lists.answered(now, op, result) {
+            CascadeOutcome::NotOurs => {}
+            CascadeOutcome::Pending => return true,
+            CascadeOutcome::Recorded(jobs) => {
+                self.lists_recorded(now, &jobs);
+                return true;
+            }
+            CascadeOutcome::Removed => {
+                self.log.push(|| format!("event=cascade_list_removed term={}", self.term.0));
+                return true;
+            }
+        }
         let committed = matches!(result, StoreResult::Committed(_));
         let Some(id) = self.dependencies.cancel_answered(op, committed) else {
             return false;
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -1,6 +1,7 @@
 //! This controller's copy of the watched keys. It may lag: nothing is told a
 //! user, and nothing is decided for good, on its word alone.
 
+use crate::cascaded_jobs::CascadedJobs;
 use crate::consts::CONFIRMED_CANCELLATIONS_MAX;
 use crate::event::{Secs, WatchContent, WatchNews};
 use ciborium::Value;
@@ -48,6 +49,8 @@
     confirmed_cancellations: BTreeMap<JobId, u64>,
     /// One of those found no room: until this revision we don't know all.
     overflow: Option<u64>,
+    /// Jobs that a cascade cancelled.
+    pub cascaded: CascadedJobs,
     /// Machine types last seen by a leader.
     pub types: Option<Vec<MachineType>>,
     /// Version of their key; 0: none.
@@ -169,6 +172,12 @@
             let id = JobId::new(id);
             self.marked.insert(id.clone(), version);
             Some(Change::Cancelled(id))
+        } else if key == records::CASCADE_GENERATION {
+            self.cascaded.set_generation(version);
+            None
+        } else if key.starts_with(records::CASCADES) {
+            self.cascaded.put(&key, from_value(value).ok()?, version);
+            None
         } else {
             self.put_transfer(&key, value, version);
             None
@@ -190,6 +199,8 @@
             self.specs.remove(&JobId::new(id));
         } else if let Some(id) = key.strip_prefix(records::CANCELS) {
             self.marked.remove(&JobId::new(id));
+        } else if key.starts_with(records::CASCADES) {
+            self.cascaded.remove(key);
         } else {
             self.delete_transfer(key);
         }
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -6,10 +6,18 @@
 //! last word exists; many polls share one such check. So no answer is ever
 //! older than one that any controller gave before.
 //!
+//! A job that a cascade cancelled is `aborted` from the moment its list is durable,
+//! though its last word comes later. So each such check also requires the cascade
+//! generation known here; see [`crate::cascaded_jobs`]. Where the copy is behind, users
+//! wait for it a little, and then are asked to come again.
+//!
 //! A submission that names DAG dependencies (`waits_on`) is accepted only once
-//! every job it names is proven accepted; see [`DependencyCheck`].
+//! every job it names is proven accepted; see [`crate::dependency_check`].
 
 use crate::consts::*;
+use crate::dependency_check::{
+    DependencyCheck, DependencyStep, KnownDependency, absence_transaction,
+};
 use crate::event::{
     ActionSink, Answer, NOBODY, OpId, ReplyTo, Secs, StoreRequest, StoreResult, TaskCounts,
     UserRequest,
@@ -24,11 +32,16 @@
 use marblebarrow_proto::wire::{Cond, JobStatus, MachineType, Stage, Txn, Write};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
+mod polls;
+
+use polls::{CheckedPoll, Poll};
+
 #[derive(Debug)]
 enum Pending {
-    /// A check behind polls: who asked for what, and whether the job was known
-    /// when the check was sent (what it proves depends on that).
-    Check(Vec<(JobId, ReplyTo, bool)>),
+    /// A check behind polls.
+    Check(Vec<CheckedPoll>),
+    /// A check that an accepted job is neither over nor cancelled by a cascade.
+    OpenCheck(Poll),
     /// The transaction of a submission.
     Submit(JobId, ReplyTo),
     /// Reads the spec's version for a cancel.
@@ -47,43 +60,13 @@
     SubmitCancelled(JobId, ReplyTo, u32),
 }
 
-/// A submission with DAG dependencies, while their acceptance is proven.
-///
-/// Why this is safe: a job accepted at controller A a millisecond ago was
-/// committed to the store before its user got 201, and B's check transaction
-/// is ordered after that commit by the store; so a check that commits proves
-/// that the job was never accepted. No cache is trusted for absence: the
-/// replica and the remembered last words only prove presence, which never
-/// goes back (records are monotonic).
-///
-/// Why no cycle can arise: a job may only name jobs accepted before its own
-/// check, and nobody can name a job not yet accepted; so every edge points to
-/// an older job, and the graph is acyclic by construction.
-#[derive(Debug)]
-struct DependencyCheck {
-    spec: JobSpec,
-    to: ReplyTo,
-    /// Dependencies whose acceptance is not proven either way yet.
-    unproven: VecDeque<JobId>,
-    /// Dependencies that have a last word not known here yet.
-    ends_to_read: Vec<JobId>,
-    /// Dependencies that a committed check proved never accepted.
-    unknown: Vec<JobId>,
-    /// Whether some dependency is cancelled: then so is this job.
-    cancelled_dependency: bool,
-    /// Most dependencies in one check transaction (two conditions each).
-    per_check: usize,
-}
-
 /// What it means that a job has no last word.
 #[derive(Debug, Clone, Copy)]
 enum Absent {
-    /// The job is known, so it is unfinished.
-    Open,
     /// There was no spec either, so the job never was: the last word is
     /// written in the transaction that removes the spec.
     Never,
-    /// Neither: let the user ask again.
+    /// Nothing: let the user ask again.
     Unclear,
 }
 
@@ -91,7 +74,7 @@
 #[derive(Debug, Default)]
 pub struct UserApi {
     pending: HashMap<OpId, Pending>,
-    polls: VecDeque<(JobId, ReplyTo)>,
+    polls: VecDeque<Poll>,
     check_running: bool,
     next_check: Secs,
     writes: usize,
@@ -177,12 +160,15 @@
         if let Some(end) = self.terminal_states.get(&spec.id) {
             return out.reply(to, Answer::Job(200, terminal_status(&spec.id, end)));
         }
+        if context.replica.cascaded.contains(&spec.id) {
+            return out.reply(to, Answer::Job(200, cancelled_status(spec.id)));
+        }
         if context.store_bad || !context.replica.synced {
             return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
         }
         if context.replica.specs.contains_key(&spec.id) {
             // Known: an accepted job is never refused, whatever it says now.
-            return self.read_end(spec.id, to, Absent::Open, out);
+            return self.check_open(context, Poll { job: spec.id, to, since: context.now }, out);
         }
         let Some(types) = context.types else {
             return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
@@ -234,134 +220,58 @@
         out: &mut ActionSink,
     ) {
         let most = context.facts.store_txn_ops * CONDS_PER_OP;
-        let mut check = Box::new(DependencyCheck {
-            unproven: VecDeque::new(),
-            ends_to_read: Vec::new(),
-            unknown: Vec::new(),
-            cancelled_dependency: false,
-            per_check: (most / CONDS_PER_DEPENDENCY).max(1),
-            to,
-            spec,
-        });
-        for dependency in &check.spec.dependencies {
-            match self.terminal_states.get(dependency) {
-                Some(end) => check.cancelled_dependency |= end.cancelled,
-                None if context.replica.specs.contains_key(dependency) => {}
-                None => check.unproven.push_back(dependency.clone()),
-            }
-        }
+        let known = |dependency: &JobId| self.known_dependency(context, dependency);
+        let check = Box::new(DependencyCheck::new(spec, to, most, known));
         self.advance(context, check, out);
     }
 
-    /// Takes the next step of a dependency check, or ends it.
-    fn advance(
-        &mut self,
+    fn known_dependency(
+        &self,
         context: &RequestContext<'_>,
-        mut check: Box<DependencyCheck>,
-        out: &mut ActionSink,
-    ) {
-        if !check.unproven.is_empty() {
-            let take = check.per_check.min(check.unproven.len());
-            let batch: Vec<JobId> = check.unproven.drain(..take).collect();
-            let conds = batch
-                .iter()
-                .flat_map(|d| [spec_key(d), end_key(d)])
-                .map(|key| Cond { key, version: 0 })
-                .collect();
-            let op = out.store(StoreRequest::Commit(Txn { conds, writes: Vec::new() }));
-            self.pending.insert(op, Pending::DependencyCheck(check, batch));
-            return;
-        }
-        if !check.unknown.is_empty() {
-            self.writes -= 1;
-            return out.reply(check.to, Answer::UnknownDependencies(check.unknown));
-        }
-        if !check.cancelled_dependency
-            && let Some(dependency) = check.ends_to_read.pop()
-        {
-            let op = out.store(StoreRequest::Get(end_key(&dependency)));
-            self.pending.insert(op, Pending::DependencyEnd(check, dependency));
-            return;
-        }
-        let DependencyCheck { spec, to, cancelled_dependency, .. } = *check;
-        if cancelled_dependency {
-            self.write_cancelled_submission(spec.id, to, spec.tasks, out);
-        } else {
-            self.write_submission(context, to, spec, out);
+        dependency: &JobId,
+    ) -> KnownDependency {
+        let cascaded = context.replica.cascaded.contains(dependency);
+        match self.terminal_states.get(dependency) {
+            Some(end) if end.cancelled => KnownDependency::Cancelled,
+            _ if cascaded => KnownDependency::Cancelled,
+            Some(_) => KnownDependency::Accepted,
+            None if context.replica.specs.contains_key(dependency) => KnownDependency::Accepted,
+            None => KnownDependency::Unproven,
         }
     }
 
-    /// What a check transaction of dependencies proves.
-    fn dependencies_checked(
+    /// Takes the next step of a dependency check, or ends it.
+    fn advance(
         &mut self,
         context: &RequestContext<'_>,
         mut check: Box<DependencyCheck>,
-        batch: Vec<JobId>,
-        result: &StoreResult,
         out: &mut ActionSink,
     ) {
-        match result {
-            // Neither spec nor last word exists: never accepted.
-            StoreResult::Committed(_) => check.unknown.extend(batch),
-            StoreResult::Conflict(keys) => {
-                let mut unlisted = Vec::new();
-                for dependency in &batch {
-                    if keys.contains(&end_key(dependency)) {
-                        check.ends_to_read.push(dependency.clone());
-                    } else if !keys.contains(&spec_key(dependency)) {
-                        unlisted.push(dependency.clone());
-                    }
-                }
-                if batch.len() == 1 && unlisted.len() == 1 {
-                    // Alone in a failed check, it exists; whether it has a
-                    // last word is read.
-                    check.ends_to_read.extend(unlisted);
-                } else {
-                    if unlisted.len() == batch.len() {
-                        // The store named none of them: one at a time then.
-                        check.per_check = 1;
-                    }
-                    for dependency in unlisted.into_iter().rev() {
-                        check.unproven.push_front(dependency);
-                    }
-                }
+        match check.next_step() {
+            DependencyStep::ProveAbsent(batch) => {
+                let op = out.store(StoreRequest::Commit(absence_transaction(&batch)));
+                self.pending.insert(op, Pending::DependencyCheck(check, batch));
             }
-            _ => {
+            DependencyStep::ReadEnd(dependency) => {
+                let op = out.store(StoreRequest::Get(end_key(&dependency)));
+                self.pending.insert(op, Pending::DependencyEnd(check, dependency));
+            }
+            DependencyStep::Refuse(unknown) => {
                 self.writes -= 1;
-                return out.reply(check.to, Answer::Unavailable(RETRY_STORE_S));
+                out.reply(check.to, Answer::UnknownDependencies(unknown));
+            }
+            DependencyStep::Accept => self.write_submission(context, check.to, check.spec, out),
+            DependencyStep::AcceptCancelled => {
+                let DependencyCheck { spec, to, .. } = *check;
+                self.write_cancelled_submission(spec.id, to, spec.tasks, out);
             }
         }
-        self.advance(context, check, out);
     }
 
-    /// What a dependency's last word says.
-    fn dependency_end_read(
-        &mut self,
-        context: &RequestContext<'_>,
-        mut check: Box<DependencyCheck>,
-        dependency: JobId,
-        result: &StoreResult,
-        out: &mut ActionSink,
-    ) {
-        match result {
-            StoreResult::Value(Some(item)) => match from_value::<EndRecord>(&item.value) {
-                Ok(end) => {
-                    check.cancelled_dependency |= end.cancelled;
-                    self.remember(&dependency, end);
-                }
-                Err(_) => {
-                    self.writes -= 1;
-                    return out.reply(check.to, Answer::Unavailable(RETRY_STORE_S));
-                }
-            },
-            // Its acceptance is proven already; it has no last word yet.
-            StoreResult::Value(None) => {}
-            _ => {
-                self.writes -= 1;
-                return out.reply(check.to, Answer::Unavailable(RETRY_STORE_S));
-            }
-        }
-        self.advance(context, check, out);
+    /// Ends a dependency check that the store did not answer.
+    fn dependencies_unanswered(&mut self, to: ReplyTo, out: &mut ActionSink) {
+        self.writes -= 1;
+        out.reply(to, Answer::Unavailable(RETRY_STORE_S));
     }
 
     /// Accepts a job that names a cancelled dependency as cancelled itself:
@@ -385,20 +295,6 @@
         self.pending.insert(op, Pending::SubmitCancelled(id, to, tasks));
     }
 
-    fn poll(&mut self, context: &RequestContext<'_>, to: ReplyTo, id: JobId, out: &mut ActionSink) {
-        if let Some(end) = self.terminal_states.get(&id) {
-            return out.reply(to, Answer::Job(200, terminal_status(&id, end)));
-        }
-        if context.store_bad || !context.replica.synced {
-            return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
-        }
-        if self.polls.len() >= POLLS_MAX {
-            return out.reply(to, Answer::Full(RETRY_FULL_S));
-        }
-        self.polls.push_back((id, to));
-        self.check(context, out);
-    }
-
     fn cancel(
         &mut self,
         context: &RequestContext<'_>,
@@ -409,6 +305,10 @@
         if let Some(end) = self.terminal_states.get(&id) {
             return out.reply(to, Answer::Job(200, terminal_status(&id, end)));
         }
+        // It has no task (it waits for a job that is never done), so nothing is to be stopped.
+        if context.replica.cascaded.contains(&id) {
+            return out.reply(to, Answer::Job(200, cancelled_status(id)));
+        }
         if context.store_bad {
             return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
         }
@@ -501,44 +401,6 @@
         self.pending.insert(op, Pending::End(id, to, absent));
     }
 
-    /// Steps with time.
-    pub fn tick(&mut self, context: &RequestContext<'_>, out: &mut ActionSink) {
-        self.check(context, out);
-    }
-
-    /// When [`UserApi::tick`] next has something to do.
-    pub fn wake(&self) -> Option<Secs> {
-        (!self.check_running && !self.polls.is_empty()).then_some(self.next_check)
-    }
-
-    fn check(&mut self, context: &RequestContext<'_>, out: &mut ActionSink) {
-        if self.check_running || self.polls.is_empty() || context.now < self.next_check {
-            return;
-        }
-        let nodes = (context.facts.others.len() + 1) as f64;
-        self.next_check =
-            context.now + nodes / (context.facts.store_rps * POLL_CHECK_SHARE).max(0.1);
-        let most = context.facts.store_txn_ops * CONDS_PER_OP;
-        let mut conds: BTreeMap<String, ()> = BTreeMap::new();
-        let mut asked = Vec::new();
-        while let Some((id, to)) = self.polls.pop_front() {
-            if conds.len() + 2 > most && !conds.contains_key(&end_key(&id)) {
-                self.polls.push_front((id, to));
-                break;
-            }
-            conds.insert(end_key(&id), ());
-            let known = context.replica.specs.contains_key(&id);
-            if !known {
-                conds.insert(spec_key(&id), ());
-            }
-            asked.push((id, to, known));
-        }
-        let conds = conds.into_keys().map(|key| Cond { key, version: 0 }).collect();
-        let op = out.store(StoreRequest::Commit(Txn { conds, writes: Vec::new() }));
-        self.check_running = true;
-        self.pending.insert(op, Pending::Check(asked));
-    }
-
     /// Whether an answer of the store is for us; if so, takes it.
     pub fn store(
         &mut self,
@@ -554,12 +416,22 @@
             Pending::Check(asked) => self.checked(context, asked, result, out),
             // The user asks again, whatever came of it.
             Pending::CancelWanted => {}
-            Pending::DependencyCheck(check, batch) => {
-                self.dependencies_checked(context, check, batch, result, out);
-            }
-            Pending::DependencyEnd(check, dependency) => {
-                self.dependency_end_read(context, check, dependency, result, out);
+            Pending::OpenCheck(poll) => self.open_checked(context, poll, result, out),
+            Pending::DependencyCheck(mut check, batch) => {
+                match check.absence_answered(batch, result) {
+                    Ok(()) => self.advance(context, check, out),
+                    Err(_) => self.dependencies_unanswered(check.to, out),
+                }
             }
+            Pending::DependencyEnd(mut check, dependency) => match check.end_answered(result) {
+                Ok(end) => {
+                    if let Some(end) = end {
+                        self.remember(&dependency, end);
+                    }
+                    self.advance(context, check, out);
+                }
+                Err(_) => self.dependencies_unanswered(check.to, out),
+            },
             Pending::SubmitCancelled(id, to, tasks) => {
                 self.writes -= 1;
                 match result {
@@ -570,7 +442,7 @@
                         out.reply(to, Answer::Job(201, terminal_status(&id, &end)));
                     }
                     // Accepted before, perhaps over since.
-                    StoreResult::Conflict(_) => self.read_end(id, to, Absent::Open, out),
+                    StoreResult::Conflict(keys) => self.known_before(context, id, to, keys, out),
                     _ => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
                 }
             }
@@ -584,7 +456,7 @@
                         out.reply(to, Answer::Job(201, status));
                     }
                     // Accepted before, perhaps over since.
-                    StoreResult::Conflict(_) => self.read_end(id, to, Absent::Open, out),
+                    StoreResult::Conflict(keys) => self.known_before(context, id, to, keys, out),
                     StoreResult::Rejected => out.reply(to, Answer::NeverRuns("too large to store")),
                     _ => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
                 }
@@ -630,10 +502,6 @@
                     Err(_) => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
                 },
                 StoreResult::Value(None) => match absent {
-                    Absent::Open => {
-                        let status = self.open_status(context, id);
-                        out.reply(to, Answer::Job(200, status));
-                    }
                     Absent::Never => out.reply(to, Answer::NotFound),
                     Absent::Unclear => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
                 },
@@ -643,65 +511,6 @@
         true
     }
 
-    fn checked(
-        &mut self,
-        context: &RequestContext<'_>,
-        asked: Vec<(JobId, ReplyTo, bool)>,
-        result: &StoreResult,
-        out: &mut ActionSink,
-    ) {
-        self.check_running = false;
-        match result {
-            StoreResult::Committed(_) => {
-                for (id, to, known) in asked {
-                    if known || context.replica.specs.contains_key(&id) {
-                        let status = self.open_status(context, id);
-                        out.reply(to, Answer::Job(200, status));
-                    } else {
-                        out.reply(to, Answer::NotFound);
-                    }
-                }
-            }
-            StoreResult::Conflict(keys) => {
-                for (id, to, _) in asked {
-                    // A spec that is there though the watch hasn't shown it
-                    // means the same as a known one.
-                    if keys.contains(&end_key(&id)) || keys.contains(&spec_key(&id)) {
-                        self.read_end(id, to, Absent::Open, out);
-                    } else {
-                        // Not proven by a failed check: again with the next.
-                        self.polls.push_back((id, to));
-                    }
-                }
-                self.check(context, out);
-            }
-            _ => {
-                for (_, to, _) in asked {
-                    out.reply(to, Answer::Unavailable(RETRY_STORE_S));
-                }
-            }
-        }
-    }
-
-    fn open_status(&self, context: &RequestContext<'_>, id: JobId) -> JobStatus {
-        let TaskCounts { done, running } = self.progress.get(&id).copied().unwrap_or_default();
-        let stage = if running > 0 { Stage::Running } else { Stage::Queued };
-        let waits_on = self.unfinished_dependencies(context, &id);
-        JobStatus { id, stage, done, running, waits_on }
-    }
-
-    /// The DAG dependencies of a job that this controller still sees
-    /// unfinished: their spec is in the replica and no last word is known.
-    fn unfinished_dependencies(&self, context: &RequestContext<'_>, id: &JobId) -> Vec<JobId> {
-        let Some((record, _)) = context.replica.specs.get(id) else {
-            return Vec::new();
-        };
-        let unfinished = |d: &&JobId| {
-            context.replica.specs.contains_key(*d) && !self.terminal_states.contains_key(*d)
-        };
-        record.spec.dependencies.iter().filter(unfinished).cloned().collect()
-    }
-
     /// Cancellations confirmed since the last call, with their revisions.
     pub fn take_confirmed(&mut self) -> Vec<(JobId, u64)> {
         std::mem::take(&mut self.confirmed)
@@ -726,3 +535,7 @@
         if end.cancelled { (Stage::Cancelled, 0) } else { (Stage::Done, end.tasks) };
     JobStatus { id: id.clone(), stage, done, running: 0, waits_on: Vec::new() }
 }
+
+fn cancelled_status(id: JobId) -> JobStatus {
+    JobStatus { id, stage: Stage::Cancelled, done: 0, running: 0, waits_on: Vec::new() }
+}
--- a/crates/proto/src/records.rs
+++ b/crates/proto/src/records.rs
@@ -21,6 +21,12 @@
 pub const SPECS: &str = "w/spec/";
 /// Prefix of cancel marks.
 pub const CANCELS: &str = "w/cut/";
+/// Prefix of the lists of jobs cancelled by a cascade; see [`CascadeRecord`].
+pub const CASCADES: &str = "w/cascade/";
+/// The cascade generation: put in each transaction that adds a list under [`CASCADES`], so
+/// that its version tells whether a copy of the lists is whole. It sorts before the lists:
+/// a read of several pages then never pairs a new generation with old lists.
+pub const CASCADE_GENERATION: &str = "w/cascade-generation";
 /// Prefix of last words.
 pub const ENDS: &str = "end/";
 /// Prefix of progress.
@@ -44,6 +50,10 @@
 pub fn end_key(id: &JobId) -> String {
     format!("{ENDS}{id}")
 }
+/// Key of the list number `number` of cascade cancellations that the leader of a term wrote.
+pub fn cascade_key(term: u64, number: u32) -> String {
+    format!("{CASCADES}{term:010}/{number:06}")
+}
 /// Key of part `part` of a job's progress.
 pub fn progress_key(id: &JobId, part: u32) -> String {
     format!("{PROGRESS}{id}/{part:03}")
@@ -87,6 +97,15 @@
     pub tasks: u32,
 }
 
+/// Jobs cancelled by a cascade: a job that each of them needs was cancelled. Durable the
+/// moment it is written, long before each job has its own last word. An older version
+/// ignores these keys; the leader writes them only where every controller knows them.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct CascadeRecord {
+    /// The jobs.
+    pub jobs: Vec<JobId>,
+}
+
 /// A stored spec: the submission and when it was accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SpecRecord {
