--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -103,6 +103,16 @@
         }
     }
 
+    /// The store did not do what a cascade asked of it: nothing more for a moment.
+    pub fn pause(&mut self, now: Secs) {
+        self.not_before = now + STORE_RETRY_S;
+    }
+
+    /// Whether such a pause lasts.
+    pub fn is_paused(&self, now: Secs) -> bool {
+        now < self.not_before
+    }
+
     /// Whether lists wait to become durable.
     pub fn is_writing(&self) -> bool {
         self.writing.is_some()
@@ -147,7 +157,7 @@
         let leading = self.leader_condition();
         let generation = copy.generation().max(self.own_generation);
         let writing = self.writing.as_mut().filter(|w| w.under_way.is_none())?;
-        if now < self.not_before || (writing.outdated && writing.tried_generation >= generation) {
+        if self.not_before > now || (writing.outdated && writing.tried_generation >= generation) {
             return None;
         }
         (writing.tried_generation, writing.outdated) = (generation, false);
@@ -182,7 +192,7 @@
             }
             self.removal = None;
         }
-        if now < self.not_before {
+        if self.is_paused(now) {
             return None;
         }
         let over = |jobs: &[JobId]| !jobs.iter().any(&unfinished);
@@ -224,7 +234,7 @@
             }
             _ => {}
         }
-        self.not_before = now + STORE_RETRY_S;
+        self.pause(now);
         self.writing = Some(writing);
         CascadeOutcome::Pending
     }
@@ -237,7 +247,7 @@
             return CascadeOutcome::Removed;
         }
         self.removal = None;
-        self.not_before = now + STORE_RETRY_S;
+        self.pause(now);
         CascadeOutcome::Pending
     }
 
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -128,12 +128,12 @@
         }
         if self.lists_cascade(replica) {
             self.write_lists(now, replica, out);
-        } else {
+        } else if !self.cascade_lists.is_paused(now) {
             for id in self.dependencies.cancels_due(CASCADE_WRITES_MAX) {
-                self.write_cascade_end(id, out);
+                self.write_cascade_end(now, id, replica, out);
             }
         }
-        self.end_listed(now, out);
+        self.end_listed(now, replica, out);
         self.remove_list(now, replica, out);
     }
 
@@ -168,14 +168,14 @@
     }
 
     /// Writes the last words of listed jobs, in the background.
-    fn end_listed(&mut self, now: Secs, out: &mut ActionSink) {
-        if self.dependencies.listed_count() == 0 {
+    fn end_listed(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
+        if self.dependencies.listed_count() == 0 || self.cascade_lists.is_paused(now) {
             return;
         }
         let Some(id) = self.dependencies.end_due(CASCADE_ENDS_MAX) else { return };
         let changes_per_s = self.facts.store_write_rps * CASCADE_ENDS_SHARE;
         if self.cascade_lists.afford_end(now, changes_per_s) {
-            self.write_cascade_end(id, out);
+            self.write_cascade_end(now, id, replica, out);
         }
     }
 
@@ -191,7 +191,14 @@
     }
 
     /// Sends the transaction that gives a job its last word by cascade.
-    fn write_cascade_end(&mut self, id: JobId, out: &mut ActionSink) {
+    ///
+    /// If its spec is gone, it has one: an earlier try was carried out, though its answer was
+    /// lost. (Such a job once was tried again for good, and held up those after it.)
+    fn write_cascade_end(&mut self, now: Secs, id: JobId, replica: &Replica, out: &mut ActionSink) {
+        if !replica.specs.contains_key(&id) {
+            self.dependencies.cancel_dropped(&id);
+            return self.cascade_committed(now, &id);
+        }
         let Some(txn) = self.cascade_transaction(&id) else {
             return self.dependencies.cancel_dropped(&id);
         };
@@ -261,6 +268,8 @@
         };
         if committed {
             self.cascade_committed(now, &id);
+        } else {
+            self.cascade_lists.pause(now);
         }
         true
     }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -1,17 +1,21 @@
 //! One cell among stand-ins of workers, state service, cloud and users, with troubles at set
 //! times. Time runs in steps of 0.1 s; the rules are checked at each.
 
+mod cascades;
 mod cells;
 mod checks;
 mod cloud;
 mod controllers;
 mod direct;
 mod store;
+mod store_limits;
 mod troubles;
 mod users;
 mod workers;
 
+pub use cascades::{CascadePlan, CascadeTimes};
 pub use store::StoreWork;
+pub use store_limits::StoreLimits;
 pub use troubles::{Held, Trouble};
 
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest};
@@ -228,6 +232,11 @@
     pub starts_past_cancellation: u32,
     /// Direct commands carried out whose answer came after their sender had given it up.
     pub late_answers: u32,
+    /// Requests that the store refused as beyond its limits.
+    pub store_refusals: u32,
+    /// Polls of the cascade's jobs that were answered without their state, as the
+    /// controller's copy was behind or it was asked too much.
+    pub cascade_unanswered: u32,
 }
 
 /// Numbers of one cell's jobs.
@@ -375,6 +384,15 @@
     /// Arrays form pipelines of this many jobs: each names the ones before it in its
     /// pipeline as DAG dependencies, and is submitted once they are accepted.
     pub pipeline: Option<u32>,
+    /// Many jobs that need one, which is cancelled.
+    pub cascade: Option<CascadePlan>,
+    /// When users of jobs after the cancelled one were told that these are, seconds.
+    cascade_told: Vec<f64>,
+    /// Each user asks again after so many steps, a multiple of ten.
+    pub poll_every: u32,
+    /// What the state service takes, if that is limited.
+    pub store_limits: Option<StoreLimits>,
+    store_room: store_limits::StoreRoom,
 }
 impl World {
     /// A cell that has just begun, with what will go wrong and when, in steps.
@@ -459,6 +477,11 @@
             accepted_at: BTreeMap::new(),
             wide: None,
             pipeline: None,
+            cascade: None,
+            cascade_told: Vec::new(),
+            poll_every: 10,
+            store_limits: None,
+            store_room: store_limits::StoreRoom::default(),
             lapses: 0,
             mistaken: None,
             gaps: false,
@@ -512,9 +535,9 @@
             cancel_s: self.beat.1 + CANCEL_S - LEASE_S,
             core_share: 1.0,
             log: true,
-            store_rps: 200.0,
-            store_write_rps: 60.0,
-            store_txn_ops: 16,
+            store_rps: self.store_limits.map_or(200.0, |l| l.requests_per_s),
+            store_write_rps: self.store_limits.map_or(60.0, |l| l.changes_per_s),
+            store_txn_ops: self.store_limits.map_or(16, |l| l.changes_per_transaction),
             cloud_rps: 5.0,
             list_lag_s: 2.0,
             direct_most: 40,
--- a/crates/rehearsal/src/world/store.rs
+++ b/crates/rehearsal/src/world/store.rs
@@ -71,6 +71,9 @@
 
     pub(super) fn store(&mut self, req: &StoreRequest) -> StoreResult {
         let now = self.now();
+        if !self.within_limits(req) {
+            return StoreResult::Refused;
+        }
         match req {
             StoreRequest::Commit(txn) => {
                 let failed: Vec<String> = txn
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/world/users.rs
@@ -99,6 +99,7 @@
             }
             self.specs.insert(spec.id.clone(), spec);
         }
+        self.submit_cascade();
         self.look_closely();
         let storm = self.step < self.storm_until;
         if !self.step.is_multiple_of(10) && !storm {
@@ -109,8 +110,13 @@
             let over = matches!(self.told.get(&id), Some((Stage::Done | Stage::Cancelled, _)));
             // Services, and one array in five, are cancelled some time.
             let number = number_of(&id);
+            let planned = self.cascade_cancel(number);
             let cancel = self.called_off.contains(&id)
-                || (spec.kind == Kind::Service || number.is_multiple_of(5) || self.mistaken(&id))
+                || planned == Some(true)
+                || planned.is_none()
+                    && (spec.kind == Kind::Service
+                        || number.is_multiple_of(5)
+                        || self.mistaken(&id))
                     && self.replicas == 1
                     && self.step > number * 25 + 250
                     && self.accepted.contains(&id);
@@ -124,6 +130,8 @@
                 ('c', UserRequest::Cancel(id.clone()))
             } else if over && self.step + 100 < steps && self.rng.random_range(0..8) == 0 {
                 ('s', UserRequest::Submit(Box::new(spec)))
+            } else if (self.step / 10 + number) % (self.poll_every / 10).max(1) != 0 && !storm {
+                continue;
             } else {
                 ('p', UserRequest::Poll(id.clone()))
             };
@@ -247,6 +255,7 @@
                     if status.stage == Stage::Cancelled {
                         self.note_cancelled(by, id);
                         self.met.cascaded += u32::from(!self.cancels.contains_key(id));
+                        self.note_cascade_told(id);
                     }
                 }
                 let entry = self.told.entry(id.clone()).or_insert((status.stage, self.step));
@@ -257,6 +266,11 @@
             Answer::NotFound | Answer::NeverRuns(_) if self.accepted.contains(id) => {
                 self.broken.push(format!("forgotten: {id} {what} {answer:?}"));
             }
+            Answer::Full(_) | Answer::Unavailable(_)
+                if what == 'p' && self.cascade.is_some_and(|c| c.includes(number_of(id))) =>
+            {
+                self.met.cascade_unanswered += 1;
+            }
             _ => {}
         }
     }
