--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -246,10 +246,12 @@
         if self.out_of_date(now) {
             self.resign(now, LossReason::OutOfDate);
         }
+        let cascade_lists_allowed = self.dependencies_allowed();
         if self.may_act(now)
             && let Some(l) = &mut self.leader
         {
             l.common_format = self.membership.common_format();
+            l.cascade_lists_allowed = cascade_lists_allowed;
             l.tick(now, wall_ms, &self.replica, &mut self.out);
             for (id, end) in l.take_terminal_states() {
                 self.user_api.remember(&id, end);
--- a/crates/core/src/writer/answers.rs
+++ b/crates/core/src/writer/answers.rs
@@ -38,6 +38,8 @@
         let Some(Running { txn, entries, .. }) = running else {
             return true;
         };
+        let refused = matches!(result, StoreResult::Refused);
+        self.writer.refusals = if refused { self.writer.refusals + 1 } else { 0 };
         match result {
             StoreResult::Committed(version) => {
                 for entry in entries {
--- a/crates/core/src/writer/batch.rs
+++ b/crates/core/src/writer/batch.rs
@@ -74,7 +74,7 @@
                 writes: Vec::new(),
             },
             entries: Vec::new(),
-            room: self.writer.limits.changes.min(self.writer.budget.max(0.0) as usize),
+            room: self.writer.changes_allowed(),
             bytes: 0,
         };
         if b.room == 0 {
--- a/crates/core/src/writer/mod.rs
+++ b/crates/core/src/writer/mod.rs
@@ -101,6 +101,8 @@
     format_sent: u32,
     /// What the state service takes, as far as it is known.
     limits: ShapeLimits,
+    /// Transactions refused one after another.
+    refusals: u32,
 }
 
 /// The transaction under way.
@@ -131,6 +133,7 @@
             types_key: String::new(),
             format_sent: 0,
             limits: ShapeLimits::new(facts),
+            refusals: 0,
         }
     }
 
@@ -143,6 +146,20 @@
         self.budget = (self.budget + past * rate).min(self.rps * LEADER_WRITE_SHARE);
     }
 
+    /// What the state service takes, as far as it is known.
+    pub(crate) fn limits(&self) -> ShapeLimits {
+        self.limits
+    }
+
+    /// Changes that the next transaction may have. One refused again and again may have more
+    /// than a second's worth of a rate that fell unannounced: it never goes through, while
+    /// smaller ones do. (All starts once waited for one of 16 changes at 15 a second.)
+    fn changes_allowed(&self) -> usize {
+        let halvings = (self.refusals / REFUSALS_PER_HALVING).min(usize::BITS - 1);
+        let most = (self.limits.changes >> halvings).max(CHANGES_LEAST);
+        most.min(self.limits.changes).min(self.budget.max(0.0) as usize)
+    }
+
     /// Whether the store's rate allows so many changes besides; if so, they are counted.
     pub(crate) fn afford(&mut self, changes: f64) -> bool {
         let affordable = self.budget >= changes;
--- a/crates/rehearsal/src/world/store.rs
+++ b/crates/rehearsal/src/world/store.rs
@@ -71,6 +71,9 @@
 
     pub(super) fn store(&mut self, req: &StoreRequest) -> StoreResult {
         let now = self.now();
+        if !self.within_limits(req) {
+            return StoreResult::Refused;
+        }
         match req {
             StoreRequest::Commit(txn) => {
                 let failed: Vec<String> = txn
@@ -91,6 +94,14 @@
                 if bad {
                     return StoreResult::Rejected;
                 }
+                if self.too_large(txn) {
+                    self.met.rejections += 1;
+                    if self.store_limits.is_some_and(|limits| limits.announced) {
+                        let key = txn.conds.last().map(|cond| cond.key.clone());
+                        self.broken.push(format!("too large a transaction: {key:?}"));
+                    }
+                    return StoreResult::Rejected;
+                }
                 if txn.writes.len() > 16 || txn.conds.len() > 64 {
                     self.broken.push(format!("too large a transaction: {}", txn.writes.len()));
                 }
