--- a/crates/cells/src/inbound.rs
+++ b/crates/cells/src/inbound.rs
@@ -7,6 +7,10 @@
 use marblebarrow_proto::transfer::{InboundRecord, RefusalReason, TransferId};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Seconds between two rounds in which records that one home needs no more are dropped: a
+/// home asks once a second, and the last round is mostly written by then.
+const DROP_EVERY_S: f64 = 1.0;
+
 /// What the target knows of an offered job.
 #[derive(Debug)]
 pub struct TargetView<'a> {
@@ -43,6 +47,8 @@
     recording_max: usize,
     /// Room promised to guests that haven't begun.
     promised: BTreeMap<JobId, Promise>,
+    /// When records that a home needs no more are next dropped.
+    next_drop: BTreeMap<CellName, f64>,
 }
 
 /// Room promised to a job.
@@ -62,6 +68,7 @@
             recording: BTreeSet::new(),
             recording_max,
             promised: BTreeMap::new(),
+            next_drop: BTreeMap::new(),
         }
     }
 
@@ -109,6 +116,18 @@
         self.recording.remove(transfer);
     }
 
+    /// Whether it is time to drop records that a home, admitted before, needs no more. Each home
+    /// has a time of its own. (With one for all, whichever home asked first in each second took
+    /// it, also one that had nothing to drop, and guests of another stayed for minutes.)
+    pub fn drop_due(&mut self, now: f64, home: &CellName) -> bool {
+        let next = self.next_drop.entry(home.clone()).or_insert(now);
+        let due = now >= *next;
+        if due {
+            *next = now + DROP_EVERY_S;
+        }
+        due
+    }
+
     /// Room is promised to a job from now until it begins.
     pub fn promise(&mut self, spec: &JobSpec, transfer: &TransferId) {
         let promise = Promise { transfer: transfer.clone(), amounts: needed(spec) };
--- a/crates/cells/tests/transfer.rs
+++ b/crates/cells/tests/transfer.rs
@@ -150,6 +150,21 @@
     assert!(outbound.tracked(&CellName::new("other"), &cancels).is_empty());
 }
 
+/// Two homes ask once a second each, the same one always first. (The first one's question took
+/// the time for both, and what the other was done with was never dropped.)
+#[test]
+fn each_home_has_its_records_dropped_whoever_asks_first() {
+    let mut inbound = inbound();
+    let mut due = |now, cell| inbound.drop_due(now, &CellName::new(cell));
+    for second in 0..60 {
+        let now = f64::from(second);
+        assert!(due(now, "third"), "{now}");
+        assert!(due(now + 0.5, "home"), "{now}");
+        // The last round is being written.
+        assert!(!due(now + 0.6, "home"), "{now}");
+    }
+}
+
 fn room(cpus: f64) -> CapacityReport {
     let amounts = |cpus: f64| Amounts { cpus, gpus: 0.0, memory_gb: 100.0 };
     CapacityReport {
--- a/crates/core/src/cells/mod.rs
+++ b/crates/core/src/cells/mod.rs
@@ -98,8 +98,6 @@
     retries: Vec<(Secs, Retry)>,
     /// When jobs are next looked over for those that may move.
     next_look: Secs,
-    /// When records of no more use are next dropped.
-    next_drop: Secs,
 }
 
 impl Cells {
@@ -121,7 +119,6 @@
             report: None,
             retries: Vec::new(),
             next_look: now,
-            next_drop: now,
         }
     }
 }
--- a/crates/core/src/cells/settle.rs
+++ b/crates/core/src/cells/settle.rs
@@ -1,7 +1,6 @@
 //! What other cells answer about jobs of this one, and what is made durable of it.
 
 use super::{Call, Pending, cond, put};
-use crate::cells::Cells;
 use crate::consts::STORE_RETRY_S;
 use crate::event::{ActionSink, OpId, Secs, StoreResult};
 use crate::leader::Leader;
@@ -14,8 +13,6 @@
 use marblebarrow_proto::wire::{Txn, Write};
 use std::sync::Arc;
 
-/// Seconds between two rounds in which records of no more use are dropped.
-const DROP_EVERY_S: f64 = 1.0;
 /// Changes of the store that dropping a record takes.
 const DROP_CHANGES: f64 = 1.0;
 /// Changes that the end of a job elsewhere takes.
@@ -217,14 +214,3 @@
         }
     }
 }
-
-impl Cells {
-    /// Whether it is time to drop records of no more use.
-    pub(super) fn drop_due(&mut self, now: Secs) -> bool {
-        let due = now >= self.next_drop;
-        if due {
-            self.next_drop = now + DROP_EVERY_S;
-        }
-        due
-    }
-}
--- a/crates/core/src/cells/target.rs
+++ b/crates/core/src/cells/target.rs
@@ -254,7 +254,7 @@
             .iter()
             .filter_map(|tracked| self.status_of(tracked, replica, &terminal, &mut work))
             .collect();
-        let dropped = self.drop_finished(now, &exchange.finished, replica, out);
+        let dropped = self.drop_finished(now, exchange, replica, out);
         let mut capacity = self.room_for_others(now);
         if self.recovering {
             capacity.rooms.clear();
@@ -298,17 +298,21 @@
     fn drop_finished(
         &mut self,
         now: Secs,
-        finished: &[FinishedJob],
+        exchange: &Exchange,
         replica: &Replica,
         out: &mut ActionSink,
     ) -> Vec<JobId> {
+        let finished = &exchange.finished;
         let ours = |f: &FinishedJob| {
             let (record, version) = replica.inbound.get(&f.job)?;
             (record.transfer == f.transfer).then_some(*version)
         };
         let gone = finished.iter().filter(|f| ours(f).is_none());
         let dropped = gone.map(|f| f.job.clone()).collect();
-        let due = self.cells.as_mut().is_some_and(|cells| cells.drop_due(now));
+        let due = self
+            .cells
+            .as_mut()
+            .is_some_and(|cells| cells.inbound.drop_due(now, &exchange.sender.cell));
         for f in finished.iter().filter(|_| due) {
             // A cancelled job whose tasks aren't all gone is kept.
             let over = !replica.specs.contains_key(&f.job);
