--- a/crates/cells/src/outbound.rs
+++ b/crates/cells/src/outbound.rs
@@ -24,8 +24,33 @@
 /// what it says may be lost on its way through a full queue. (Answers that came while a leader
 /// was unsure of its authority were once dropped, and its cell was never asked again.)
 pub const CALL_LOST_S: f64 = 10.0;
-/// Refusals after which a job stays at home.
-pub const REFUSALS_MAX: u32 = 6;
+/// Refusals from which on a job rests before it is offered again: fewer come by chance, as
+/// cells fill while jobs land.
+const REFUSALS_BEFORE_REST: u32 = 6;
+/// First such rest, seconds; doubles with each refusal. A cell's next report comes meanwhile.
+const REFUSED_REST_FIRST_S: f64 = EXCHANGE_EVERY_S;
+/// Longest rest after a cell had no room, seconds: it is offered again only where a newer
+/// report tells of room, and room that comes up is to be noticed soon.
+const NO_ROOM_REST_MOST_S: f64 = 8.0;
+/// Longest rest after another refusal, seconds: it may last, and a dozen refusals an hour bound
+/// the records that both cells write of it.
+const REFUSED_REST_MOST_S: f64 = 300.0;
+/// Doublings after which any rest is the longest.
+const REFUSED_DOUBLINGS_MAX: u32 = 16;
+
+/// How long a job that was refused so often, last for that reason, rests before it is offered
+/// anew, seconds. Never for ever: what refuses it passes, and its home may have no room again.
+/// (After six refusals jobs stayed at home for good once. As cells fill while jobs land, one in
+/// some hundreds got so many, and at a home that stays full it waited for ever.)
+pub fn rest_after(refusals: u32, reason: RefusalReason) -> f64 {
+    let Some(doublings) = refusals.checked_sub(REFUSALS_BEFORE_REST) else { return 0.0 };
+    let most = match reason {
+        RefusalReason::NoRoom => NO_ROOM_REST_MOST_S,
+        _ => REFUSED_REST_MOST_S,
+    };
+    let doubled = f64::from(1u32 << doublings.min(REFUSED_DOUBLINGS_MAX));
+    (REFUSED_REST_FIRST_S * doubled).min(most)
+}
 
 /// What is to be made durable after an answer to an offer.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/cells/tests/transfer.rs
+++ b/crates/cells/tests/transfer.rs
@@ -3,7 +3,7 @@
 use marblebarrow_cells::capacity::{Amounts, CapacityReport, Room};
 use marblebarrow_cells::inbound::{Decision, Inbound, TargetView};
 use marblebarrow_cells::message::{CellError, GuestState, Offer, OfferReply, Sender, Verdict};
-use marblebarrow_cells::outbound::{EXCHANGE_JOBS_MAX, Outbound, Settlement};
+use marblebarrow_cells::outbound::{EXCHANGE_JOBS_MAX, Outbound, Settlement, rest_after};
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::job::{JobSpec, Kind, Priority};
 use marblebarrow_proto::transfer::{ForwardRecord, InboundRecord, RefusalReason, TransferId};
@@ -150,6 +150,16 @@
     assert!(outbound.tracked(&CellName::new("other"), &cancels).is_empty());
 }
 
+/// However often a job was refused, it is offered again some time, and sooner where there was
+/// just no room. (After six refusals it wasn't, once.)
+#[test]
+fn a_refused_job_rests_longer_each_time_and_never_for_ever() {
+    let rest = |refusals| rest_after(refusals, RefusalReason::NoRoom);
+    assert_eq!([1, 5, 6, 7, 8, 9, 10, 100].map(rest), [0.0, 0.0, 1.0, 2.0, 4.0, 8.0, 8.0, 8.0]);
+    let rest = |refusals| rest_after(refusals, RefusalReason::Unsuitable);
+    assert_eq!([5, 6, 9, 14, 15, u32::MAX].map(rest), [0.0, 1.0, 8.0, 256.0, 300.0, 300.0]);
+}
+
 /// Two homes ask once a second each, the same one always first. (The first one's question took
 /// the time for both, and what the other was done with was never dropped.)
 #[test]
--- a/crates/core/src/cells/home.rs
+++ b/crates/core/src/cells/home.rs
@@ -8,7 +8,7 @@
 use crate::replica::Replica;
 use marblebarrow_cells::choice::Choice;
 use marblebarrow_cells::message::{CellRequest, Exchange, Offer, Sender};
-use marblebarrow_cells::outbound::{DueOffer, REFUSALS_MAX, finished_for};
+use marblebarrow_cells::outbound::{DueOffer, finished_for};
 use marblebarrow_proto::cbor::from_value;
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::job::JobSpec;
@@ -93,7 +93,7 @@
             && !job.cancelled
             && !job.closing
             && job.record.origin.is_none()
-            && job.record.refusals < REFUSALS_MAX
+            && now >= job.rests_until
             && now - job.arrived > cells.settings.patience_s
             && self.team_has_room(job.spec())
             && !self.renting_helps(now, job.spec())
--- a/crates/core/src/cells/settle.rs
+++ b/crates/core/src/cells/settle.rs
@@ -6,7 +6,7 @@
 use crate::leader::Leader;
 use crate::replica::Replica;
 use marblebarrow_cells::message::{CellError, CellReply, ExchangeReply, GuestState};
-use marblebarrow_cells::outbound::Settlement;
+use marblebarrow_cells::outbound::{Settlement, rest_after};
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::records::{EndRecord, SpecRecord, end_key, spec_key};
 use marblebarrow_proto::transfer::{AcknowledgeRecord, acknowledge_key, cancel_wanted_key};
@@ -37,7 +37,7 @@
                 };
                 let settled = cells.outbound.offer_answered(now, &job, &transfer, reply.as_ref());
                 if let Some(settlement) = settled {
-                    self.settle(&settlement, out);
+                    self.settle(now, &settlement, out);
                 }
             }
             (Some(Call::Exchange { cell, sent }), answer) => {
@@ -51,9 +51,9 @@
     }
 
     /// Makes a cell's word on an offer durable.
-    fn settle(&mut self, settlement: &Settlement, out: &mut ActionSink) {
+    fn settle(&mut self, now: Secs, settlement: &Settlement, out: &mut ActionSink) {
         let (Settlement::Accepted(id) | Settlement::Refused(id, _)) = settlement;
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else { return };
         let mut record = SpecRecord::clone(&job.record);
         match settlement {
             Settlement::Accepted(_) => {
@@ -64,7 +64,8 @@
             Settlement::Refused(_, reason) => {
                 self.log.push(|| format!("event=transfer_refused job={id} why={reason:?}"));
                 record.forward = None;
-                record.refusals += 1;
+                record.refusals = record.refusals.saturating_add(1);
+                job.rests_until = now + rest_after(record.refusals, *reason);
                 if let Some(cells) = &mut self.cells {
                     cells.counts.refusals_received += 1;
                 }
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -117,6 +117,8 @@
     pub cancelled_at: Option<Secs>,
     /// Offered to another cell, or there, or about to be: start nothing.
     pub away: bool,
+    /// Other cells refused it: not offered again before, seconds. The next leader begins anew.
+    pub rests_until: Secs,
     /// Its last transaction is under way.
     pub closing: bool,
     /// Some task of it ran for longer than a start must to count.
@@ -184,6 +186,7 @@
             cancelled: false,
             cancelled_at: None,
             away: false,
+            rests_until: 0.0,
             closing: false,
             rooted: false,
             aimed: false,
--- a/crates/rehearsal/tests/cells.rs
+++ b/crates/rehearsal/tests/cells.rs
@@ -78,6 +78,27 @@
     assert!(moved >= 170 && refused >= 100, "{moved} moved, {refused} refused");
 }
 
+/// A cell without any machine gets jobs faster than the others take them, so that they are
+/// refused again and again. (After six refusals a job was never offered again, and waited for
+/// ever: 15 of these 1,000 jobs.)
+#[test]
+fn jobs_refused_often_leave_a_cell_that_stays_full() {
+    let mut refused = 0;
+    for seed in 0..8 {
+        let plan = Plan {
+            machines: vec![0, 6, 6],
+            paces: vec![2, 0, 0],
+            until: 250,
+            patience_s: 1.0,
+            ..Plan::one_full(seed)
+        };
+        let fleet = run(&plan);
+        assert_eq!(fleet.met.moved, u64::from(fleet.ends(0).accepted), "seed {seed}");
+        refused += fleet.met.refused;
+    }
+    assert!(refused >= 400, "{refused} refused");
+}
+
 /// Users cancel jobs before, while and after they are offered and accepted.
 #[test]
 fn cancellations_meet_transfers_in_every_state() {
