--- a/tests/stand_in/cluster.rs
+++ b/tests/stand_in/cluster.rs
@@ -154,6 +154,11 @@
         self.wait_for(&format!("{id} is gone"), |cluster| !cluster.fleet.holds(id));
     }
 
+    /// Where a controller listens.
+    pub fn node(&self, i: usize) -> &str {
+        &self.nodes[i]
+    }
+
     /// Who leads, as the store has it.
     fn leader(&self) -> LeaderRecord {
         let record = self.store.0.lock().expect("store").value(LEADER);
@@ -320,6 +325,8 @@
             let _ = child.kill();
             let _ = child.wait();
         }
+        // Workers that went on asking would report to whoever is given these ports next.
+        self.fleet.end_all();
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
--- a/tests/stand_in/worker.rs
+++ b/tests/stand_in/worker.rs
@@ -150,6 +150,12 @@
         self.on.lock().expect("fleet").retain(|(_, on)| on != machine);
     }
 
+    /// All machines are gone.
+    pub fn end_all(&self) {
+        let rented = self.rented.lock().expect("rented").clone();
+        rented.iter().for_each(|machine| self.end(machine));
+    }
+
     /// The cloud takes a machine back.
     pub fn release(&self, machine: &MachineId) {
         self.end(machine);
