--- a/tests/stand_in/cluster.rs
+++ b/tests/stand_in/cluster.rs
@@ -14,16 +14,33 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Stdio};
 use std::sync::Arc;
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// Longest that any one thing may take before a test gives up.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Ports of the system's choice: taken, noted, and let go for the children.
+/// Ports between the beginnings of two processes: more than a test file takes.
+const PORTS_APART: u32 = 211;
+
+/// Ports below those that the system gives out by itself: between their being let go here and
+/// taken by the children, no connection or stand-in is given one. (With ports of the system's
+/// choice some were, and workers got what was meant for controllers.)
+const PORTS: std::ops::Range<u32> = 10_000..32_000;
+
+/// Ports that are free: taken, noted, and let go for the children. Each process begins at
+/// another one and gives none twice until it has given all.
 pub fn free_addresses(count: usize) -> Vec<SocketAddr> {
-    let held: Vec<TcpListener> =
-        (0..count).map(|_| TcpListener::bind("127.0.0.1:0").expect("bind")).collect();
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    let many = PORTS.end - PORTS.start;
+    let start = std::process::id().wrapping_mul(PORTS_APART);
+    let ports = std::iter::repeat_with(|| {
+        let number = start.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
+        (PORTS.start + number % many) as u16
+    });
+    let free = ports.filter_map(|port| TcpListener::bind(("127.0.0.1", port)).ok());
+    let held: Vec<TcpListener> = free.take(count).collect();
     held.iter().map(|listener| listener.local_addr().expect("addr")).collect()
 }
 
