--- a/crates/cells/src/capacity.rs
+++ b/crates/cells/src/capacity.rs
@@ -1,9 +1,9 @@
-//! Room in cells: what a cell reports, and what another may conclude from it.
+//! Free capacity of cells: what a cell reports of itself, and what another one may conclude
+//! from the reports that it has received.
 
-use crate::message::CellError;
 use marblebarrow_proto::ids::CellName;
 use marblebarrow_proto::job::{JobSpec, Kind};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 /// An array moves where at least this part of its tasks finds room at once: one in four.
 const ARRAY_PART: u32 = 4;
@@ -188,29 +188,3 @@
         self.known.get(cell).map_or(f64::INFINITY, |known| now - known.sent)
     }
 }
-
-/// The highest term of each cell's leader heard: messages of earlier ones change nothing.
-#[derive(Debug, Default)]
-pub struct SenderTerms {
-    terms: BTreeMap<CellName, u64>,
-}
-
-impl SenderTerms {
-    /// Takes note of a sender, or says why it isn't to be heard.
-    pub fn admit(
-        &mut self,
-        cell: &CellName,
-        term: u64,
-        known: &BTreeSet<CellName>,
-    ) -> Result<(), CellError> {
-        if !known.contains(cell) {
-            return Err(CellError::UnknownCell);
-        }
-        let last = self.terms.entry(cell.clone()).or_default();
-        if term < *last {
-            return Err(CellError::StaleTerm);
-        }
-        *last = term;
-        Ok(())
-    }
-}
--- a/crates/cells/src/inbound.rs
+++ b/crates/cells/src/inbound.rs
@@ -1,7 +1,8 @@
 //! The target's side: what becomes of an offer. Only durable records answer it.
 
-use crate::capacity::{Amounts, CapacityReport, SenderTerms, needed};
+use crate::capacity::{Amounts, CapacityReport, needed};
 use crate::message::{CellError, Offer, Sender};
+use crate::sender_terms::SenderTerms;
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::transfer::{InboundRecord, RefusalReason, TransferId};
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -1,10 +1,18 @@
-//! What cells tell each other, in types of the core's.
+//! Requests and replies between cells, as typed values that are independent of gRPC.
+//!
+//! [`crate::rpc`] translates them to and from the wire. Job and transfer ids were checked
+//! there, so that a value of these types is well formed.
+
+pub use crate::error::CellError;
 
 use crate::capacity::CapacityReport;
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::transfer::{RefusalReason, TransferId};
 
+/// Most tracked jobs, and most finished ones, in one exchange: the rest comes with the next.
+pub const EXCHANGE_JOBS_MAX: usize = 256;
+
 /// The leader that sends a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sender {
@@ -214,29 +222,3 @@
     /// A cell's loss is recorded.
     DeclaredLost,
 }
-
-/// Why there is no answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CellError {
-    /// Another controller leads, or none: ask the next.
-    #[error("this controller does not lead its cell")]
-    NotLeader,
-    /// The sender is no cell that this one knows, or is this one.
-    #[error("unknown cell")]
-    UnknownCell,
-    /// A later leader of the sender's cell was heard already.
-    #[error("the sender's term is over")]
-    StaleTerm,
-    /// The request makes no sense.
-    #[error("malformed request")]
-    Malformed,
-    /// The job was submitted to this cell, or the transfer began here.
-    #[error("the job is at home here")]
-    HomeHere,
-    /// Not now: ask again.
-    #[error("busy, ask again")]
-    Busy,
-    /// No answer came.
-    #[error("no answer")]
-    NoAnswer,
-}
--- /dev/null
+++ b/crates/cells/src/outbound/exchange.rs
@@ -0,0 +1,100 @@
+//! The periodic exchange with each cell that has accepted jobs from here: when it is due,
+//! which jobs it asks about, and what the job states in the reply change.
+
+use crate::message::{EXCHANGE_JOBS_MAX, FinishedJob, GuestState, TrackedJob};
+use crate::outbound::call::PendingCall;
+use crate::outbound::{OpenTransfer, Outbound};
+use marblebarrow_proto::ids::{CellName, JobId};
+use marblebarrow_proto::transfer::{AcknowledgeRecord, TransferId};
+use std::collections::BTreeSet;
+use std::ops::Bound;
+
+/// Seconds between two exchanges with a cell: polls may lag by three.
+const EXCHANGE_INTERVAL_S: f64 = 1.0;
+
+/// The exchanges with one cell.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ExchangeState {
+    call: PendingCall,
+    /// When the next one is due.
+    next: f64,
+    /// The last job asked about, if jobs after it wait for their turn.
+    after: Option<JobId>,
+}
+
+impl Outbound {
+    /// Whether it is time for an exchange with a cell; it counts as under way from then on.
+    pub fn exchange_due(&mut self, now: f64, cell: &CellName) -> bool {
+        let state = self.exchanges.entry(cell.clone()).or_default();
+        if state.call.under_way(now) || now < state.next {
+            return false;
+        }
+        state.call.begin(now);
+        state.next = now + EXCHANGE_INTERVAL_S;
+        true
+    }
+
+    /// An exchange was answered, or wasn't.
+    pub fn exchange_answered(&mut self, cell: &CellName) {
+        self.exchanges.entry(cell.clone()).or_default().call.end();
+    }
+
+    /// Jobs to ask a cell about, in turn.
+    pub fn tracked(&mut self, cell: &CellName, cancels: &BTreeSet<JobId>) -> Vec<TrackedJob> {
+        let state = self.exchanges.entry(cell.clone()).or_default();
+        let from = state.after.clone().map_or(Bound::Unbounded, Bound::Excluded);
+        let there = |open: &OpenTransfer| open.record.accepted && open.record.target == *cell;
+        let tracked: Vec<TrackedJob> = self
+            .open
+            .range((from, Bound::Unbounded))
+            .filter(|(_, open)| there(open))
+            .take(EXCHANGE_JOBS_MAX)
+            .map(|(job, open)| TrackedJob {
+                job: job.clone(),
+                transfer: open.record.transfer.clone(),
+                cancel: cancels.contains(job),
+            })
+            .collect();
+        let full = tracked.len() == EXCHANGE_JOBS_MAX;
+        state.after = tracked.last().filter(|_| full).map(|last| last.job.clone());
+        tracked
+    }
+
+    /// A cell told how a job stands. Its end, if it is over and that isn't being recorded
+    /// already.
+    pub fn status(
+        &mut self,
+        cell: &CellName,
+        job: &JobId,
+        transfer: &TransferId,
+        state: GuestState,
+    ) -> Option<GuestState> {
+        let open = self.open.get_mut(job)?;
+        let ours = open.record.transfer == *transfer && open.record.target == *cell;
+        if !ours || !open.record.accepted || open.settling {
+            return None;
+        }
+        match state {
+            GuestState::Open { done, running } => {
+                open.counts = (done.max(open.counts.0), running);
+                None
+            }
+            over => {
+                open.settling = true;
+                Some(over)
+            }
+        }
+    }
+}
+
+/// Ends that a cell must be told are known at home.
+pub fn finished_for<'a>(
+    cell: &CellName,
+    records: impl Iterator<Item = (&'a JobId, &'a AcknowledgeRecord)>,
+) -> Vec<FinishedJob> {
+    records
+        .filter(|(_, record)| record.target == *cell)
+        .take(EXCHANGE_JOBS_MAX)
+        .map(|(job, record)| FinishedJob { job: job.clone(), transfer: record.transfer.clone() })
+        .collect()
+}
--- /dev/null
+++ b/crates/cells/src/outbound/mod.rs
@@ -0,0 +1,112 @@
+//! The home side: jobs that are offered to other cells, and jobs that those have accepted.
+//!
+//! The stored records are the truth; an [`Outbound`] holds only what a leader must remember
+//! between them, and is rebuilt from them after a failover. A transfer without a verdict is
+//! offered to the same cell again until that cell has given one: a missing answer is never
+//! taken for a refusal.
+
+mod call;
+mod exchange;
+mod offer;
+
+pub use crate::message::EXCHANGE_JOBS_MAX;
+pub use call::CALL_LOST_S;
+pub use exchange::finished_for;
+pub use offer::{DueOffer, REFUSALS_MAX, Settlement};
+
+use crate::capacity::{Amounts, needed};
+use call::PendingCall;
+use exchange::ExchangeState;
+use marblebarrow_proto::ids::{CellName, JobId};
+use marblebarrow_proto::job::JobSpec;
+use marblebarrow_proto::transfer::{ForwardRecord, TransferId};
+use offer::OFFER_RETRY_FIRST_S;
+use std::collections::BTreeMap;
+
+/// A job that is offered to a cell, or that a cell has accepted.
+#[derive(Clone, Debug)]
+pub struct OpenTransfer {
+    /// Its record.
+    pub record: ForwardRecord,
+    /// Since when this leader knows of it.
+    pub since: f64,
+    /// Tasks done and running there, as last heard.
+    pub counts: (u32, u32),
+    /// Capacity of the target that it is expected to take.
+    need: Amounts,
+    /// When the offer may be sent again.
+    next_offer: f64,
+    /// Wait after the next attempt that fails, seconds.
+    retry: f64,
+    call: PendingCall,
+    /// Whether a verdict or an end is being made durable.
+    settling: bool,
+}
+
+/// The transfers of a home cell, as its leader holds them.
+#[derive(Debug, Default)]
+pub struct Outbound {
+    next_number: u32,
+    open: BTreeMap<JobId, OpenTransfer>,
+    exchanges: BTreeMap<CellName, ExchangeState>,
+}
+
+impl Outbound {
+    /// A transfer that no leader ever named before.
+    pub fn new_transfer(&mut self, home: &CellName, term: u64) -> TransferId {
+        self.next_number += 1;
+        TransferId { home: home.clone(), term, number: self.next_number }
+    }
+
+    /// A job's record as it is in the store.
+    pub fn learn(&mut self, now: f64, spec: &JobSpec, forward: Option<&ForwardRecord>) {
+        let Some(record) = forward else {
+            self.open.remove(&spec.id);
+            return;
+        };
+        let open = self.open.entry(spec.id.clone()).or_insert_with(|| OpenTransfer {
+            record: record.clone(),
+            since: now,
+            counts: (0, 0),
+            need: needed(spec),
+            next_offer: now,
+            retry: OFFER_RETRY_FIRST_S,
+            call: PendingCall::default(),
+            settling: false,
+        });
+        if open.record != *record {
+            open.record = record.clone();
+            open.settling = false;
+            open.call.end();
+        }
+    }
+
+    /// A job is over.
+    pub fn forget(&mut self, job: &JobId) {
+        self.open.remove(job);
+    }
+
+    /// The transfer of a job.
+    pub fn get(&self, job: &JobId) -> Option<&OpenTransfer> {
+        self.open.get(job)
+    }
+
+    /// All transfers.
+    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &OpenTransfer)> {
+        self.open.iter()
+    }
+
+    /// Transfers that no cell has spoken on yet.
+    pub fn in_doubt(&self) -> usize {
+        self.open.values().filter(|open| !open.record.accepted).count()
+    }
+
+    /// Room promised to transfers in doubt, by cell.
+    pub fn promised(&self) -> BTreeMap<CellName, Amounts> {
+        let mut promised: BTreeMap<CellName, Amounts> = BTreeMap::new();
+        for open in self.open.values().filter(|open| !open.record.accepted) {
+            promised.entry(open.record.target.clone()).or_default().add(&open.need);
+        }
+        promised
+    }
+}
--- /dev/null
+++ b/crates/cells/src/rpc/operator.rs
@@ -0,0 +1,48 @@
+//! Calls of operators: the overview of a cell, and the declaration that a cell is lost.
+
+use crate::error::CellError;
+use crate::message::Overview;
+use crate::rpc::identity::cell_from_wire;
+use crate::wire;
+use marblebarrow_proto::ids::CellName;
+
+impl From<&Overview> for wire::OverviewReply {
+    fn from(overview: &Overview) -> Self {
+        let cells = overview.cells.iter().map(|cell| wire::CellOverview {
+            cell: cell.cell.to_string(),
+            heard_s: cell.silent_s,
+            free_cpus: cell.free_cpus,
+            rentable: cell.rentable,
+            backlog: cell.backlog,
+            lost: cell.lost,
+        });
+        let transfers = overview.transfers.iter().map(|transfer| wire::TransferOverview {
+            job: transfer.job.to_string(),
+            target: transfer.target.to_string(),
+            accepted: transfer.accepted,
+            age_s: transfer.age_s,
+            cancel_wanted: transfer.cancel_wanted,
+        });
+        Self {
+            cell: overview.cell.to_string(),
+            term: overview.term,
+            cells: cells.collect(),
+            transfers: transfers.collect(),
+            guests: overview.guests,
+            offers_sent: overview.counts.offers_sent,
+            refusals_received: overview.counts.refusals_received,
+            refusals_given: overview.counts.refusals_given,
+            bad_requests: overview.counts.bad_requests,
+        }
+    }
+}
+
+/// The cell that an operator declares lost. Its name must be typed twice, the same way, else
+/// the request is [`CellError::Malformed`]: jobs of a cell that is declared lost may start again at
+/// home.
+pub fn lost_cell_in(request: &wire::DeclareLostRequest) -> Result<CellName, CellError> {
+    if request.cell != request.typed_name {
+        return Err(CellError::Malformed);
+    }
+    cell_from_wire(&request.cell)
+}
--- /dev/null
+++ b/crates/cells/src/rpc/status.rs
@@ -0,0 +1,34 @@
+//! Errors as gRPC status codes.
+
+use crate::error::CellError;
+use tonic::{Code, Status};
+
+impl From<CellError> for Status {
+    fn from(error: CellError) -> Self {
+        let code = match error {
+            CellError::NotLeader | CellError::NoAnswer => Code::Unavailable,
+            CellError::UnknownCell => Code::PermissionDenied,
+            CellError::StaleTerm => Code::FailedPrecondition,
+            CellError::Malformed => Code::InvalidArgument,
+            CellError::HomeHere => Code::AlreadyExists,
+            CellError::Busy => Code::ResourceExhausted,
+        };
+        Status::new(code, error.to_string())
+    }
+}
+
+/// The error that a status received from another cell stands for. Statuses that no cell
+/// gives, such as a broken connection, are [`CellError::NoAnswer`].
+pub fn error_of(status: &Status) -> CellError {
+    match status.code() {
+        Code::PermissionDenied => CellError::UnknownCell,
+        Code::FailedPrecondition => CellError::StaleTerm,
+        Code::InvalidArgument => CellError::Malformed,
+        Code::AlreadyExists => CellError::HomeHere,
+        Code::ResourceExhausted => CellError::Busy,
+        Code::Unavailable if status.message() == CellError::NotLeader.to_string() => {
+            CellError::NotLeader
+        }
+        _ => CellError::NoAnswer,
+    }
+}
