--- /dev/null
+++ b/crates/rehearsal/src/fleet_of_cells/mod.rs
@@ -0,0 +1,197 @@
+//! Several cells in one simulated time, with faulty links between them.
+//!
+//! A [`Plan`] says how large the cells are, how often jobs are submitted and which faults
+//! occur; [`FleetOfCells`] plays it step by step and checks the rules that hold across cells.
+
+mod checks;
+mod digest;
+mod links;
+mod messages;
+mod outcome;
+mod plan;
+
+pub use outcome::{Ends, Met};
+pub use plan::{CellTrouble, Plan};
+
+use crate::world::World;
+use digest::Digest;
+use links::Links;
+use marblebarrow_proto::ids::JobId;
+use marblebarrow_proto::wire::Stage;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Events kept, to be shown with a rule that was broken.
+const EVENTS_KEPT: usize = 60;
+
+/// Simulated cells and the links between them.
+pub struct FleetOfCells {
+    /// The cells, by index.
+    pub cells: Vec<World>,
+    /// What was counted so far.
+    pub met: Met,
+    /// Violations of the rules that were found.
+    pub broken: Vec<String>,
+    digest: Digest,
+    step: u32,
+    links: Links,
+    /// Faults that haven't begun yet, and the step at which each begins.
+    troubles: Vec<(u32, CellTrouble)>,
+    /// The cells that ever accepted a job from its home.
+    accepted_by: BTreeMap<JobId, BTreeSet<usize>>,
+    /// How many job descriptions the cells shared last.
+    specs_shared: usize,
+    /// Since when jobs are offered to a cell that hasn't answered, steps.
+    in_doubt: BTreeMap<JobId, u32>,
+    times_in_doubt: Vec<u32>,
+    events: VecDeque<String>,
+}
+
+impl FleetOfCells {
+    /// The cells of a plan, at their start.
+    pub fn new(plan: &Plan) -> Self {
+        let mut plan = plan.clone();
+        plan.troubles.sort_by_key(|(at, _)| *at);
+        Self {
+            cells: plan.cells(),
+            met: Met::default(),
+            broken: Vec::new(),
+            digest: Digest::default(),
+            step: 0,
+            links: Links::new(plan.seed),
+            troubles: plan.troubles,
+            accepted_by: BTreeMap::new(),
+            specs_shared: 0,
+            in_doubt: BTreeMap::new(),
+            times_in_doubt: Vec::new(),
+            events: VecDeque::new(),
+        }
+    }
+
+    /// Steps in which a plan's work and faults surely end.
+    pub fn steps_of(plan: &Plan) -> u32 {
+        plan.steps()
+    }
+
+    /// Runs up to this step, then checks that all work was done. Ends early when a rule is
+    /// broken.
+    pub fn run(&mut self, steps: u32) {
+        while self.step < steps && self.broken.is_empty() {
+            self.advance(steps);
+        }
+        if self.broken.is_empty() {
+            self.cells.iter_mut().for_each(World::check_over);
+            self.collect_broken();
+        }
+    }
+
+    /// A number that two runs share only if everything logged and counted was the same.
+    pub fn digest(&self) -> u64 {
+        self.digest.value()
+    }
+
+    /// How long each transfer that is settled was in doubt, in steps.
+    pub fn times_in_doubt(&self) -> Vec<u32> {
+        self.times_in_doubt.clone()
+    }
+
+    /// The last events before now.
+    pub fn last_events(&self) -> Vec<String> {
+        self.events.iter().cloned().collect()
+    }
+
+    /// How many jobs of a cell were told done, told cancelled, and accepted in all.
+    pub fn ends(&self, cell: usize) -> Ends {
+        let world = &self.cells[cell];
+        let mut ends = Ends::default();
+        for job in world.accepted_jobs() {
+            ends.accepted += 1;
+            match world.last_told(job).map(|(stage, _)| stage) {
+                Some(Stage::Done) => ends.done += 1,
+                Some(Stage::Cancelled) => ends.cancelled += 1,
+                _ => {}
+            }
+        }
+        ends
+    }
+
+    /// Steps from acceptance to the first start of each job of a cell that began, anywhere.
+    pub fn waits(&self, cell: usize) -> Vec<u32> {
+        let accepted = &self.cells[cell].accepted_at;
+        let begun = |job| self.cells.iter().find_map(|world| world.begun.get(job));
+        accepted
+            .iter()
+            .filter_map(|(job, at)| begun(job).map(|begun| begun.saturating_sub(*at)))
+            .collect()
+    }
+
+    fn advance(&mut self, steps: u32) {
+        self.step += 1;
+        self.begin_cuts();
+        for cell in &mut self.cells {
+            cell.advance(steps);
+        }
+        self.share_descriptions();
+        self.share_finished_tasks();
+        self.send_messages();
+        self.deliver_messages();
+        self.time_out_calls();
+        self.check();
+        self.measure_doubt();
+        self.collect_broken();
+        self.record_step();
+    }
+
+    fn begin_cuts(&mut self) {
+        let step = self.step;
+        for (_, trouble) in self.troubles.extract_if(.., |(at, _)| *at <= step) {
+            if let CellTrouble::Cut(from, to, steps) = trouble {
+                self.links.cut(from, to, step + steps);
+            }
+        }
+    }
+
+    /// Workers everywhere can fetch every job's description.
+    fn share_descriptions(&mut self) {
+        let known: usize = self.cells.iter().map(|cell| cell.submitted().len()).sum();
+        if known == self.specs_shared {
+            return;
+        }
+        self.specs_shared = known;
+        let all: Vec<_> = self.cells.iter().flat_map(|cell| cell.submitted().clone()).collect();
+        for cell in &mut self.cells {
+            cell.guest_specs.extend(all.iter().cloned());
+        }
+    }
+
+    /// What is finished in one cell is so for all.
+    fn share_finished_tasks(&mut self) {
+        for cell in 0..self.cells.len() {
+            let finished = std::mem::take(&mut self.cells[cell].newly_finished);
+            let others = self.cells.iter_mut().enumerate().filter(|(other, _)| *other != cell);
+            for (_, other) in others {
+                finished.iter().for_each(|task| other.finished_elsewhere(task));
+            }
+        }
+    }
+
+    /// Adds this step to the digest: all that controllers logged, starts, store changes and
+    /// messages.
+    fn record_step(&mut self) {
+        let digest = &mut self.digest;
+        for (cell, world) in self.cells.iter_mut().enumerate() {
+            for event in std::mem::take(&mut world.events) {
+                event.bytes().for_each(|byte| digest.add(u64::from(byte)));
+                self.events.push_back(format!("cell-{cell} {event}"));
+                if self.events.len() > EVENTS_KEPT {
+                    self.events.pop_front();
+                }
+            }
+            digest.add(u64::from(world.starts));
+            digest.add(world.store_work.changes as u64);
+            digest.add(world.store_work.bytes as u64);
+        }
+        digest.add(self.met.messages);
+        digest.add(self.links.packets_under_way() as u64);
+        digest.add(self.accepted_by.len() as u64);
+    }
+}
--- /dev/null
+++ b/crates/rehearsal/src/fleet_of_cells/plan.rs
@@ -0,0 +1,137 @@
+//! The plan of a run: sizes of the cells, load, settings and faults.
+
+use crate::fleet_of_cells::links::LATE_STEPS_MAX;
+use crate::world::{Trouble, World};
+use marblebarrow_cells::settings::{CellsSettings, OtherCell};
+use marblebarrow_proto::ids::CellName;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::Arc;
+
+/// The jobs of each cell have numbers from a multiple of this on.
+const JOB_NUMBERS_PER_CELL: u32 = 100_000;
+/// CPUs that the team of each cell may use, so many that its quota limits nothing.
+const TEAM_CPUS_MAX: f64 = 200.0;
+/// Steps for which the last job of a run may be open after all faults.
+const SETTLING_STEPS: u32 = 1_200;
+
+/// A fault among cells; lengths in steps, cells by their index.
+#[derive(Clone, Debug)]
+pub enum CellTrouble {
+    /// Within a cell.
+    Within(usize, Trouble),
+    /// Nothing goes from the first cell to the second.
+    Cut(usize, usize, u32),
+    /// A cell is gone with all its controllers.
+    CellGone(usize, u32),
+}
+
+/// The configuration of a run.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    /// Seed of all random decisions.
+    pub seed: u64,
+    /// Machines at most, by cell.
+    pub machines: Vec<usize>,
+    /// Steps between submissions, by cell; 0: none.
+    pub paces: Vec<u32>,
+    /// Until when jobs are submitted, in steps.
+    pub until: u32,
+    /// Seconds that a job waits before it may move.
+    pub patience_s: f64,
+    /// A script that chooses among cells with room.
+    pub policy: Option<String>,
+    /// Whether jobs may move at all.
+    pub moving: bool,
+    /// Whether every fourth job is cancelled a second after it was accepted.
+    pub cancels: bool,
+    /// The faults, and the step at which each begins.
+    pub troubles: Vec<(u32, CellTrouble)>,
+}
+
+impl Plan {
+    /// Three cells, of which the first has far too few machines.
+    pub fn one_full(seed: u64) -> Self {
+        Self {
+            seed,
+            machines: vec![3, 14, 14],
+            paces: vec![10, 60, 60],
+            until: 400,
+            patience_s: 4.0,
+            policy: None,
+            moving: true,
+            cancels: false,
+            troubles: Vec::new(),
+        }
+    }
+}
+
+impl Plan {
+    /// The cells of this plan, at their start.
+    pub(super) fn cells(&self) -> Vec<World> {
+        let calm_from = self.last_fault_ends() + LATE_STEPS_MAX;
+        (0..self.machines.len()).map(|cell| self.cell(cell, calm_from)).collect()
+    }
+
+    fn cell(&self, cell: usize, calm_from: u32) -> World {
+        let mut world = World::new(self.seed * 31 + cell as u64, self.troubles_within(cell));
+        let pace = self.paces[cell];
+        world.size = (self.machines[cell], TEAM_CPUS_MAX);
+        world.first_number = JOB_NUMBERS_PER_CELL * (cell as u32 + 1);
+        world.pace = (pace.max(1), if pace == 0 { 0 } else { self.until });
+        world.cells = self.moving.then(|| Arc::new(self.settings(cell)));
+        world.quarter = self.cancels;
+        world.calm_after(calm_from);
+        world
+    }
+
+    /// The faults inside one cell, in order of their begin.
+    fn troubles_within(&self, cell: usize) -> Vec<(u32, Trouble)> {
+        let within = self.troubles.iter().filter_map(|(at, trouble)| match trouble {
+            CellTrouble::Within(c, inner) if *c == cell => Some((*at, inner.clone())),
+            CellTrouble::CellGone(c, steps) if *c == cell => Some((*at, Trouble::CrashAll(*steps))),
+            _ => None,
+        });
+        within.collect()
+    }
+
+    fn settings(&self, cell: usize) -> CellsSettings {
+        let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+        let others = (0..self.machines.len()).filter(|other| *other != cell);
+        let other_cell = |other| OtherCell { name: cell_name(other), controllers: vec![nowhere] };
+        CellsSettings {
+            name: cell_name(cell),
+            listen: nowhere,
+            others: others.map(other_cell).collect(),
+            patience_s: self.patience_s,
+            reserve_cpus: 0.0,
+            report_age_s: 5.0,
+            transfers_max: 16,
+            message_bytes: 64 * 1024,
+            policy: self.policy.clone(),
+        }
+    }
+
+    /// Steps in which the work and the faults of this plan surely end.
+    pub(super) fn steps(&self) -> u32 {
+        self.last_fault_ends().max(self.until) + SETTLING_STEPS
+    }
+
+    /// The step at which the last fault ends; 0 without any.
+    fn last_fault_ends(&self) -> u32 {
+        let ends = self.troubles.iter().map(|(at, trouble)| at + steps_of(trouble));
+        ends.max().unwrap_or(0)
+    }
+}
+
+/// The name of a cell by its index.
+pub(super) fn cell_name(cell: usize) -> CellName {
+    CellName::new(&format!("cell-{cell}"))
+}
+
+/// How long a fault lasts.
+fn steps_of(trouble: &CellTrouble) -> u32 {
+    match trouble {
+        CellTrouble::Within(_, trouble) => trouble.steps(),
+        CellTrouble::Cut(_, _, steps) | CellTrouble::CellGone(_, steps) => *steps,
+    }
+}
