--- a/crates/rehearsal/src/held_commands.rs
+++ b/crates/rehearsal/src/held_commands.rs
@@ -5,7 +5,6 @@
 //! raised. Jobs are called off a second after they were accepted, as they run, and as
 //! their start is held.
 
-use crate::scenario::{Outcome, Scenario, Verdict};
 use crate::world::{Held, Trouble, World};
 use std::fmt;
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
@@ -87,14 +86,30 @@
     [spell(238), spell(560)].concat()
 }
 
-/// Plays the three days; the same seed and sources give the same verdict and digest.
-pub fn run(seed: u64) -> Verdict {
+/// The three days of the rehearsal, with the troubles of each.
+fn days() -> [(&'static str, Vec<(u32, Trouble)>); 3] {
+    [("alone", Vec::new()), ("leaders-end", leaders_end()), ("outage", outage())]
+}
+
+/// How a run of the three days went.
+#[derive(Clone, Debug)]
+pub struct HeldRun {
+    /// The counts over all days.
+    pub outcome: HeldOutcome,
+    /// Two runs share it only if everything logged and counted was the same.
+    pub digest: u64,
+    /// The last lines that the controllers logged on each day.
+    pub events: Vec<String>,
+    /// Violations of the rules that were found.
+    pub broken: Vec<String>,
+}
+
+/// Plays the three days; the same seed and sources give the same run.
+pub fn run(seed: u64) -> HeldRun {
     let mut outcome = HeldOutcome::default();
     let mut hasher = DefaultHasher::new();
     let (mut broken, mut events) = (Vec::new(), Vec::new());
-    for (name, others) in
-        [("alone", Vec::new()), ("leaders-end", leaders_end()), ("outage", outage())]
-    {
+    for (name, others) in days() {
         let mut world = day(seed, HELD, &others);
         world.run(STEPS);
         outcome.add(&world);
@@ -103,14 +118,7 @@
         let from = world.info.len().saturating_sub(LINES_SHOWN);
         events.extend(world.info[from..].iter().map(|line| format!("{name}: {line}")));
     }
-    Verdict {
-        scenario: Scenario::HeldCommands,
-        seed,
-        digest: hasher.finish(),
-        outcome: Outcome::HeldCommands(outcome),
-        events,
-        broken,
-    }
+    HeldRun { outcome, digest: hasher.finish(), events, broken }
 }
 
 impl HeldOutcome {
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Rehearsals by name, and their verdicts.
+//! The named rehearsals of `marblebarrow rehearse`, and their verdicts.
 
 use crate::fleet_of_cells::{CellTrouble, Ends, FleetOfCells, Met, Plan};
 use crate::held_commands::{self, HeldOutcome};
@@ -88,11 +88,17 @@
     /// Runs it; the same seed and sources give the same verdict and digest.
     pub fn run(self, seed: u64) -> Verdict {
         match self {
-            Self::HeldCommands => held_commands::run(seed),
+            Self::HeldCommands => self.run_held_commands(seed),
             _ => self.run_cells(seed),
         }
     }
 
+    fn run_held_commands(self, seed: u64) -> Verdict {
+        let held_commands::HeldRun { outcome, digest, events, broken } = held_commands::run(seed);
+        let outcome = Outcome::HeldCommands(outcome);
+        Verdict { scenario: self, seed, digest, outcome, events, broken }
+    }
+
     fn run_cells(self, seed: u64) -> Verdict {
         let plan = self.plan(seed);
         let mut fleet = FleetOfCells::new(&plan);
