--- a/crates/proto/src/job.rs
+++ b/crates/proto/src/job.rs
@@ -1,4 +1,22 @@
 //! A job as its user describes it, and the checks a submission must pass.
+//!
+//! | on the wire | in the code |
+//! | --- | --- |
+//! | `ref` | job id |
+//! | `lot` | class |
+//! | `crew` | team |
+//! | `shape`: `sweep`, `gang`, `daemon` | kind: array, gang, service |
+//! | `rank`: `idle`, `standard` | priority: low, normal |
+//! | `pieces` | tasks |
+//! | `vcpus`, `cards`, `mem_gb` | CPUs, GPUs, memory of a task |
+//! | `mould`, `size_gb` | image, its size |
+//! | `builds`, `quarter` | allowed machine types, allowed zone |
+//! | `together` | all tasks in one zone (`one_zone`) |
+//! | `loaners` | spot machines allowed |
+//! | `guess_s` | estimated run time of a task |
+//! | `mark_s`, `stow_s` | checkpoint interval, time to save |
+//! | `due_s` | deadline |
+//! | `waits_on` | DAG dependencies |
 
 use crate::cbor;
 use crate::ids::JobId;
--- a/crates/proto/src/tests/wire.rs
+++ b/crates/proto/src/tests/wire.rs
@@ -1,5 +1,7 @@
 use super::*;
 use crate::cbor;
+use crate::ids::JobId;
+use ciborium::Value;
 
 #[test]
 fn reads_the_protocol_pages_report() {
