--- a/crates/rehearsal/src/world/cloud.rs
+++ b/crates/rehearsal/src/world/cloud.rs
@@ -2,88 +2,24 @@
 
 use super::*;
 
+/// Boot time of a machine, seconds, for each tenth of the usual boot.
+const BOOT_S_PER_TENTH: f64 = 0.3;
+/// The usual boot, in tenths.
+const USUAL_BOOT_TENTHS: u32 = 10;
+/// While boots are slow, one machine in so many never comes up.
+const NEVER_UP_ONE_IN: u32 = 3;
+/// Boot time of such a machine, seconds.
+const NEVER_S: f64 = 1e9;
+
 impl World {
     pub(super) fn cloud(&mut self, req: &CloudRequest) -> CloudResult {
         if self.step < self.cloud_down_until {
             return CloudResult::Refused;
         }
-        let now = self.now();
         match req {
-            CloudRequest::Types => CloudResult::Types(vec![MachineType {
-                name: "k".into(),
-                cpus: 4.0,
-                gpus: 0.0,
-                memory_gb: 8.0,
-                cache_gb: 10.0,
-                fetch_gb_per_s: 1.0,
-                price: 1.0,
-                spot_price: 0.4,
-                boot_s: 3.0,
-                zones: vec!["a".into(), "b".into()],
-            }]),
-            CloudRequest::List { .. } => {
-                let machines = self
-                    .machines
-                    .iter()
-                    .map(|(id, w)| ListedMachine {
-                        machine: id.clone(),
-                        kind: w.kind.clone(),
-                        zone: w.zone.clone(),
-                        spot: w.spot,
-                        state: if now < w.up_at {
-                            ListedState::Booting
-                        } else {
-                            ListedState::Running
-                        },
-                        age_s: 3.0,
-                    })
-                    .collect();
-                CloudResult::List(MachineList { machines, more: false })
-            }
-            CloudRequest::Rent(rent) => {
-                if let Some(names) = self.rents.get(&rent.request) {
-                    return CloudResult::Rented(names.clone());
-                }
-                if self.machines.len() + rent.count as usize > self.size.0 {
-                    return CloudResult::NoCapacity;
-                }
-                let mut names = Vec::new();
-                self.ordinary += if rent.spot { 0 } else { rent.count };
-                self.rented += rent.count;
-                let factor = if self.step < self.boots.1 { self.boots.0 } else { 10 };
-                for _ in 0..rent.count {
-                    self.next_machine += 1;
-                    let never = factor > 10 && self.next_machine.is_multiple_of(3);
-                    let boot = if never { 1e9 } else { 0.3 * f64::from(factor) };
-                    let id = MachineId::new(&format!("n-{:04}", self.next_machine));
-                    names.push(id.clone());
-                    self.machines.insert(
-                        id,
-                        Worker {
-                            kind: rent.kind.clone(),
-                            zone: rent.zone.clone(),
-                            spot: rent.spot,
-                            up_at: now + boot,
-                            dead: false,
-                            cut_until: 0,
-                            deaf_until: 0,
-                            mute_until: 0,
-                            hung_until: 0,
-                            slow_until: 0,
-                            session: 1,
-                            seq: 0,
-                            token: 0,
-                            leased_from: now + boot,
-                            next_report: now + boot,
-                            at: 0,
-                            waiting: None,
-                            tasks: BTreeMap::new(),
-                        },
-                    );
-                }
-                self.rents.insert(rent.request.clone(), names.clone());
-                CloudResult::Rented(names)
-            }
+            CloudRequest::Types => CloudResult::Types(vec![machine_type()]),
+            CloudRequest::List { .. } => CloudResult::List(self.machine_list()),
+            CloudRequest::Rent(rent) => self.rent(rent),
             CloudRequest::Release(names) => {
                 for id in names {
                     self.machines.remove(id);
@@ -93,4 +29,86 @@
             }
         }
     }
+
+    fn machine_list(&self) -> MachineList {
+        let now = self.now();
+        let state = |up_at| if now < up_at { ListedState::Booting } else { ListedState::Running };
+        let listed = |(id, w): (&MachineId, &Worker)| ListedMachine {
+            machine: id.clone(),
+            kind: w.kind.clone(),
+            zone: w.zone.clone(),
+            spot: w.spot,
+            state: state(w.up_at),
+            age_s: 3.0,
+        };
+        MachineList { machines: self.machines.iter().map(listed).collect(), more: false }
+    }
+
+    /// Rents machines; a repeated request gets the same answer and rents nothing.
+    fn rent(&mut self, rent: &Rent) -> CloudResult {
+        if let Some(names) = self.rents.get(&rent.request) {
+            return CloudResult::Rented(names.clone());
+        }
+        if self.machines.len() + rent.count as usize > self.size.0 {
+            return CloudResult::NoCapacity;
+        }
+        self.ordinary += if rent.spot { 0 } else { rent.count };
+        self.rented += rent.count;
+        let names: Vec<MachineId> = (0..rent.count).map(|_| self.boot_machine(rent)).collect();
+        self.rents.insert(rent.request.clone(), names.clone());
+        CloudResult::Rented(names)
+    }
+
+    /// Adds a machine that boots; its name.
+    fn boot_machine(&mut self, rent: &Rent) -> MachineId {
+        let tenths = if self.step < self.boots.1 { self.boots.0 } else { USUAL_BOOT_TENTHS };
+        self.next_machine += 1;
+        let never = tenths > USUAL_BOOT_TENTHS && self.next_machine.is_multiple_of(NEVER_UP_ONE_IN);
+        let boot_s = if never { NEVER_S } else { BOOT_S_PER_TENTH * f64::from(tenths) };
+        let id = MachineId::new(&format!("n-{:04}", self.next_machine));
+        self.machines.insert(id.clone(), Worker::booting(rent, self.now() + boot_s));
+        id
+    }
+}
+
+/// The only machine type of the simulated cloud.
+fn machine_type() -> MachineType {
+    MachineType {
+        name: "k".into(),
+        cpus: 4.0,
+        gpus: 0.0,
+        memory_gb: 8.0,
+        cache_gb: 10.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.4,
+        boot_s: 3.0,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
+
+impl Worker {
+    /// The worker of a machine that is up, and begins its first session, at this time.
+    fn booting(rent: &Rent, up_at: f64) -> Self {
+        Self {
+            kind: rent.kind.clone(),
+            zone: rent.zone.clone(),
+            spot: rent.spot,
+            up_at,
+            dead: false,
+            cut_until: 0,
+            deaf_until: 0,
+            mute_until: 0,
+            hung_until: 0,
+            slow_until: 0,
+            session: 1,
+            seq: 0,
+            token: 0,
+            leased_from: up_at,
+            next_report: up_at,
+            at: 0,
+            waiting: None,
+            tasks: BTreeMap::new(),
+        }
+    }
 }
--- a/crates/rehearsal/src/world/controllers.rs
+++ b/crates/rehearsal/src/world/controllers.rs
@@ -1,9 +1,36 @@
 //! Controllers and the messages between them and the world.
 
 use super::*;
+use marblebarrow_proto::records::WATCHED;
 
-/// Answers of the store are late by less than this, in steps: the links wait for 12.
-const ANSWER_LATE_MOST: u32 = 10;
+/// Steps after which a link gives up waiting for the store.
+const STORE_TIMEOUT_STEPS: u32 = 12;
+/// Late answers of the store are late by less than this, which is less than the links wait.
+const ANSWER_LATE_MAX_STEPS: u32 = 10;
+/// One request to the store in so many goes unanswered, whatever else happens.
+const STORE_SILENT_ONE_IN: u32 = 40;
+/// One transaction in so many is hit by a fault of transactions.
+const COMMIT_HIT_ONE_IN: u32 = 3;
+/// Steps after which a link gives up waiting for the cloud.
+const CLOUD_TIMEOUT_STEPS: u32 = 30;
+/// One request to the cloud in so many goes unanswered.
+const CLOUD_SILENT_ONE_IN: u32 = 30;
+/// One pledge in so many comes twice, the second time late, ...
+const LATE_PLEDGE_ONE_IN: u32 = 20;
+/// ... by so many steps.
+const LATE_PLEDGE_STEPS: u32 = 25;
+/// A watch without news is answered after so many seconds.
+const WATCH_BLOCK_S: f64 = 2.5;
+/// Time of day at the start of the simulation, milliseconds since 1970.
+const TIME_OF_DAY_START_MS: u64 = 1_000_000;
+
+fn controller_name(n: usize) -> NodeId {
+    NodeId::new(&format!("c{n}"))
+}
+
+fn time_of_day_ms(now: f64) -> u64 {
+    TIME_OF_DAY_START_MS + (now * 1e3) as u64
+}
 
 impl World {
     pub(super) fn ask(&mut self, n: usize, asked: Asked, event: impl FnOnce(ReplyTo) -> Event) {
@@ -28,46 +55,52 @@
         let now = self.now();
         let host = &mut self.hosts[n];
         if let Some(node) = &mut host.node {
-            node.handle(now - host.born, 1_000_000 + (now * 1e3) as u64, event);
+            node.handle(now - host.born, time_of_day_ms(now), event);
         }
         self.act(n);
     }
 
+    /// One step of a controller: it is started if it is down, and ticks.
     pub(super) fn change_leadership(&mut self, n: usize) {
-        let now = self.now();
         if self.hosts[n].node.is_none() {
             if self.step < self.hosts[n].back_at {
                 return;
             }
-            let boot = self.rng.random::<u64>() >> 1;
-            let facts = self.facts(n);
-            let host = &mut self.hosts[n];
-            let mut node = Node::new(facts, boot, 0.0);
-            // Every simulated controller runs this version: a new process knows it of the
-            // others at once, as a real one learns it from their first beats. (Sent as
-            // messages with every beat, the announcements moved other events and the
-            // verdicts of seeded days.)
-            for other in (0..NODES).filter(|&o| o != n) {
-                let node_id = NodeId::new(&format!("c{other}"));
-                let runs = marblebarrow_core::membership::Announcement::own();
-                node.handle(0.0, 0, Event::Peer(PeerNews::Announced { node: node_id, runs }));
-            }
-            host.node = Some(node);
-            host.born = now;
-            host.synced = false;
-            host.frozen_until = 0;
+            self.start_controller(n);
         }
         if self.step < self.hosts[n].frozen_until {
             return;
         }
         self.watch(n);
+        let now = self.now();
         let host = &mut self.hosts[n];
         if let Some(node) = &mut host.node {
-            node.tick(now - host.born, 1_000_000 + (now * 1e3) as u64);
+            node.tick(now - host.born, time_of_day_ms(now));
         }
         self.act(n);
     }
 
+    /// Starts a new process of a controller.
+    fn start_controller(&mut self, n: usize) {
+        let boot = self.rng.random::<u64>() >> 1;
+        let mut node = Node::new(self.facts(n), boot, 0.0);
+        // Every simulated controller runs this version: a new process knows it of the
+        // others at once, as a real one learns it from their first beats. (Sent as
+        // messages with every beat, the announcements moved other events and the
+        // verdicts of seeded days.)
+        for other in (0..NODES).filter(|&o| o != n) {
+            let runs = marblebarrow_core::membership::Announcement::own();
+            let announced = PeerNews::Announced { node: controller_name(other), runs };
+            node.handle(0.0, 0, Event::Peer(announced));
+        }
+        let now = self.now();
+        let host = &mut self.hosts[n];
+        host.node = Some(node);
+        host.born = now;
+        host.synced = false;
+        host.frozen_until = 0;
+    }
+
     pub(super) fn watch(&mut self, n: usize) {
         let host = &self.hosts[n];
         let now = self.now() - host.born;
@@ -78,168 +111,199 @@
         {
             return;
         }
-        if !host.synced {
-            let items = self
-                .kv
-                .range("w/".to_owned()..)
-                .take_while(|(k, _)| k.starts_with("w/"))
-                .map(|(k, (v, version, _))| Item {
-                    key: k.clone(),
-                    value: v.clone(),
-                    version: *version,
-                })
-                .collect();
-            self.hosts[n].synced = true;
-            self.hosts[n].watched = self.revision;
-            self.hosts[n].watch_sent = now;
-            let content = WatchContent::Reset(items);
-            let news = WatchNews { sent: now, revision: self.revision, content };
-            return self.handle(n, Event::Watch(news));
+        if host.synced {
+            self.send_changes(n, now);
+        } else {
+            self.send_snapshot(n, now);
         }
-        let after = host.watched;
-        let first = self.history.partition_point(|(r, ..)| *r <= after);
+    }
+
+    /// Answers a controller's first watch with all that is watched.
+    fn send_snapshot(&mut self, n: usize, now: f64) {
+        let items = self
+            .kv
+            .range(WATCHED.to_owned()..)
+            .take_while(|(key, _)| key.starts_with(WATCHED))
+            .map(|(key, (value, version, _))| Item {
+                key: key.clone(),
+                value: value.clone(),
+                version: *version,
+            })
+            .collect();
+        self.hosts[n].synced = true;
+        self.hosts[n].watched = self.revision;
+        self.hosts[n].watch_sent = now;
+        let content = WatchContent::Reset(items);
+        let news = WatchNews { sent: now, revision: self.revision, content };
+        self.handle(n, Event::Watch(news));
+    }
+
+    /// Answers a controller's watch, if there is news or it has been open for long enough.
+    fn send_changes(&mut self, n: usize, now: f64) {
+        let after = self.hosts[n].watched;
+        let first = self.history.partition_point(|(revision, ..)| *revision <= after);
         let events: Vec<WatchEvent> = self.history[first..]
             .iter()
-            .filter(|(_, k, _)| k.starts_with("w/"))
-            .map(|(r, k, v)| match v {
-                Some(v) => WatchEvent::Put { key: k.clone(), value: v.clone(), version: *r },
-                None => WatchEvent::Delete { key: k.clone(), version: *r },
+            .filter(|(_, key, _)| key.starts_with(WATCHED))
+            .map(|(revision, key, value)| match value {
+                Some(value) => {
+                    WatchEvent::Put { key: key.clone(), value: value.clone(), version: *revision }
+                }
+                None => WatchEvent::Delete { key: key.clone(), version: *revision },
             })
             .collect();
-        // Without news a watch is answered after 2.5 s.
         let sent = self.hosts[n].watch_sent;
-        if !events.is_empty() || now - sent >= 2.5 {
-            self.hosts[n].watched = self.revision;
-            self.hosts[n].watch_sent = now;
-            let content = WatchContent::Events(events);
-            self.handle(n, Event::Watch(WatchNews { sent, revision: self.revision, content }));
+        if events.is_empty() && now - sent < WATCH_BLOCK_S {
+            return;
         }
+        self.hosts[n].watched = self.revision;
+        self.hosts[n].watch_sent = now;
+        let content = WatchContent::Events(events);
+        self.handle(n, Event::Watch(WatchNews { sent, revision: self.revision, content }));
     }
 
     pub(super) fn store_refuses(&self, n: usize) -> bool {
         self.step < self.store_down_until || self.step < self.hosts[n].refused_until
     }
 
+    /// Collects a controller's log, and carries out what it decided.
     pub(super) fn act(&mut self, n: usize) {
+        self.collect_log(n);
+        let boot = self.hosts[n].born;
+        let actions = self.hosts[n].node.as_mut().map(Node::take_actions).unwrap_or_default();
+        for action in actions {
+            self.carry_out(n, boot, action);
+        }
+    }
+
+    fn collect_log(&mut self, n: usize) {
         let Some(node) = &mut self.hosts[n].node else { return };
-        let cordon = |l: &&LogLine| l.text.contains("event=cordon");
         let log = node.take_log();
+        let now = self.now();
+        let cordon = |line: &&LogLine| line.text.contains("event=cordon");
         self.cordons += log.iter().filter(cordon).count();
-        let at = self.now();
+        let text = |line: &LogLine| format!("t={now:.1} c{n} {}", line.text);
         let info = log.iter().filter(|line| line.level == Level::Info);
-        self.info.extend(info.map(|line| format!("t={at:.1} c{n} {}", line.text)));
+        self.info.extend(info.map(text));
         if self.cells.is_some() {
-            let at = self.now();
-            self.events.extend(log.into_iter().map(|line| format!("t={at:.1} c{n} {}", line.text)));
+            self.events.extend(log.iter().map(text));
         }
-        let boot = self.hosts[n].born;
-        let actions = self.hosts[n].node.as_mut().map(Node::take_actions).unwrap_or_default();
-        for action in actions {
-            match action {
-                Action::Reply(to, answer) => self.reply(n, to, answer),
-                Action::PledgeReply(to, answer) => {
-                    // `to` carries the asker.
-                    let asker = (to.0 % 10) as usize;
-                    let sent = f64::from((to.0 / 10) as u32) / 1e3;
-                    let born = self.hosts[asker].born;
-                    if self.hosts[asker].node.is_some() && sent >= born {
-                        if answer.more {
-                            self.broken.push("more cancellations than an answer holds".into());
-                        }
-                        let node = NodeId::new(&format!("c{n}"));
-                        let news = PeerNews::Pledged { node, sent: sent - born, answer };
-                        let event = Event::Peer(news);
-                        // Some answers come late, some twice.
-                        let late = if self.rng.random_range(0..20) == 0 { 25 } else { 1 };
-                        if late > 1 {
-                            let event = event.clone();
-                            self.after(1, Late::Event { node: asker, boot: born, event });
-                        }
-                        self.after(late, Late::Event { node: asker, boot: born, event });
-                    }
-                }
-                Action::Store(op, req) => {
-                    // Some answers are lost, some requests take effect late.
-                    let late = self.step < self.late_writes_until
-                        && matches!(req, StoreRequest::Commit(_))
-                        && self.rng.random_range(0..3) == 0;
-                    let mute = self.step < self.answers_lost_until
-                        && matches!(req, StoreRequest::Commit(_))
-                        && self.rng.random_range(0..3) == 0;
-                    self.met.answers_lost += u32::from(mute);
-                    self.met.late_writes += u32::from(late);
-                    let answer = !late && !mute && self.rng.random_range(0..40) != 0;
-                    let slow = self.step < self.store_slow_until;
-                    let most = if answer { if slow { 20 } else { 1 } } else { 60 };
-                    let delay = if late {
-                        self.rng.random_range(20..120)
-                    } else if mute {
-                        0
-                    } else {
-                        self.rng.random_range(0..most)
-                    };
-                    if answer && delay > 12 {
-                        // The link gives up before the answer is there.
-                        let event = Event::Store(op, StoreResult::Unknown);
-                        self.after(12, Late::Event { node: n, boot, event });
-                    }
-                    let answer = answer && delay <= 12;
-                    if !answer {
-                        let event = Event::Store(op, StoreResult::Unknown);
-                        self.after(12, Late::Event { node: n, boot, event });
-                    }
-                    self.after(delay, Late::Store { node: n, boot, op, req, answer });
-                }
-                Action::Cloud(op, req) => {
-                    let answer = self.rng.random_range(0..30) != 0;
-                    if !answer {
-                        self.after(
-                            30,
-                            Late::Event {
-                                node: n,
-                                boot,
-                                event: Event::Cloud(op, CloudResult::Unknown),
-                            },
-                        );
-                    }
-                    self.after(2, Late::Cloud { node: n, boot, op, req, answer });
-                }
-                Action::Direct { op, addr, token, session, commands } => {
-                    let machine = MachineId::new(&addr);
-                    let cmd = DirectCommands { token, session, commands };
-                    self.send_direct(n, boot, op, machine, cmd);
-                }
-                Action::Heartbeat { store_ok, leading } => self.peers(n, |_| PeerNews::Heartbeat {
-                    node: NodeId::new(&format!("c{n}")),
-                    store_ok,
-                    leading: Some(leading),
-                }),
-                Action::AskPledges { term, revision } => {
-                    self.hosts[n].asked_revision = revision;
-                    let sent = (self.now() * 1e3) as u64;
-                    self.peers(n, |_| PeerNews::PledgeAsked {
-                        reply: ReplyTo(sent * 10 + n as u64),
-                        from: NodeId::new(&format!("c{n}")),
-                        term,
-                        revision,
-                        after: None,
-                    });
-                }
-                Action::SendProgress(jobs) => self.peers(n, |_| PeerNews::Progress(jobs.clone())),
-                Action::CellCall { op, cell, request } => {
-                    let request = *request;
-                    let at = self.step;
-                    self.cell_calls.push(OutgoingCall { node: n, boot, at, op, cell, request });
-                }
-                Action::CellReply(to, answer) => {
-                    if let Some(Asked::Cell(call)) = self.asked.remove(&(n, to)) {
-                        self.cell_answers.push((call, answer));
-                    }
+    }
+
+    fn carry_out(&mut self, n: usize, boot: f64, action: Action) {
+        match action {
+            Action::Reply(to, answer) => self.reply(n, to, answer),
+            Action::PledgeReply(to, answer) => self.send_pledge(n, to, answer),
+            Action::Store(op, req) => self.send_store_request(n, boot, op, req),
+            Action::Cloud(op, req) => self.send_cloud_request(n, boot, op, req),
+            Action::Direct { op, addr, token, session, commands } => {
+                let machine = MachineId::new(&addr);
+                let cmd = DirectCommands { token, session, commands };
+                self.send_direct(n, boot, op, machine, cmd);
+            }
+            Action::Heartbeat { store_ok, leading } => self.peers(n, |_| PeerNews::Heartbeat {
+                node: controller_name(n),
+                store_ok,
+                leading: Some(leading),
+            }),
+            Action::AskPledges { term, revision } => self.ask_pledges(n, term, revision),
+            Action::SendProgress(jobs) => self.peers(n, |_| PeerNews::Progress(jobs.clone())),
+            Action::CellCall { op, cell, request } => {
+                let request = *request;
+                let at = self.step;
+                self.cell_calls.push(OutgoingCall { node: n, boot, at, op, cell, request });
+            }
+            Action::CellReply(to, answer) => {
+                if let Some(Asked::Cell(call)) = self.asked.remove(&(n, to)) {
+                    self.cell_answers.push((call, answer));
                 }
             }
         }
     }
 
+    /// Asks the other controllers for pledges. The name of the reply carries the asker, and
+    /// when it asked.
+    fn ask_pledges(&mut self, n: usize, term: u64, revision: u64) {
+        self.hosts[n].asked_revision = revision;
+        let sent_ms = (self.now() * 1e3) as u64;
+        self.peers(n, |_| PeerNews::PledgeAsked {
+            reply: ReplyTo(sent_ms * 10 + n as u64),
+            from: controller_name(n),
+            term,
+            revision,
+            after: None,
+        });
+    }
+
+    /// Sends a pledge to the controller that asked, unless its process has ended.
+    fn send_pledge(&mut self, n: usize, to: ReplyTo, answer: PledgeAnswer) {
+        let asker = (to.0 % 10) as usize;
+        let sent = f64::from((to.0 / 10) as u32) / 1e3;
+        let born = self.hosts[asker].born;
+        if self.hosts[asker].node.is_none() || sent < born {
+            return;
+        }
+        if answer.more {
+            self.broken.push("more cancellations than an answer holds".into());
+        }
+        let node = controller_name(n);
+        let event = Event::Peer(PeerNews::Pledged { node, sent: sent - born, answer });
+        // Some answers come late, some twice.
+        let late = self.rng.random_range(0..LATE_PLEDGE_ONE_IN) == 0;
+        if late {
+            let event = event.clone();
+            self.after(1, Late::Event { node: asker, boot: born, event });
+        }
+        let delay = if late { LATE_PLEDGE_STEPS } else { 1 };
+        self.after(delay, Late::Event { node: asker, boot: born, event });
+    }
+
+    /// Sends a request to the store: some answers are lost, some requests take effect late.
+    fn send_store_request(&mut self, node: usize, boot: f64, op: OpId, req: StoreRequest) {
+        let late = self.commit_is_hit(self.late_writes_until, &req);
+        let answer_lost = self.commit_is_hit(self.answers_lost_until, &req);
+        self.met.answers_lost += u32::from(answer_lost);
+        self.met.late_writes += u32::from(late);
+        let answer = !late && !answer_lost && self.rng.random_range(0..STORE_SILENT_ONE_IN) != 0;
+        let slow = self.step < self.store_slow_until;
+        let most = if answer { if slow { 20 } else { 1 } } else { 60 };
+        let delay = if late {
+            self.rng.random_range(20..120)
+        } else if answer_lost {
+            0
+        } else {
+            self.rng.random_range(0..most)
+        };
+        if answer && delay > STORE_TIMEOUT_STEPS {
+            // The link gives up before the answer is there.
+            let event = Event::Store(op, StoreResult::Unknown);
+            self.after(STORE_TIMEOUT_STEPS, Late::Event { node, boot, event });
+        }
+        let answer = answer && delay <= STORE_TIMEOUT_STEPS;
+        if !answer {
+            let event = Event::Store(op, StoreResult::Unknown);
+            self.after(STORE_TIMEOUT_STEPS, Late::Event { node, boot, event });
+        }
+        self.after(delay, Late::Store { node, boot, op, req, answer });
+    }
+
+    /// Whether a fault that lasts until then hits this request: one transaction in three.
+    fn commit_is_hit(&mut self, until: u32, req: &StoreRequest) -> bool {
+        self.step < until
+            && matches!(req, StoreRequest::Commit(_))
+            && self.rng.random_range(0..COMMIT_HIT_ONE_IN) == 0
+    }
+
+    fn send_cloud_request(&mut self, node: usize, boot: f64, op: OpId, req: CloudRequest) {
+        let answer = self.rng.random_range(0..CLOUD_SILENT_ONE_IN) != 0;
+        if !answer {
+            let event = Event::Cloud(op, CloudResult::Unknown);
+            self.after(CLOUD_TIMEOUT_STEPS, Late::Event { node, boot, event });
+        }
+        self.after(2, Late::Cloud { node, boot, op, req, answer });
+    }
+
+    /// Sends news to every other controller that can be reached.
     pub(super) fn peers(&mut self, n: usize, news: impl Fn(usize) -> PeerNews) {
         let alone = |h: &Host| self.step < h.alone_until;
         let cut = alone(&self.hosts[n]);
@@ -263,49 +327,60 @@
         }
     }
 
+    /// Delivers everything that is due by now.
     pub(super) fn deliver(&mut self) {
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= self.step);
         self.late = rest;
         for (_, late) in due {
-            match late {
-                Late::Store { node, boot, op, req, answer } => {
-                    let result = if self.store_refuses(node) {
-                        StoreResult::Refused
-                    } else {
-                        self.store(&req)
-                    };
-                    let event = Event::Store(op, result);
-                    if answer && self.step < self.answers_late_until {
-                        let at = self.step + self.rng.random_range(1..ANSWER_LATE_MOST);
-                        self.late.push((at, Late::Event { node, boot, event }));
-                    } else if answer {
-                        self.event(node, boot, event);
-                    }
-                }
-                Late::Event { node, boot, event } => self.event(node, boot, event),
-                Late::Direct(direct) => self.deliver_direct(direct),
-                Late::Report { node, report, sent } => {
-                    let (machine, session) = (report.machine.clone(), report.session);
-                    if self.step >= self.hosts[node].cut_until && !self.parted(node, &machine) {
-                        self.ask(node, Asked::Report { machine, session, sent }, |to| {
-                            Event::Report(to, Box::new(report))
-                        });
-                    }
-                }
-                Late::ReportAnswer { machine, session, sent, answer } => {
-                    self.report_answered(&machine, session, sent, answer);
+            self.deliver_one(late);
+        }
+    }
+
+    fn deliver_one(&mut self, late: Late) {
+        match late {
+            Late::Store { node, boot, op, req, answer } => {
+                let result =
+                    if self.store_refuses(node) { StoreResult::Refused } else { self.store(&req) };
+                if answer {
+                    self.answer_store_request(node, boot, Event::Store(op, result));
                 }
-                Late::Cloud { node, boot, op, req, answer } => {
-                    let result = self.cloud(&req);
-                    if answer {
-                        self.event(node, boot, Event::Cloud(op, result));
-                    }
+            }
+            Late::Event { node, boot, event } => self.event(node, boot, event),
+            Late::Direct(direct) => self.deliver_direct(direct),
+            Late::Report { node, report, sent } => self.deliver_heartbeat(node, report, sent),
+            Late::ReportAnswer { machine, session, sent, answer } => {
+                self.heartbeat_answered(&machine, session, sent, answer);
+            }
+            Late::Cloud { node, boot, op, req, answer } => {
+                let result = self.cloud(&req);
+                if answer {
+                    self.event(node, boot, Event::Cloud(op, result));
                 }
             }
         }
     }
 
+    fn answer_store_request(&mut self, node: usize, boot: f64, event: Event) {
+        if self.step < self.answers_late_until {
+            let at = self.step + self.rng.random_range(1..ANSWER_LATE_MAX_STEPS);
+            self.late.push((at, Late::Event { node, boot, event }));
+        } else {
+            self.event(node, boot, event);
+        }
+    }
+
+    fn deliver_heartbeat(&mut self, node: usize, report: Report, sent: f64) {
+        let (machine, session) = (report.machine.clone(), report.session);
+        if self.step < self.hosts[node].cut_until || self.parted(node, &machine) {
+            return;
+        }
+        self.ask(node, Asked::Report { machine, session, sent }, |to| {
+            Event::Report(to, Box::new(report))
+        });
+    }
+
+    /// Gives an event to the process that it is for.
     pub(super) fn event(&mut self, node: usize, boot: f64, event: Event) {
         // Answers to a process that has died go nowhere.
         if self.hosts[node].node.is_some() && self.hosts[node].born == boot {
--- a/crates/rehearsal/src/world/direct.rs
+++ b/crates/rehearsal/src/world/direct.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-/// When a sender gives up waiting for the answer of a direct command, steps.
-const GIVEN_UP: u32 = 15;
+/// Steps after which a sender gives up waiting for the answer to a direct command.
+pub(super) const DIRECT_TIMEOUT_STEPS: u32 = 15;
 /// One direct command in so many goes unanswered, whatever else happens.
 const LOST_ONE_IN: u32 = 25;
 /// Such a command is carried out within so many steps.
-const LOST_USUAL: u32 = 120;
+const LATE_USUAL_MAX_STEPS: u32 = 120;
 
 /// Jobs whose start is held are called off within so many steps, if they are.
-const CALLED_OFF_WITHIN: u32 = 20;
+const CANCEL_WITHIN_STEPS: u32 = 20;
 
 impl World {
     /// A controller sends direct commands.
@@ -33,7 +33,7 @@
         let answer = passage == Passage::Answered;
         if !answer {
             let event = Event::Direct(op, DirectResult::Unknown);
-            self.after(GIVEN_UP, Late::Event { node, boot, event });
+            self.after(DIRECT_TIMEOUT_STEPS, Late::Event { node, boot, event });
         }
         let delay = match passage {
             Passage::Answered | Passage::AnswerLate => 0,
@@ -52,7 +52,7 @@
         for command in &cmd.commands {
             let Command::Start { task, .. } = command else { continue };
             let Some(task) = TaskId::parse(task) else { continue };
-            let at = self.step + self.rng.random_range(0..CALLED_OFF_WITHIN);
+            let at = self.step + self.rng.random_range(0..CANCEL_WITHIN_STEPS);
             self.call_off_at.push((at, task.job));
         }
     }
@@ -74,21 +74,20 @@
         if !cut && self.rng.random_range(0..LOST_ONE_IN) != 0 {
             return Passage::Answered;
         }
-        Passage::Late { least: 0, most: LOST_USUAL }
+        Passage::Late { least: 0, most: LATE_USUAL_MAX_STEPS }
     }
 
     /// Direct commands arrive at their machine.
     pub(super) fn deliver_direct(&mut self, direct: DirectOnWay) {
         let DirectOnWay { node, boot, op, machine, cmd, answer } = direct;
         // A cut holds packets back: they come when it ends.
-        let until = self.machines.get(&machine);
-        let until = until.map_or(0, |w| w.cut_until.max(w.deaf_until).max(w.hung_until));
+        let until = self.machines.get(&machine).map_or(0, Worker::unreachable_until);
         if until > self.step {
             self.met.held_orders += 1;
             if answer {
                 // The link gives up waiting.
                 let event = Event::Direct(op, DirectResult::Unknown);
-                self.after(GIVEN_UP, Late::Event { node, boot, event });
+                self.after(DIRECT_TIMEOUT_STEPS, Late::Event { node, boot, event });
             }
             let direct = DirectOnWay { node, boot, op, machine, cmd, answer: false };
             return self.late.push((until, Late::Direct(direct)));
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/troubles.rs
@@ -1,5 +1,6 @@
 //! What goes wrong, and how it begins.
 
+use super::direct::DIRECT_TIMEOUT_STEPS;
 use super::*;
 
 /// Something that goes wrong; lengths in steps.
@@ -132,138 +133,141 @@
     }
 }
 
+impl Trouble {
+    /// The same fault at the controller given, if it is one of controllers.
+    fn at_controller(self, n: usize) -> Self {
+        match self {
+            Self::Crash(_, s) => Self::Crash(n, s),
+            Self::Freeze(_, s) => Self::Freeze(n, s),
+            Self::StoreRefuses(_, s) => Self::StoreRefuses(n, s),
+            Self::WorkersCut(_, s) => Self::WorkersCut(n, s),
+            Self::Isolated(_, s) => Self::Isolated(n, s),
+            Self::WatchStuck(_, s) => Self::WatchStuck(n, s),
+            Self::ZoneApart(zone, _, s) => Self::ZoneApart(zone, n, s),
+            other => other,
+        }
+    }
+}
+
 impl World {
+    /// Begins the faults that are due.
     pub(super) fn trouble(&mut self) {
-        while let Some((at, t)) = self.troubles.first().cloned() {
-            if at > self.step {
-                return;
+        while self.troubles.first().is_some_and(|(at, _)| *at <= self.step) {
+            let (_, trouble) = self.troubles.remove(0);
+            self.begin(trouble);
+        }
+    }
+
+    fn begin(&mut self, trouble: Trouble) {
+        let step = self.step;
+        match trouble {
+            Trouble::Crash(n, s) => self.crash(n, s),
+            Trouble::CrashAll(s) => (0..NODES).for_each(|n| self.crash(n, s)),
+            Trouble::Freeze(n, s) => self.hosts[n].frozen_until = step + s,
+            Trouble::AtLeader(inner) => {
+                let leader = (0..NODES).find(|&n| self.leads(n)).unwrap_or(0);
+                self.begin(inner.at_controller(leader));
             }
-            self.troubles.remove(0);
-            let step = self.step;
-            match t {
-                Trouble::Crash(n, s) => self.crash(n, s),
-                Trouble::CrashAll(s) => (0..NODES).for_each(|n| self.crash(n, s)),
-                Trouble::Freeze(n, s) => self.hosts[n].frozen_until = step + s,
-                Trouble::AtLeader(t) => {
-                    let n = (0..NODES).find(|&n| self.leads(n)).unwrap_or(0);
-                    let there = match *t {
-                        Trouble::Crash(_, s) => Trouble::Crash(n, s),
-                        Trouble::Freeze(_, s) => Trouble::Freeze(n, s),
-                        Trouble::StoreRefuses(_, s) => Trouble::StoreRefuses(n, s),
-                        Trouble::WorkersCut(_, s) => Trouble::WorkersCut(n, s),
-                        Trouble::Isolated(_, s) => Trouble::Isolated(n, s),
-                        Trouble::WatchStuck(_, s) => Trouble::WatchStuck(n, s),
-                        Trouble::ZoneApart(z, _, s) => Trouble::ZoneApart(z, n, s),
-                        other => other,
-                    };
-                    self.troubles.insert(0, (step, there));
-                }
-                Trouble::StoreDown(s) => {
-                    if !self.kv.contains_key(marblebarrow_proto::records::LEADER) {
-                        self.met.outages_without_leader.push(step);
-                    }
-                    self.store_down_until = step + s;
-                }
-                Trouble::StoreRefuses(n, s) => self.hosts[n].refused_until = step + s,
-                Trouble::WorkersCut(n, s) => self.hosts[n].cut_until = step + s,
-                Trouble::CloudDown(s) => self.cloud_down_until = step + s,
-                Trouble::MachineCut(m, s) => {
-                    if let Some(w) = self.machines.values_mut().nth(m) {
-                        w.cut_until = step + s;
-                    }
-                }
-                Trouble::ZoneCut(zone, s) => {
-                    let there = self.machines.values_mut().filter(|w| w.zone == zone);
-                    there.for_each(|w| w.cut_until = step + s);
-                }
-                Trouble::Isolated(n, s) => {
-                    self.hosts[n].refused_until = step + s;
-                    self.hosts[n].alone_until = step + s;
-                }
-                Trouble::PeersRefuse(s) => {
-                    self.hosts.iter_mut().for_each(|h| h.alone_until = step + s);
-                }
-                Trouble::StoreSlow(s) => self.store_slow_until = step + s,
-                Trouble::MachineSlow(m, s) => {
-                    if let Some(w) = self.machines.values_mut().nth(m) {
-                        w.slow_until = step + s;
-                    }
-                }
-                Trouble::WatchStuck(n, s) => self.hosts[n].watch_stuck_until = step + s,
-                Trouble::CancelNow(most) => {
-                    let running = self.running_jobs();
-                    let open = |id: &JobId| !self.cancels.contains_key(id);
-                    self.called_off.extend(running.into_iter().filter(open).take(most));
-                }
-                Trouble::AnswersLost(s) => self.answers_lost_until = step + s,
-                Trouble::AnswersLate(s) => self.answers_late_until = step + s,
-                Trouble::KeptReports(s) => self.keep_until = step + s,
-                Trouble::CloseLooks(s) => self.looks_until = step + s,
-                Trouble::CancelAtEnd(s) => self.cancel_ends_until = step + s,
-                Trouble::MachineMute(m, s) => {
-                    if let Some(w) = self.machines.values_mut().nth(m) {
-                        w.mute_until = step + s;
-                    }
-                }
-                Trouble::AllMute(s) => {
-                    self.machines.values_mut().for_each(|w| w.mute_until = step + s);
-                }
-                Trouble::ZoneApart(zone, n, s) => {
-                    self.apart = (zone, n, step + s);
-                    self.hosts[n].refused_until = step + s;
-                    self.hosts[n].alone_until = step + s;
-                }
-                Trouble::MachineHangs(m, s) => {
-                    if let Some(w) = self.machines.values_mut().nth(m) {
-                        w.hung_until = step + s;
-                    }
-                }
-                Trouble::HeldCommands(held, s) => self.held = Some((held, step + s)),
-                Trouble::LateWrites(s) => self.late_writes_until = step + s,
-                Trouble::Boots(tenths, s) => self.boots = (tenths, step + s),
-                Trouble::PollStorm(s) => self.storm_until = step + s,
-                Trouble::LateCopies(s) => self.copies = (step + s, s),
-                Trouble::MachineDeaf(m, s) => {
-                    if let Some(w) = self.machines.values_mut().nth(m) {
-                        w.deaf_until = step + s;
-                    }
-                }
-                Trouble::MachineReborn(m) => {
-                    let now = self.now();
-                    // Not while cut off: an order held back for its former self
-                    // would match its session and token, and nothing in the
-                    // protocol could tell (see docs/questions.md).
-                    let up = |w: &Worker| {
-                        !w.dead && now >= w.up_at && step >= w.cut_until.max(w.deaf_until)
-                    };
-                    if let Some((id, w)) = self.machines.iter_mut().nth(m).filter(|(_, w)| up(w)) {
-                        // Connections to the one before died with it, and who
-                        // sent over them learns no more than that.
-                        for (at, late) in &mut self.late {
-                            let Late::Direct(direct) = late else { continue };
-                            if direct.machine == *id && direct.answer {
-                                let event = Event::Direct(direct.op, DirectResult::Unknown);
-                                let (node, boot) = (direct.node, direct.boot);
-                                *late = Late::Event { node, boot, event };
-                                *at = step + 15;
-                            } else if direct.machine == *id {
-                                // Its sender is told already.
-                                direct.machine = MachineId::new("gone");
-                            }
-                        }
-                        w.tasks.clear();
-                        (w.session, w.seq, w.token) = (1, 0, 0);
-                        w.leased_from = now;
-                        w.next_report = now;
-                        w.waiting = None;
-                    }
-                }
-                Trouble::MachineDies(m) => {
-                    if let Some(w) = self.machines.values_mut().nth(m) {
-                        w.dead = true;
-                        w.tasks.clear();
-                    }
+            Trouble::StoreDown(s) => {
+                if !self.kv.contains_key(marblebarrow_proto::records::LEADER) {
+                    self.met.outages_without_leader.push(step);
                 }
+                self.store_down_until = step + s;
+            }
+            Trouble::StoreRefuses(n, s) => self.hosts[n].refused_until = step + s,
+            Trouble::WorkersCut(n, s) => self.hosts[n].cut_until = step + s,
+            Trouble::CloudDown(s) => self.cloud_down_until = step + s,
+            Trouble::MachineCut(m, s) => self.at_machine(m, |w| w.cut_until = step + s),
+            Trouble::ZoneCut(zone, s) => {
+                let there = self.machines.values_mut().filter(|w| w.zone == zone);
+                there.for_each(|w| w.cut_until = step + s);
+            }
+            Trouble::Isolated(n, s) => self.isolate(n, s),
+            Trouble::PeersRefuse(s) => {
+                self.hosts.iter_mut().for_each(|h| h.alone_until = step + s);
+            }
+            Trouble::StoreSlow(s) => self.store_slow_until = step + s,
+            Trouble::MachineSlow(m, s) => self.at_machine(m, |w| w.slow_until = step + s),
+            Trouble::WatchStuck(n, s) => self.hosts[n].watch_stuck_until = step + s,
+            Trouble::CancelNow(most) => {
+                let running = self.running_jobs();
+                let open = |id: &JobId| !self.cancels.contains_key(id);
+                self.called_off.extend(running.into_iter().filter(open).take(most));
+            }
+            Trouble::AnswersLost(s) => self.answers_lost_until = step + s,
+            Trouble::AnswersLate(s) => self.answers_late_until = step + s,
+            Trouble::KeptReports(s) => self.keep_until = step + s,
+            Trouble::CloseLooks(s) => self.looks_until = step + s,
+            Trouble::CancelAtEnd(s) => self.cancel_ends_until = step + s,
+            Trouble::MachineMute(m, s) => self.at_machine(m, |w| w.mute_until = step + s),
+            Trouble::AllMute(s) => {
+                self.machines.values_mut().for_each(|w| w.mute_until = step + s);
+            }
+            Trouble::ZoneApart(zone, n, s) => {
+                self.apart = (zone, n, step + s);
+                self.isolate(n, s);
+            }
+            Trouble::MachineHangs(m, s) => self.at_machine(m, |w| w.hung_until = step + s),
+            Trouble::HeldCommands(held, s) => self.held = Some((held, step + s)),
+            Trouble::LateWrites(s) => self.late_writes_until = step + s,
+            Trouble::Boots(tenths, s) => self.boots = (tenths, step + s),
+            Trouble::PollStorm(s) => self.storm_until = step + s,
+            Trouble::LateCopies(s) => self.copies = (step + s, s),
+            Trouble::MachineDeaf(m, s) => self.at_machine(m, |w| w.deaf_until = step + s),
+            Trouble::MachineReborn(m) => self.restart_worker(m),
+            Trouble::MachineDies(m) => self.at_machine(m, |w| {
+                w.dead = true;
+                w.tasks.clear();
+            }),
+        }
+    }
+
+    /// Changes a machine by its place among those that exist, if there is one.
+    fn at_machine(&mut self, place: usize, change: impl FnOnce(&mut Worker)) {
+        if let Some(worker) = self.machines.values_mut().nth(place) {
+            change(worker);
+        }
+    }
+
+    /// A controller reaches neither the store nor its peers.
+    fn isolate(&mut self, n: usize, steps: u32) {
+        self.hosts[n].refused_until = self.step + steps;
+        self.hosts[n].alone_until = self.step + steps;
+    }
+
+    /// A worker is back at once, empty and counting from the beginning.
+    ///
+    /// Not while cut off: an order held back for its former self would match its session and
+    /// token, and nothing in the protocol could tell (see docs/questions.md).
+    fn restart_worker(&mut self, place: usize) {
+        let (now, step) = (self.now(), self.step);
+        let up = |w: &Worker| !w.dead && now >= w.up_at && step >= w.cut_until.max(w.deaf_until);
+        let machine = self.machines.iter_mut().nth(place).filter(|(_, w)| up(w));
+        let Some((id, worker)) = machine else { return };
+        worker.tasks.clear();
+        (worker.session, worker.seq, worker.token) = (1, 0, 0);
+        worker.leased_from = now;
+        worker.next_report = now;
+        worker.waiting = None;
+        let id = id.clone();
+        self.break_connections(&id);
+    }
+
+    /// Connections to a worker break, and who sent over them learns no more than that.
+    fn break_connections(&mut self, machine: &MachineId) {
+        for (at, late) in &mut self.late {
+            let Late::Direct(direct) = late else { continue };
+            if direct.machine != *machine {
+                continue;
+            }
+            if direct.answer {
+                let event = Event::Direct(direct.op, DirectResult::Unknown);
+                let (node, boot) = (direct.node, direct.boot);
+                *late = Late::Event { node, boot, event };
+                *at = self.step + DIRECT_TIMEOUT_STEPS;
+            } else {
+                // Its sender is told already.
+                direct.machine = MachineId::new("gone");
             }
         }
     }
