--- a/crates/cells/src/capacity.rs
+++ b/crates/cells/src/capacity.rs
@@ -7,7 +7,7 @@
 
 /// An array moves where at least this part of its tasks finds room at once: one in four.
 const ARRAY_PART: u32 = 4;
-/// Rooms, teams and images in a report at most: more are left out, which costs moves.
+/// Most rooms, teams and images in a report: more are left out, so that fewer jobs can move.
 pub const REPORT_ITEMS_MAX: usize = 200;
 
 /// CPUs, GPUs and memory.
@@ -46,7 +46,7 @@
     }
 }
 
-/// Room on one kind of machine in one zone.
+/// Free capacity on one kind of machine in one zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Room {
     /// Machine type.
@@ -81,16 +81,16 @@
     }
 }
 
-/// A cell's room at one moment.
+/// A cell's free capacity at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CapacityReport {
     /// Term of the leader that made it.
     pub term: u64,
     /// Its number within the term.
     pub sequence: u64,
-    /// Tasks of the cell's own jobs that find no place.
+    /// Tasks of the cell's own jobs that fit no machine now.
     pub backlog: u32,
-    /// Room by type, zone and kind.
+    /// Free capacity by machine type, zone, and spot or not.
     pub rooms: Vec<Room>,
     /// Teams known there.
     pub teams: Vec<String>,
@@ -140,15 +140,15 @@
     }
 }
 
-/// What a job takes of a cell at once, as far as room is reckoned with.
+/// The capacity that must be free for a job to move.
 pub fn needed(spec: &JobSpec) -> Amounts {
     let tasks = f64::from(tasks_at_once(spec));
     Amounts { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks, memory_gb: spec.memory_gb * tasks }
 }
 
-/// The last report of a cell, and when the request was sent that it answers.
+/// The last report of a cell. `sent` is when the request was sent that it answers, seconds.
 #[derive(Clone, Debug)]
-struct Known {
+struct LatestReport {
     report: CapacityReport,
     sent: f64,
 }
@@ -156,24 +156,25 @@
 /// The latest reports of the other cells. Late, repeated and reordered ones are dropped.
 #[derive(Debug, Default)]
 pub struct CapacityBook {
-    known: BTreeMap<CellName, Known>,
+    known: BTreeMap<CellName, LatestReport>,
 }
 
 impl CapacityBook {
-    /// Takes a report that answers a request sent at that time. Whether it is news.
+    /// Stores a report that answers a request sent at that time (seconds). False, and nothing
+    /// changes, if a newer one is known.
     pub fn take(&mut self, cell: &CellName, report: CapacityReport, sent: f64) -> bool {
-        let newer = |known: &Known| {
+        let newer = |known: &LatestReport| {
             (report.term, report.sequence) > (known.report.term, known.report.sequence)
                 && sent >= known.sent
         };
         if self.known.get(cell).is_some_and(|known| !newer(known)) {
             return false;
         }
-        self.known.insert(cell.clone(), Known { report, sent });
+        self.known.insert(cell.clone(), LatestReport { report, sent });
         true
     }
 
-    /// A cell's last report, if it is no older than that.
+    /// A cell's last report, if its request was sent at most `age_s` seconds ago.
     pub fn fresh(&self, cell: &CellName, now: f64, age_s: f64) -> Option<&CapacityReport> {
         self.known.get(cell).filter(|known| now - known.sent <= age_s).map(|known| &known.report)
     }
--- a/crates/cells/src/choice.rs
+++ b/crates/cells/src/choice.rs
@@ -1,6 +1,7 @@
-//! To which cell a job goes: two of those with room are drawn, and the one with more is
-//! taken, so that cells that all see the same reports don't all run to one. Operators may
-//! choose by a script instead, among the same cells.
+//! Chooses the cell that a job is offered to, by the power of two random choices: two of the
+//! cells with room are drawn, and the one with more free CPUs is taken, so that cells that see
+//! the same reports don't all choose the same one. Operators may choose by a script instead,
+//! among the same cells.
 
 use crate::capacity::{Amounts, CapacityBook, CapacityReport};
 use crate::policy::{Candidate, Policy, PolicyError};
@@ -9,18 +10,18 @@
 use rand::RngExt as _;
 use std::collections::BTreeMap;
 
-/// What is known as a cell is chosen.
+/// What the choice depends on.
 #[derive(Debug)]
 pub struct Choice<'a> {
     /// The other cells, those declared lost left out.
     pub cells: &'a [CellName],
     /// Their reports.
     pub book: &'a CapacityBook,
-    /// Room promised to transfers under way, by cell.
+    /// Capacity reserved for transfers under way, by cell.
     pub promised: &'a BTreeMap<CellName, Amounts>,
-    /// Now.
+    /// The current time, seconds.
     pub now: f64,
-    /// Age at which a report counts for nothing.
+    /// Age from which a report is ignored, seconds.
     pub report_age_s: f64,
     /// The operators' script.
     pub policy: Option<&'a Policy>,
--- a/crates/cells/src/inbound.rs
+++ b/crates/cells/src/inbound.rs
@@ -1,4 +1,5 @@
-//! The target's side: what becomes of an offer. Only durable records answer it.
+//! The target side: decides on offers of other cells. A reply is sent only once the decision
+//! is durable, so that a repeated offer gets the same one.
 
 use crate::capacity::{Amounts, CapacityReport, needed};
 use crate::message::{CellError, Offer, Sender};
@@ -13,7 +14,7 @@
 pub struct TargetView<'a> {
     /// The record of a job of that id accepted from another cell.
     pub inbound: Option<&'a InboundRecord>,
-    /// A job of that id is known here, whose or whencesoever.
+    /// A job of that id is known here, wherever it came from.
     pub id_known: bool,
     /// It could run here at all.
     pub suitable: bool,
@@ -34,7 +35,8 @@
     Busy,
 }
 
-/// Offers under way and guests that wait for their first start.
+/// Offers whose decision is being recorded, and capacity reserved for accepted jobs until
+/// they first start.
 #[derive(Debug)]
 pub struct Inbound {
     cell: CellName,
@@ -42,19 +44,20 @@
     terms: SenderTerms,
     recording: BTreeSet<TransferId>,
     recording_max: usize,
-    /// Room promised to guests that haven't begun.
-    promised: BTreeMap<JobId, Promise>,
+    /// Capacity reserved for accepted jobs that haven't started yet.
+    promised: BTreeMap<JobId, Reservation>,
 }
 
-/// Room promised to a job.
+/// Capacity reserved for a job.
 #[derive(Debug)]
-struct Promise {
+struct Reservation {
     transfer: TransferId,
     amounts: Amounts,
 }
 
 impl Inbound {
-    /// Nothing under way.
+    /// No offer under way, at this cell; `known` are the configured cells, and `recording_max`
+    /// bounds the decisions being recorded at once.
     pub fn new(cell: CellName, known: BTreeSet<CellName>, recording_max: usize) -> Self {
         Self {
             cell,
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Whether a sender is to be heard.
+    /// Checks that a sender is a configured cell, and of its latest known term.
     pub fn admit(&mut self, sender: &Sender) -> Result<(), CellError> {
         self.terms.admit(&sender.cell, sender.term, &self.known)
     }
@@ -110,19 +113,20 @@
         self.recording.remove(transfer);
     }
 
-    /// Room is promised to a job from now until it begins.
+    /// Reserves capacity for a job, from now until it first starts.
     pub fn promise(&mut self, spec: &JobSpec, transfer: &TransferId) {
-        let promise = Promise { transfer: transfer.clone(), amounts: needed(spec) };
-        self.promised.insert(spec.id.clone(), promise);
+        let reservation = Reservation { transfer: transfer.clone(), amounts: needed(spec) };
+        self.promised.insert(spec.id.clone(), reservation);
     }
 
-    /// Keeps the promises to jobs that are being recorded or wait for their first start.
+    /// Drops the reservations of jobs that are neither being recorded nor waiting (`waits`)
+    /// for their first start.
     pub fn keep_promises(&mut self, waits: impl Fn(&JobId) -> bool) {
         let recording = &self.recording;
         self.promised.retain(|job, promise| recording.contains(&promise.transfer) || waits(job));
     }
 
-    /// All room promised.
+    /// The sum of all reservations.
     pub fn promised_in_all(&self) -> Amounts {
         let mut all = Amounts::default();
         self.promised.values().for_each(|promise| all.add(&promise.amounts));
--- a/crates/proto/src/ids.rs
+++ b/crates/proto/src/ids.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// A name's first sixteen bytes, in their order. Names are looked up a dozen times a
-/// report, and nearly all are no longer than that: so they are told apart without a
+/// heartbeat, and nearly all are no longer than that: so they are told apart without a
 /// look at the text.
 type Head = [u64; 2];
 
--- a/crates/proto/src/records.rs
+++ b/crates/proto/src/records.rs
@@ -1,7 +1,7 @@
 //! Keys and records in the state service.
 //!
 //! `w/` is what every controller watches: the leader key, specs of unfinished
-//! jobs and cancel marks. `end/` holds each job's last word, written once.
+//! jobs and cancellations. `end/` holds each job's final state, written once.
 //! `p/` is progress, written by the leader alone; `m/` the machines it used.
 
 use crate::ids::{JobId, MachineId, NodeId};
@@ -9,9 +9,9 @@
 use crate::transfer::{ForwardRecord, TransferId};
 use serde::{Deserialize, Serialize};
 
-/// Prefix of all that is watched.
+/// Prefix of all keys that controllers watch.
 pub const WATCHED: &str = "w/";
-/// The leader key, attached to the leader's grant.
+/// The leader key, attached to the leader's lease.
 pub const LEADER: &str = "w/lead";
 /// The term counter, which outlives the leader key.
 pub const TERM: &str = "term";
@@ -19,9 +19,9 @@
 pub const TYPES: &str = "w/types";
 /// Prefix of specs.
 pub const SPECS: &str = "w/spec/";
-/// Prefix of cancel marks.
+/// Prefix of cancellations.
 pub const CANCELS: &str = "w/cut/";
-/// Prefix of last words.
+/// Prefix of final states.
 pub const ENDS: &str = "end/";
 /// Prefix of progress.
 pub const PROGRESS: &str = "p/";
@@ -36,11 +36,11 @@
 pub fn spec_key(id: &JobId) -> String {
     format!("{SPECS}{id}")
 }
-/// Key of a job's cancel mark.
+/// Key of a job's cancellation.
 pub fn cancel_key(id: &JobId) -> String {
     format!("{CANCELS}{id}")
 }
-/// Key of a job's last word.
+/// Key of a job's final state.
 pub fn end_key(id: &JobId) -> String {
     format!("{ENDS}{id}")
 }
@@ -58,14 +58,14 @@
     Some((JobId::new(job), part.parse().ok()?))
 }
 
-/// Who leads.
+/// The controller that leads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The controller.
     pub node: NodeId,
     /// Its term.
     pub term: u64,
-    /// Its grant.
+    /// Its lease in the state service.
     pub grant: u64,
     /// Distinguishes this process from an earlier one of the same name.
     pub boot: u64,
@@ -78,7 +78,7 @@
     pub term: u64,
 }
 
-/// A job's last word.
+/// A job's final state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndRecord {
     /// True if cancelled, false if done.
@@ -174,7 +174,7 @@
         Self { from, len, set: PackedSet::pack(&coarse, from, len) }
     }
 
-    /// The set again. Nonsense is skipped.
+    /// The set again. Invalid parts of a record are skipped.
     pub fn unpack(&self) -> IntSet {
         let mut set = IntSet::new();
         if self.from.checked_add(self.len).is_some() {
--- a/crates/proto/src/transfer.rs
+++ b/crates/proto/src/transfer.rs
@@ -8,7 +8,7 @@
 
 /// Prefix of jobs accepted from other cells, until home has their end.
 pub const INBOUND: &str = "w/in/";
-/// Prefix of ends that the other cell must still be told are known at home.
+/// Prefix of final states that the home cell must still acknowledge to the other one.
 pub const ACKNOWLEDGE: &str = "w/ack/";
 /// Prefix of cancellations that users want of jobs that may be elsewhere.
 pub const CANCEL_WANTED: &str = "w/want/";
@@ -21,7 +21,7 @@
 pub fn inbound_key(job: &JobId) -> String {
     format!("{INBOUND}{job}")
 }
-/// Key of an end that the other cell must be told is known.
+/// Key of an acknowledgement.
 pub fn acknowledge_key(job: &JobId) -> String {
     format!("{ACKNOWLEDGE}{job}")
 }
@@ -38,7 +38,8 @@
     format!("{REFUSED}{transfer}")
 }
 
-/// Names one transfer: unique, as a cell's term has one leader, which counts.
+/// Identifies one transfer: unique, as each term of a cell has one leader, which counts its
+/// transfers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TransferId {
     /// The cell that the job was submitted to.
@@ -74,8 +75,8 @@
     pub transfer: TransferId,
 }
 
-/// At home: a job that was elsewhere is over, and the other cell must be told that this is
-/// known.
+/// At home: a job that was elsewhere is over, and home must acknowledge to the other cell
+/// that it has recorded this.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcknowledgeRecord {
     /// The transfer.
