--- /dev/null
+++ b/crates/rehearsal/src/world/tasks.rs
@@ -0,0 +1,139 @@
+//! Tasks on workers: the execution of commands, and the rules that each start must keep.
+
+use super::*;
+
+/// Tasks that a machine has room for.
+const TASKS_PER_MACHINE: usize = 4;
+/// How much longer tasks take on a slow machine.
+const SLOW_FACTOR: f64 = 6.0;
+/// Run time of a task of low priority, seconds.
+const LOW_PRIORITY_RUN_S: f64 = 60.0;
+/// Run time of a task of a job that fails everywhere, seconds.
+const MISTAKEN_RUN_S: f64 = 0.5;
+
+impl Worker {
+    /// Why a worker refuses to start a task, if it does.
+    fn refusal(&self, task: &TaskId) -> Option<Why> {
+        if self.tasks.contains_key(task) {
+            Some(Why::Busy)
+        } else if self.live_tasks() >= TASKS_PER_MACHINE {
+            Some(Why::NoRoom)
+        } else {
+            None
+        }
+    }
+}
+
+impl World {
+    /// Executes commands, in their order.
+    pub(super) fn execute(&mut self, id: &MachineId, commands: &[Command]) {
+        for command in commands {
+            match command {
+                Command::Start { task, attempt } => self.start(id, task, *attempt),
+                Command::Stop { task, attempt, .. } => self.stop(id, task, *attempt),
+                Command::Forget { task, attempt } => self.forget(id, task, *attempt),
+            }
+        }
+    }
+
+    fn stop(&mut self, id: &MachineId, name: &str, attempt: Attempt) {
+        let now = self.now();
+        let Some(w) = self.machines.get_mut(id) else { return };
+        let Some(task) = TaskId::parse(name) else { return };
+        let Some(run) = w.tasks.get_mut(&task) else { return };
+        if run.attempt == attempt && run.state != TaskState::Exited {
+            run.state = TaskState::Exited;
+            run.why = Some(Why::Stopped);
+            w.tell_soon(now);
+        }
+    }
+
+    fn forget(&mut self, id: &MachineId, name: &str, attempt: Attempt) {
+        let Some(w) = self.machines.get_mut(id) else { return };
+        let Some(task) = TaskId::parse(name) else { return };
+        if w.tasks.get(&task).is_some_and(|run| run.attempt == attempt) {
+            w.tasks.remove(&task);
+        }
+    }
+
+    /// Starts a task, or lists it as refused.
+    pub(super) fn start(&mut self, id: &MachineId, name: &str, attempt: Attempt) {
+        let now = self.now();
+        let Some(task) = TaskId::parse(name) else {
+            return self.broken.push(format!("invented: {name}"));
+        };
+        let spec = self.specs.get(&task.job).or_else(|| self.guest_specs.get(&task.job));
+        let Some(spec) = spec.cloned() else {
+            return self.broken.push(format!("invented: {task}"));
+        };
+        let Some(w) = self.machines.get(id) else { return };
+        if w.tasks.get(&task).is_some_and(|run| run.attempt == attempt) {
+            return;
+        }
+        let why = w.refusal(&task);
+        if why.is_none() {
+            self.check_dependencies_done(&task, &spec);
+            self.count_start(&task, &spec);
+            self.check_start(id, &task, &spec);
+        }
+        let ends = self.end_of_run(id, &task, &spec);
+        let state = if why.is_some() { TaskState::Exited } else { TaskState::Running };
+        if let Some(w) = self.machines.get_mut(id) {
+            w.tell_soon(now);
+            if why != Some(Why::Busy) {
+                w.tasks.insert(task, Running { attempt, state, why, ends });
+            }
+        }
+    }
+
+    fn count_start(&mut self, task: &TaskId, spec: &JobSpec) {
+        self.starts += 1;
+        let first = !self.begun.contains_key(&task.job);
+        self.met.dependents_started += u32::from(first && !spec.dependencies.is_empty());
+        self.begun.entry(task.job.clone()).or_insert(self.step);
+        self.met.zoned_starts += u32::from(spec.zone.is_some());
+    }
+
+    /// The rules of a start: `ran_twice`, `wrong_place`, `quota` and `ran_cancelled`.
+    fn check_start(&mut self, id: &MachineId, task: &TaskId, spec: &JobSpec) {
+        let Some(w) = self.machines.get(id) else { return };
+        let holds =
+            |w: &Worker| w.tasks.get(task).is_some_and(|run| run.state != TaskState::Exited);
+        let twice = self.machines.iter().find(|(o, w)| *o != id && !w.dead && holds(w));
+        if let Some((other, _)) = twice {
+            self.broken.push(format!("ran_twice: {task} on {id} and {other}"));
+        }
+        if w.spot && !spec.spot || spec.zone.as_ref().is_some_and(|zone| *zone != w.zone) {
+            self.broken.push(format!("wrong_place: {task} on {id}"));
+        }
+        let team: usize = self.machines.values().map(Worker::live_tasks).sum();
+        if team as f64 + 1.0 > self.size.1 {
+            self.broken.push(format!("quota: {task} on {id}"));
+        }
+        if matches!(self.told.get(&task.job), Some((Stage::Cancelled, _))) {
+            self.met.late_starts += 1;
+            if self.past_cancellation(&task.job) {
+                self.broken.push(format!("ran_cancelled: {task} starts on {id}"));
+            }
+        }
+    }
+
+    /// When a task that starts now will end by itself.
+    fn end_of_run(&mut self, id: &MachineId, task: &TaskId, spec: &JobSpec) -> f64 {
+        let now = self.now();
+        let slow = self.machines.get(id).is_some_and(|w| self.step < w.slow_until);
+        let usual = self.rng.random_range(1.0..5.0);
+        let run = match spec.priority {
+            Priority::Low => LOW_PRIORITY_RUN_S,
+            _ if self.gaps && task.index > 0 => self.gap_s * f64::from(task.index),
+            _ => usual,
+        };
+        let run = run * if slow { SLOW_FACTOR } else { 1.0 };
+        match spec.kind {
+            _ if self.mistaken(&task.job) => now + MISTAKEN_RUN_S,
+            Kind::Service => f64::INFINITY,
+            _ if self.finished.contains(task) => now,
+            _ => now + run,
+        }
+    }
+}
--- /dev/null
+++ b/crates/rehearsal/src/world/views.rs
@@ -0,0 +1,27 @@
+//! What tests read of machines and services.
+
+use super::*;
+
+impl World {
+    /// Replicas that run, on machines that live.
+    pub fn serving(&self) -> usize {
+        let spec = |t: &TaskId| self.specs.get(&t.job).or_else(|| self.guest_specs.get(&t.job));
+        let service = |t: &&TaskId| spec(t).is_some_and(|s| s.kind == Kind::Service);
+        let live = self.machines.values().filter(|w| !w.dead);
+        live.map(|w| {
+            let on = w.tasks.iter().filter(|(_, r)| r.state == TaskState::Running);
+            on.filter(|(t, _)| service(t)).count()
+        })
+        .sum()
+    }
+
+    /// Machines that were returned, or are to be, so far.
+    pub fn returned(&self) -> usize {
+        self.released.len()
+    }
+
+    /// Machines that are up.
+    pub fn up(&self) -> usize {
+        self.machines.values().filter(|w| !w.dead).count()
+    }
+}
