--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -305,16 +305,16 @@
 /// Tasks that ran longer than this are not stopped for it, seconds: their loss
 /// would be the greater harm.
 pub const GUARANTEE_LOSS_S: f64 = 10.0;
-/// Places that arrays take from work of a lower rank in one pass: each looks at
+/// Preemptions of spare-capacity work for array jobs in one pass: each looks at
 /// all machines, and the next pass follows at once.
-pub const RANK_TAKES: usize = 24;
+pub const PREEMPTIONS_PER_PASS: usize = 24;
 /// A job of which nothing was ever started for this long, seconds, goes before
 /// all queues with one task: weights share machines, but promise no one a
 /// beginning.
 pub const BEGIN_LATEST_S: f64 = 60.0;
 /// A job past all its deadlines goes last for this long after its arrival,
 /// seconds; then in its turn again.
-pub const HOPELESS_LAST_S: f64 = 120.0;
+pub const MISSED_LAST_S: f64 = 120.0;
 /// A leader looks at what is due at least so often, seconds: placement and orders want
 /// it.
 pub const LEADER_STEP_S: f64 = 0.05;
--- a/crates/core/src/gangs.rs
+++ b/crates/core/src/gangs.rs
@@ -2,7 +2,7 @@
 
 use crate::jobs::Job;
 use crate::leader::Leader;
-use crate::place::{Pass, fits};
+use crate::place::{SchedulingPass, fits, machine_allowed};
 use marblebarrow_proto::ids::MachineId;
 use marblebarrow_proto::job::{JobSpec, Kind};
 use std::collections::BTreeMap;
@@ -10,8 +10,8 @@
 impl Leader {
     /// A gang starts when all its tasks fit at once; until then the others of
     /// its queue are served.
-    pub(crate) fn place_gangs(&mut self, pass: &mut Pass) {
-        for id in self.waiting_by_rank(Kind::Gang) {
+    pub(crate) fn place_gangs(&mut self, pass: &mut SchedulingPass) {
+        for id in self.waiting_by_priority(Kind::Gang) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
@@ -23,13 +23,18 @@
             let places = self.gang_places(pass, job, &members);
             let attempt = self.new_attempt();
             for (n, machine) in places {
-                self.put(pass, &id, n, &machine, attempt);
+                self.assign(pass, &id, n, &machine, attempt);
             }
         }
     }
 
     /// Machines for all members, or none.
-    fn gang_places(&self, pass: &Pass, job: &Job, members: &[u32]) -> Vec<(u32, MachineId)> {
+    fn gang_places(
+        &self,
+        pass: &SchedulingPass,
+        job: &Job,
+        members: &[u32],
+    ) -> Vec<(u32, MachineId)> {
         let spec = job.spec();
         let n = members.len() as f64;
         let whole = JobSpec { cpus: spec.cpus * n, gpus: spec.gpus * n, ..spec.clone() };
@@ -49,7 +54,7 @@
                 .filter(|(_, m)| {
                     m.usable(pass.now, self.facts.report_s)
                         && zone.is_none_or(|z| z == m.info.zone)
-                        && self.allowed(job, m)
+                        && machine_allowed(job, m, &self.machines)
                         && !m.exited.keys().any(|(t, _)| t.job == spec.id)
                 })
                 .map(|(id, m)| (id, m.info.zone.as_str(), m.free(), m.has_image(&spec.image)))
--- /dev/null
+++ b/crates/core/src/place/image_demand.rs
@@ -0,0 +1,92 @@
+//! Demand for container images: whether one more machine should fetch an image.
+
+use crate::consts::HOLDERS_FREE_SHARE;
+use crate::event::Secs;
+use crate::fleet::Machines;
+use crate::jobs::Job;
+use crate::leader::Leader;
+use marblebarrow_proto::ids::JobId;
+use marblebarrow_proto::job::{JobSpec, Kind};
+use std::collections::{BTreeMap, HashMap};
+
+/// The demand for an image: CPUs.
+#[derive(Debug, Default, Clone, Copy)]
+pub(crate) struct Demand {
+    /// What waiting array tasks need.
+    pub(crate) waiting: f64,
+    /// The size of all machines that have the image or are fetching it.
+    pub(crate) holders: f64,
+}
+
+/// The demand for each image that array tasks wait for.
+pub(super) fn image_demand(
+    jobs: &BTreeMap<JobId, Job>,
+    machines: &Machines,
+    now: Secs,
+    report_s: f64,
+) -> HashMap<String, Demand> {
+    let mut images = waiting_demand(jobs);
+    if !images.is_empty() {
+        count_holders(&mut images, machines, now, report_s);
+    }
+    images
+}
+
+fn waiting_demand(jobs: &BTreeMap<JobId, Job>) -> HashMap<String, Demand> {
+    let mut images: HashMap<String, Demand> = HashMap::new();
+    for job in jobs.values().filter(|job| job.spec().kind == Kind::Array) {
+        let waiting = f64::from(job.waiting()) * job.spec().cpus;
+        if waiting <= 0.0 {
+            continue;
+        }
+        match images.get_mut(&job.spec().image) {
+            Some(demand) => demand.waiting += waiting,
+            None => {
+                let demand = Demand { waiting, holders: 0.0 };
+                images.insert(job.spec().image.clone(), demand);
+            }
+        }
+    }
+    images
+}
+
+fn count_holders(
+    images: &mut HashMap<String, Demand>,
+    machines: &Machines,
+    now: Secs,
+    report_s: f64,
+) {
+    for machine in machines.values().filter(|machine| machine.usable(now, report_s)) {
+        let cached = machine.images.iter().map(|(image, _)| image);
+        for image in cached.chain(machine.fetching.keys()) {
+            if let Some(demand) = images.get_mut(image) {
+                demand.holders += machine.size[0];
+            }
+        }
+    }
+}
+
+/// Whether a task should fetch its image on one more machine: not while the machines that
+/// have it become free sooner than the fetch would end.
+///
+/// (In a full fleet half of all starts once fetched, and a quarter of the machines' time
+/// went into it.)
+///
+/// `likely_run` is what a task probably takes, seconds; `fetch_rate` the highest of all
+/// machine types, GB/s.
+fn fetch_is_worthwhile(spec: &JobSpec, likely_run: f64, demand: Demand, fetch_rate: f64) -> bool {
+    let fetch = spec.image_gb / fetch_rate.max(1e-3);
+    let come_free = demand.holders * fetch / likely_run.max(0.1);
+    demand.waiting > come_free * HOLDERS_FREE_SHARE
+}
+
+impl Leader {
+    /// Whether a task of the job should fetch its image on one more machine.
+    pub(crate) fn worth_fetch(&self, id: &JobId) -> bool {
+        let Some(job) = self.jobs.get(id) else { return false };
+        let Some(demand) = self.images.get(&job.spec().image) else { return true };
+        let rates = self.cloud_requests.types.iter().map(|t| t.fetch_gb_per_s);
+        let fetch_rate = rates.fold(0.0, f64::max);
+        fetch_is_worthwhile(job.spec(), job.likely_run(), *demand, fetch_rate)
+    }
+}
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -5,7 +5,9 @@
 use crate::event::Secs;
 use crate::jobs::{Live, Outcome, Phase};
 use crate::leader::Leader;
-use crate::place::{Claim, Images, Pass, Shape, fits};
+use crate::place::{
+    ImagePolicy, PreemptionReason, RequestShape, SchedulingPass, fits, machine_allowed,
+};
 use marblebarrow_proto::ids::{JobId, MachineId, TaskId};
 use marblebarrow_proto::job::{JobSpec, Kind};
 
@@ -17,19 +19,19 @@
     /// A service that its own team's limit keeps out takes the place of that
     /// team's arrays: they are stopped, and it starts once they are gone. (It
     /// once waited for them for a minute.)
-    pub(crate) fn make_quota(&mut self, pass: &mut Pass, id: &JobId, tasks: u32) {
+    pub(crate) fn reserve_quota(&mut self, pass: &mut SchedulingPass, id: &JobId, tasks: u32) {
         let Some(spec) = self.jobs.get(id).map(|j| j.spec().clone()) else { return };
-        let Some(team) = self.facts.teams.iter().find(|t| t.name == spec.team) else { return };
+        let Some(team) = self.team(&spec.team) else { return };
         let limits = [team.cpus_max, team.gpus_max];
         let fits = self.within_limit(pass, &spec);
-        let used = pass.usage.get(&spec.team).copied().unwrap_or_default();
+        let used = pass.usage_of(&spec.team);
         // Promised also if it fits by now but found no machine in this pass:
         // arrays once took again what was given up for it.
-        let promised = pass.promised.entry(spec.team.clone()).or_default();
+        let promised = pass.reserved.entry(spec.team.clone()).or_default();
         let needs = [spec.cpus * f64::from(tasks), spec.gpus * f64::from(tasks)];
         (0..2).for_each(|i| promised[i] += needs[i]);
         let promised = *promised;
-        if fits || pass.only.is_some() {
+        if fits || !pass.is_full() {
             return;
         }
         let mut over: [f64; 2] = std::array::from_fn(|i| {
@@ -62,12 +64,12 @@
     }
 
     /// Whether a team would keep its guarantee without one task of that kind.
-    fn borrows(&self, pass: &Pass, spec: &JobSpec) -> bool {
-        let Some(team) = self.facts.teams.iter().find(|t| t.name == spec.team) else {
+    fn borrows(&self, pass: &SchedulingPass, spec: &JobSpec) -> bool {
+        let Some(team) = self.team(&spec.team) else {
             return false;
         };
-        let used = pass.usage.get(&spec.team).copied().unwrap_or_default();
-        let given = pass.given.get(&spec.team).copied().unwrap_or_default();
+        let used = pass.usage_of(&spec.team);
+        let given = pass.preempted.get(&spec.team).copied().unwrap_or_default();
         let keeps = |i: usize, need: f64, own: f64| used[i] - given[i] - need >= own - 1e-9;
         keeps(0, spec.cpus, team.cpus) && keeps(1, spec.gpus, team.gpus)
     }
@@ -76,14 +78,14 @@
     /// lose least first.
     pub(crate) fn preempt_for(
         &mut self,
-        pass: &mut Pass,
+        pass: &mut SchedulingPass,
         id: &JobId,
         n: u32,
-        images: Images,
-        claim: Claim,
+        images: ImagePolicy,
+        reason: PreemptionReason,
     ) -> bool {
         // A machine that came free has room; nobody need be stopped for it.
-        if pass.only.is_some() {
+        if !pass.is_full() {
             return false;
         }
         let Some(job) = self.jobs.get(id) else {
@@ -93,8 +95,8 @@
         if !self.within_limit(pass, &spec) {
             return false;
         }
-        let shape = Shape::of(&spec, images, Some(claim));
-        if shape.as_ref().is_some_and(|s| pass.failed.contains(s)) {
+        let shape = RequestShape::of(&spec, images, Some(reason));
+        if pass.is_unplaceable(shape.as_ref()) {
             return false;
         }
         let mut best: Option<(TakeScore, MachineId, Vec<TaskId>)> = None;
@@ -106,12 +108,12 @@
             if !others
                 || listed
                 || !m.usable(pass.now, self.facts.report_s)
-                || !self.allowed(job, m)
+                || !machine_allowed(job, m, &self.machines)
             {
                 continue;
             }
             let fetch = m.fetch_time(&spec.image, spec.image_gb, pass.now);
-            if !images.allow(fetch) {
+            if !images.allows(fetch) {
                 continue;
             }
             let mut free = m.free();
@@ -122,11 +124,13 @@
                     let j = self.jobs.get(&task.job)?;
                     let l = j.live.get(&task.index)?;
                     let s = j.spec();
-                    let below = match claim {
-                        Claim::Rank => s.priority < spec.priority,
+                    let below = match reason {
+                        PreemptionReason::HigherPriority => s.priority < spec.priority,
                         // Not if more were lost than is won.
-                        Claim::Spare => j.spare() && j.loses(l, pass.now) < job.likely_run(),
-                        Claim::Guarantee => {
+                        PreemptionReason::SpareCapacity => {
+                            j.spare() && j.loses(l, pass.now) < job.likely_run()
+                        }
+                        PreemptionReason::Guarantee => {
                             s.team != spec.team
                                 && self.borrows(pass, s)
                                 && !l.adopted
@@ -160,21 +164,21 @@
             }
         }
         let Some((_, machine, victims)) = best else {
-            pass.failed.extend(shape);
+            pass.unplaceable.extend(shape);
             return false;
         };
-        pass.failed.clear();
+        pass.unplaceable.clear();
         for task in victims {
             self.log.push(|| format!("event=preempt task={task} for={id} machine={machine}"));
             self.preempt(pass.now, &task);
             if let Some(s) = self.jobs.get(&task.job).map(|j| j.record.spec.clone()) {
-                let given = pass.given.entry(s.team).or_default();
+                let given = pass.preempted.entry(s.team).or_default();
                 given[0] += s.cpus;
                 given[1] += s.gpus;
             }
         }
         let attempt = self.new_attempt();
-        self.put(pass, id, n, &machine, attempt);
+        self.assign(pass, id, n, &machine, attempt);
         true
     }
 
@@ -202,7 +206,7 @@
 
 /// Whether an attempt can be stopped for another's sake and will surely be gone
 /// soon.
-fn stoppable(l: &Live, pass: &Pass) -> bool {
+fn stoppable(l: &Live, pass: &SchedulingPass) -> bool {
     let known = l.never_sent(pass.now) || matches!(l.phase, Phase::Seen | Phase::Running);
     l.stop.is_none() && !l.doubt && known
 }
