--- a/crates/core/src/cells/room.rs
+++ b/crates/core/src/cells/room.rs
@@ -26,18 +26,14 @@
                 && spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == kind))
         };
         let booting = cloud.booting.values().any(|b| allowed(&b.kind, &b.zone, b.spot));
-        let had = |kind: &String, zone: &String, spot: bool| {
-            let place = (kind.clone(), zone.clone(), spot);
-            cloud.no_capacity.get(&place).is_none_or(|until| now >= *until)
-        };
         let holds =
             |t: &marblebarrow_proto::wire::MachineType| crate::user_api::type_allows(spec, t);
         booting
             || cloud.types.iter().filter(|t| holds(t)).any(|t| {
                 t.zones.iter().any(|zone| {
-                    [true, false]
-                        .into_iter()
-                        .any(|spot| allowed(&t.name, zone, spot) && had(&t.name, zone, spot))
+                    [true, false].into_iter().any(|spot| {
+                        allowed(&t.name, zone, spot) && cloud.has_capacity(now, &t.name, zone, spot)
+                    })
                 })
             })
     }
@@ -89,10 +85,11 @@
                 memory_gb: machine_type.memory_gb,
             };
             for (zone, spot) in machine_type.zones.iter().flat_map(|z| [(z, true), (z, false)]) {
-                let place = (machine_type.name.clone(), zone.clone(), spot);
-                let refused = cloud.no_capacity.get(&place).is_some_and(|until| now < *until);
+                let name = &machine_type.name;
+                let refused = !cloud.has_capacity(now, name, zone, spot);
+                let place = (name.clone(), zone.clone(), spot);
                 let room = Room {
-                    machine_type: machine_type.name.clone(),
+                    machine_type: name.clone(),
                     zone: zone.clone(),
                     spot,
                     free: Amounts::default(),
--- /dev/null
+++ b/crates/core/src/deprovision/consolidation.rs
@@ -0,0 +1,141 @@
+//! Consolidation: work is moved off machines so that they can be released.
+
+use crate::consts::*;
+use crate::event::Secs;
+use crate::fleet::Machine;
+use crate::jobs::{Job, Live};
+use crate::leader::Leader;
+use marblebarrow_proto::ids::{MachineId, TaskId};
+use marblebarrow_proto::job::{JobSpec, Kind};
+
+/// A machine that may take over replicas.
+struct Target<'a> {
+    machine: &'a Machine,
+    /// CPUs, GPUs, memory (GB).
+    free: [f64; 3],
+}
+
+impl Target<'_> {
+    /// Whether a replica could start there without a fetch.
+    fn fits(&self, spec: &JobSpec) -> bool {
+        let info = &self.machine.info;
+        let needs = needs(spec);
+        self.machine.has_image(&spec.image)
+            && spec.types.as_ref().is_none_or(|types| types.contains(&info.kind))
+            && spec.zone.as_ref().is_none_or(|zone| *zone == info.zone)
+            && (0..3).all(|i| self.free[i] + 1e-9 >= needs[i])
+    }
+
+    fn take(&mut self, spec: &JobSpec) {
+        let needs = needs(spec);
+        (0..3).for_each(|i| self.free[i] -= needs[i]);
+    }
+}
+
+/// CPUs, GPUs, memory (GB) of a task.
+fn needs(spec: &JobSpec) -> [f64; 3] {
+    [spec.cpus, spec.gpus, spec.memory_gb]
+}
+
+/// Whether a replica may be moved: it has run for long enough, and no other replica's place
+/// depends on its own.
+fn is_movable(job: &Job, index: u32, now: Secs) -> bool {
+    let spec = job.spec();
+    let settled = |live: &Live| {
+        let ran_long = live.ran_from.is_some_and(|from| now - from > GATHER_AGE_S);
+        live.stop.is_none() && !live.doubt && ran_long
+    };
+    spec.kind == Kind::Service
+        && !spec.spread
+        && !spec.one_zone
+        && job.live.get(&index).is_some_and(settled)
+}
+
+impl Leader {
+    /// Moves the replicas of a machine that is used little onto others that stay anyway and
+    /// hold their images, so that it can be released.
+    pub(crate) fn consolidate(&mut self, now: Secs) {
+        if self.recovering || now < self.cloud_requests.next_consolidation {
+            return;
+        }
+        // Not while spare-capacity work waits either: it fills what replicas leave. Mistaken
+        // jobs wait for as long as their users do, and once held up all consolidation.
+        if self.jobs.values().any(|job| job.waiting() > 0 && !job.mistaken()) {
+            return;
+        }
+        let Some(id) = self.least_used(now) else { return };
+        if !self.fits_elsewhere(now, &id) || !self.is_warm_without(now, &id) {
+            return;
+        }
+        let crowd = (self.machines.len() as f64 / GATHER_FLEET).max(1.0);
+        self.cloud_requests.next_consolidation = now + GATHER_EVERY_S / crowd;
+        let replicas = self.machines.get(&id).map_or(0, |machine| machine.tasks.len());
+        self.log.push(|| format!("event=gather machine={id} replicas={replicas}"));
+        self.evict_all(&id);
+    }
+
+    /// The ordinary machine with the least on it, if that is all replicas that may be moved.
+    fn least_used(&self, now: Secs) -> Option<MachineId> {
+        let movable = |task: &TaskId| {
+            self.jobs.get(&task.job).is_some_and(|job| is_movable(job, task.index, now))
+        };
+        let share = |m: &Machine| m.used[0] / m.size[0].max(1e-3);
+        self.machines
+            .iter()
+            .filter(|(_, m)| {
+                self.keeps_replicas(m, now) && m.direct.is_none() && m.tasks.iter().all(movable)
+            })
+            .map(|(id, m)| (share(m), id))
+            .filter(|(share, _)| *share <= GATHER_SHARE)
+            .min_by(|a, b| a.0.total_cmp(&b.0))
+            .map(|(_, id)| id.clone())
+    }
+
+    /// Whether a machine is an ordinary one that runs replicas and could start more.
+    fn keeps_replicas(&self, machine: &Machine, now: Secs) -> bool {
+        !machine.info.spot && machine.services > 0 && machine.usable(now, self.facts.report_s)
+    }
+
+    /// Whether all that is on a machine fits on others that run replicas and hold the images.
+    fn fits_elsewhere(&self, now: Secs, id: &MachineId) -> bool {
+        let Some(machine) = self.machines.get(id) else { return false };
+        let mut targets: Vec<Target> = self
+            .machines
+            .iter()
+            .filter(|(other, m)| *other != id && self.keeps_replicas(m, now))
+            .map(|(_, m)| Target { machine: m, free: m.free() })
+            .collect();
+        machine.tasks.iter().all(|task| {
+            let Some(spec) = self.jobs.get(&task.job).map(|job| job.spec()) else { return false };
+            let Some(target) = targets.iter_mut().find(|target| target.fits(spec)) else {
+                return false;
+            };
+            target.take(spec);
+            true
+        })
+    }
+
+    /// Empties ordinary machines that run nothing but spare-capacity work, a few a round,
+    /// unless others wait for capacity or services want them warm. The work saves what it
+    /// did, and goes on where it is cheap.
+    pub(super) fn evict_spare_work(&mut self, now: Secs, machines: Vec<MachineId>) {
+        if self.has_waiting_regular_work() {
+            return;
+        }
+        let most = (machines.len() as f64 * RETURN_SHARE).ceil() as usize;
+        for id in machines.into_iter().take(most) {
+            if !self.is_warm_without(now, &id) {
+                continue;
+            }
+            let Some(machine) = self.machines.get(&id) else { continue };
+            let tasks = machine.tasks.len();
+            self.log.push(|| format!("event=clear machine={id} tasks={tasks}"));
+            self.evict_all(&id);
+        }
+    }
+
+    /// Whether anything waits but spare-capacity work and mistaken jobs.
+    fn has_waiting_regular_work(&self) -> bool {
+        self.jobs.values().any(|job| job.waiting() > 0 && !job.spare() && !job.mistaken())
+    }
+}
--- /dev/null
+++ b/crates/core/src/deprovision/replica_failover.rs
@@ -0,0 +1,85 @@
+//! Capacity for the failover of replicas: machines that could take over a lost replica
+//! without fetching its image.
+
+use crate::consts::HOLDERS_SHARE;
+use crate::event::Secs;
+use crate::fleet::Machine;
+use crate::leader::Leader;
+use marblebarrow_proto::job::Kind;
+use std::collections::HashMap;
+
+/// Who could take over a lost replica of an image at once.
+#[derive(Debug, Default)]
+struct ImageFailover {
+    /// Replicas that run.
+    replicas: u32,
+    /// CPUs that the largest of them needs.
+    cpus: f64,
+    /// Ordinary machines on which one more could start without a fetch.
+    holders: u32,
+}
+
+impl ImageFailover {
+    /// Whether none of the holders may go.
+    fn is_short(&self) -> bool {
+        self.holders <= (f64::from(self.replicas) * HOLDERS_SHARE) as u32
+    }
+}
+
+/// For each image of running replicas: who could take over a lost one at once.
+#[derive(Debug)]
+pub(super) struct FailoverCapacity {
+    images: HashMap<String, ImageFailover>,
+}
+
+impl FailoverCapacity {
+    pub(super) fn of(leader: &Leader, now: Secs) -> Self {
+        let mut images = running_replicas(leader);
+        for machine in leader.machines.values() {
+            if machine.info.spot || !machine.usable(now, leader.facts.report_s) {
+                continue;
+            }
+            let cpus = free_with_preemption(leader, machine)[0] + 1e-9;
+            for (image, _) in &machine.images {
+                if let Some(failover) = images.get_mut(image).filter(|f| f.cpus <= cpus) {
+                    failover.holders += 1;
+                }
+            }
+        }
+        Self { images }
+    }
+
+    /// Replicas of an image that run.
+    pub(super) fn replicas(&self, image: &str) -> u32 {
+        self.images.get(image).map_or(0, |failover| failover.replicas)
+    }
+
+    /// Whether no machine that holds the image may go.
+    pub(super) fn is_short(&self, image: &str) -> bool {
+        self.images.get(image).is_some_and(ImageFailover::is_short)
+    }
+
+    /// A machine that holds the image goes.
+    pub(super) fn remove_holder(&mut self, image: &str) {
+        if let Some(failover) = self.images.get_mut(image) {
+            failover.holders = failover.holders.saturating_sub(1);
+        }
+    }
+}
+
+fn running_replicas(leader: &Leader) -> HashMap<String, ImageFailover> {
+    let mut images: HashMap<String, ImageFailover> = HashMap::new();
+    for job in leader.jobs.values().filter(|job| job.spec().kind == Kind::Service) {
+        let failover = images.entry(job.spec().image.clone()).or_default();
+        failover.replicas += job.live.len() as u32;
+        failover.cpus = failover.cpus.max(job.spec().cpus);
+    }
+    images
+}
+
+/// What is free on a machine, and what preemption would free: CPUs, GPUs, memory (GB).
+fn free_with_preemption(leader: &Leader, machine: &Machine) -> [f64; 3] {
+    let mut free = machine.free();
+    leader.add_preemptible(machine, &mut free);
+    free
+}
--- /dev/null
+++ b/crates/core/src/deprovision/spot_notices.rs
@@ -0,0 +1,57 @@
+//! Spot interruption notices: tasks that can save are evicted in time, and starts that were
+//! never sent are taken back.
+
+use crate::event::Secs;
+use crate::fleet::Machine;
+use crate::jobs::Outcome;
+use crate::leader::Leader;
+use marblebarrow_proto::ids::TaskId;
+
+impl Leader {
+    /// Evicts tasks that can save, in time; the others run on, and no new ones come.
+    pub(crate) fn drain_noticed(&mut self, now: Secs) {
+        for task in self.due_for_eviction(now) {
+            let Some(job) = self.jobs.get_mut(&task.job) else { continue };
+            let grace = job.spec().save_s * 2.0;
+            let live = job.live.get_mut(&task.index).filter(|live| live.stop.is_none());
+            let Some(live) = live else { continue };
+            live.stop = Some(grace);
+            if let Some(machine) = self.machines.get_mut(&live.machine) {
+                machine.push = true;
+            }
+        }
+    }
+
+    /// Tasks on machines with a notice that must save now or will be too late.
+    fn due_for_eviction(&self, now: Secs) -> Vec<TaskId> {
+        let mut due = Vec::new();
+        for machine in self.machines.values() {
+            let Some(until) = machine.notice else { continue };
+            let must_save = |task: &&TaskId| {
+                let Some(job) = self.jobs.get(&task.job) else { return false };
+                let spec = job.spec();
+                spec.checkpoint_s > 0.0 && until - now < spec.save_s + self.facts.report_s
+            };
+            due.extend(machine.tasks.iter().filter(must_save).cloned());
+        }
+        due
+    }
+
+    /// Takes back starts that were never sent, as their machine got a notice, was cordoned or
+    /// doesn't hear us.
+    pub(crate) fn unplace(&mut self, now: Secs) {
+        let mut unsent = Vec::new();
+        let hears = |m: &Machine| m.hears(now, self.facts.report_s);
+        for m in self.machines.values().filter(|m| m.notice.is_some() || m.cordoned || !hears(m)) {
+            for task in &m.tasks {
+                let live = self.jobs.get(&task.job).and_then(|job| job.live.get(&task.index));
+                if live.is_some_and(|live| live.never_sent(now)) {
+                    unsent.push(task.clone());
+                }
+            }
+        }
+        for task in unsent {
+            self.over(&task.job, task.index, Outcome::Lost, now);
+        }
+    }
+}
--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -74,7 +74,7 @@
         m.releasing = true;
         m.probe_due = false;
         m.answered = now;
-        self.cloud_requests.release.insert(id.clone());
+        self.cloud_requests.to_release.insert(id.clone());
     }
 
     fn direct_failed(&mut self, now: Secs, sent: DirectSent) {
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -3,13 +3,14 @@
 
 use crate::consts::GUARANTEE_LOSS_S;
 use crate::event::Secs;
+use crate::fleet::Machine;
 use crate::jobs::{Live, Outcome, Phase};
 use crate::leader::Leader;
 use crate::place::{
     ImagePolicy, PreemptionReason, RequestShape, SchedulingPass, fits, machine_allowed,
 };
 use marblebarrow_proto::ids::{JobId, MachineId, TaskId};
-use marblebarrow_proto::job::{JobSpec, Kind};
+use marblebarrow_proto::job::{JobSpec, Kind, Priority};
 
 /// The fetch, whether the machine is dearer than need be, what is lost: the least is
 /// best.
@@ -182,6 +183,18 @@
         true
     }
 
+    /// Adds what preemptible array tasks hold on a machine: CPUs, GPUs, memory (GB).
+    pub(crate) fn add_preemptible(&self, machine: &Machine, free: &mut [f64; 3]) {
+        for task in machine.tasks.difference(&machine.freed) {
+            let Some(spec) = self.jobs.get(&task.job).map(|job| job.spec()) else { continue };
+            if spec.kind == Kind::Array && spec.priority < Priority::Production {
+                free[0] += spec.cpus;
+                free[1] += spec.gpus;
+                free[2] += spec.memory_gb;
+            }
+        }
+    }
+
     fn preempt(&mut self, now: Secs, task: &TaskId) {
         let live = self.jobs.get_mut(&task.job).and_then(|j| j.live.get_mut(&task.index));
         let Some(live) = live else { return };
--- /dev/null
+++ b/crates/core/src/provision/backlog.rs
@@ -0,0 +1,57 @@
+//! Machines against a backlog that lasts.
+//!
+//! A backlog shorter than a boot is never worth a machine to any task in it, but all that
+//! come later wait in it too: thousands of tasks once waited for minutes, half a minute
+//! each.
+
+use super::RentPlan;
+use crate::consts::*;
+use crate::event::Secs;
+use crate::jobs::Job;
+use crate::leader::Leader;
+use marblebarrow_proto::job::Kind;
+
+impl Leader {
+    /// Plans machines for a backlog that has lasted. `cpus` is what waiting array tasks
+    /// want beyond what is free or planned; at most `most` machines are planned.
+    pub(super) fn plan_for_backlog(
+        &mut self,
+        now: Secs,
+        cpus: f64,
+        most: usize,
+        plan: &mut RentPlan,
+    ) {
+        let seen = &mut self.cloud_requests.backlog_cpus;
+        seen.add(now, cpus, BACKLOG_S);
+        if !seen.covers(BACKLOG_S) {
+            return;
+        }
+        let steady = seen.least();
+        let waits = |job: &&Job| {
+            job.spec().kind == Kind::Array
+                && job.waiting() > 0
+                && !job.mistaken()
+                && !job.spare()
+                && !job.unhurried(now)
+        };
+        let widest = self.jobs.values().filter(waits).max_by_key(|job| job.waiting());
+        let Some(job) = widest else { return };
+        let spec = job.spec().clone();
+        let mut wanted = steady * (job.likely_run() / DRAIN_S).min(1.0);
+        if wanted < spec.cpus {
+            return;
+        }
+        // What is rented now is capacity from now on; look again when it is there.
+        self.cloud_requests.backlog_cpus.clear();
+        for _ in 0..most {
+            if wanted <= 0.0 {
+                return;
+            }
+            let Some((machine, offer)) = self.cheapest_offer(now, &spec, u32::MAX, false) else {
+                return;
+            };
+            wanted -= machine.free[0].max(1.0);
+            plan.add(offer);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/provision/bin_packing.rs
@@ -0,0 +1,135 @@
+//! First-fit bin packing of tasks onto machines that are up, booting or planned.
+
+use crate::event::Secs;
+use marblebarrow_proto::job::JobSpec;
+use marblebarrow_proto::wire::MachineType;
+
+/// Amounts are compared with this tolerance.
+const TOLERANCE: f64 = 1e-9;
+
+/// Where a machine is, and of which type. Type and zone are indexes: into the list of
+/// machine types, and into the type's list of zones.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Location {
+    pub(super) machine_type: usize,
+    pub(super) zone: usize,
+    pub(super) spot: bool,
+}
+
+/// Free capacity of one machine that is up, booting or planned.
+#[derive(Clone, Debug)]
+pub(super) struct Capacity {
+    /// When it can be used.
+    pub(super) available_at: Secs,
+    /// CPUs, GPUs, memory (GB).
+    pub(super) free: [f64; 3],
+    pub(super) location: Location,
+}
+
+impl Capacity {
+    /// Free CPUs; none where more is in use than there is.
+    pub(super) fn free_cpus(&self) -> f64 {
+        self.free[0].max(0.0)
+    }
+}
+
+/// The zones in which a task may use machines of one type.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum AllowedZones {
+    /// None: the type isn't allowed, or not there in the task's zone.
+    None,
+    /// All.
+    All,
+    /// Only this one, an index into the type's list of zones.
+    Only(usize),
+}
+
+/// What a task requires of a machine.
+pub(super) struct TaskNeeds {
+    /// CPUs, GPUs, memory (GB).
+    pub(super) amounts: [f64; 3],
+    /// Whether it may run on spot machines.
+    pub(super) spot: bool,
+    /// For each machine type, by its index.
+    pub(super) types: Vec<AllowedZones>,
+}
+
+impl TaskNeeds {
+    /// What a task of such a job requires.
+    pub(super) fn of(spec: &JobSpec, types: &[MachineType]) -> Self {
+        Self {
+            amounts: [spec.cpus, spec.gpus, spec.memory_gb],
+            spot: spec.spot,
+            types: types.iter().map(|t| allowed_zones(spec, t)).collect(),
+        }
+    }
+
+    /// Whether the task may run on such a machine.
+    pub(super) fn allows(&self, location: Location) -> bool {
+        if location.spot && !self.spot {
+            return false;
+        }
+        match self.types.get(location.machine_type) {
+            None | Some(AllowedZones::None) => false,
+            Some(AllowedZones::All) => true,
+            Some(AllowedZones::Only(zone)) => *zone == location.zone,
+        }
+    }
+
+    fn fits(&self, capacity: &Capacity) -> bool {
+        (0..3).all(|i| capacity.free[i] + TOLERANCE >= self.amounts[i])
+            && self.allows(capacity.location)
+    }
+
+    /// Spot machines first, as services need ordinary ones; then the fullest.
+    fn packing_order(&self, capacity: &Capacity) -> (bool, i64) {
+        (self.spot && !capacity.location.spot, (capacity.free[0] * 100.0) as i64)
+    }
+
+    fn take_from(&self, capacity: &mut Capacity) {
+        (0..3).for_each(|i| capacity.free[i] -= self.amounts[i]);
+    }
+
+    /// Packs one task, if any machine has capacity for it.
+    pub(super) fn pack_one(&self, machines: &mut [Capacity]) -> bool {
+        let fitting = machines.iter_mut().filter(|machine| self.fits(machine));
+        let Some(machine) = fitting.min_by_key(|machine| self.packing_order(machine)) else {
+            return false;
+        };
+        self.take_from(machine);
+        true
+    }
+
+    /// Packs tasks until no machine has capacity or all are packed; how many are left.
+    ///
+    /// One machine is filled after the other, as [`TaskNeeds::pack_one`] would, but the
+    /// machines are looked through once, and not for every task.
+    pub(super) fn pack(&self, machines: &mut [Capacity], tasks: u32) -> u32 {
+        if tasks == 0 {
+            return 0;
+        }
+        let mut order: Vec<usize> =
+            (0..machines.len()).filter(|&i| self.fits(&machines[i])).collect();
+        order.sort_by_key(|&i| self.packing_order(&machines[i]));
+        let mut left = tasks;
+        for i in order {
+            while left > 0 && self.fits(&machines[i]) {
+                self.take_from(&mut machines[i]);
+                left -= 1;
+            }
+            if left == 0 {
+                break;
+            }
+        }
+        left
+    }
+}
+
+fn allowed_zones(spec: &JobSpec, t: &MachineType) -> AllowedZones {
+    if spec.types.as_ref().is_some_and(|types| !types.contains(&t.name)) {
+        return AllowedZones::None;
+    }
+    let Some(zone) = &spec.zone else { return AllowedZones::All };
+    let index = t.zones.iter().position(|z| z == zone);
+    index.map_or(AllowedZones::None, AllowedZones::Only)
+}
--- /dev/null
+++ b/crates/core/src/provision/capacity.rs
@@ -0,0 +1,96 @@
+//! The capacity of the fleet: machines that are up, and those that boot.
+
+use super::bin_packing::{Capacity, Location};
+use crate::cloud_requests::Booting;
+use crate::consts::*;
+use crate::event::Secs;
+use crate::leader::Leader;
+use marblebarrow_proto::ids::MachineId;
+use marblebarrow_proto::wire::MachineType;
+use std::collections::BTreeMap;
+
+/// Machine types by name, with their index.
+type TypesByName<'a> = BTreeMap<&'a str, (usize, &'a MachineType)>;
+
+/// A booting machine's report may come this much after its boot, seconds.
+const BOOT_REPORT_S: f64 = 5.0;
+
+impl Leader {
+    /// What is free on machines that are up, but for one, and on those that boot.
+    pub(super) fn capacity(&self, now: Secs, without: Option<&MachineId>) -> Vec<Capacity> {
+        let types: TypesByName = self
+            .cloud_requests
+            .types
+            .iter()
+            .enumerate()
+            .map(|(index, t)| (t.name.as_str(), (index, t)))
+            .collect();
+        let mut capacity = Vec::new();
+        for (id, m) in &self.machines {
+            if Some(id) == without || !m.usable(now, self.facts.report_s) {
+                continue;
+            }
+            let found = types.get(m.info.kind.as_str());
+            capacity.extend(found.map(|(index, t)| Capacity {
+                available_at: now,
+                free: m.free(),
+                location: location(*index, t, &m.info.zone, m.info.spot),
+            }));
+        }
+        for machine in self.cloud_requests.booting.values().filter(|b| !b.failed) {
+            let found = types.get(machine.kind.as_str());
+            capacity.extend(found.and_then(|(index, t)| self.booting(now, machine, *index, t)));
+        }
+        capacity
+    }
+
+    /// The capacity of a booting machine, unless it is unlikely to come up.
+    fn booting(
+        &self,
+        now: Secs,
+        machine: &Booting,
+        index: usize,
+        t: &MachineType,
+    ) -> Option<Capacity> {
+        let boot = self.cloud_requests.boot(t, &machine.zone);
+        let counted = t.boot_s.max(boot) * BOOT_COUNTED + BOOT_REPORT_S;
+        let since_failover = now - self.cloud_requests.leader_since;
+        let may_report = machine.up && since_failover < RENT_AFTER_S * 2.0;
+        if now - machine.since >= counted && !may_report {
+            return None;
+        }
+        let overdue = now > machine.since + boot && !machine.up;
+        let more = boot.min(t.boot_s) * BOOT_MORE;
+        Some(Capacity {
+            available_at: if overdue { now + more } else { machine.since + boot },
+            free: [t.cpus, t.gpus, t.memory_gb],
+            location: location(index, t, &machine.zone, machine.spot),
+        })
+    }
+
+    /// Where a machine is, if its type and zone are known.
+    pub(super) fn location_of(&self, machine: &MachineId) -> Option<Location> {
+        let info = &self.machines.get(machine)?.info;
+        let types = &self.cloud_requests.types;
+        let machine_type = types.iter().position(|t| t.name == info.kind)?;
+        let zone = types[machine_type].zones.iter().position(|z| *z == info.zone)?;
+        Some(Location { machine_type, zone, spot: info.spot })
+    }
+
+    /// Adds what preemptible array tasks hold on machines that are up.
+    pub(super) fn add_preemptible_capacity(&self, now: Secs, capacity: &mut [Capacity]) {
+        // `capacity` lists the usable machines first, in the order of `machines`.
+        let usable = self.machines.values().filter(|m| {
+            m.usable(now, self.facts.report_s)
+                && self.cloud_requests.types.iter().any(|t| t.name == m.info.kind)
+        });
+        for (machine, capacity) in usable.zip(capacity) {
+            self.add_preemptible(machine, &mut capacity.free);
+        }
+    }
+}
+
+fn location(machine_type: usize, t: &MachineType, zone: &str, spot: bool) -> Location {
+    let zone = t.zones.iter().position(|z| z == zone).unwrap_or(0);
+    Location { machine_type, zone, spot }
+}
--- /dev/null
+++ b/crates/core/src/provision/spot_replacement.rs
@@ -0,0 +1,68 @@
+//! Spot machines in the place of ordinary ones that arrays have kept busy for a while: new
+//! tasks go to the former, and the latter become idle and are returned.
+
+use super::RentPlan;
+use super::bin_packing::Capacity;
+use crate::consts::*;
+use crate::event::Secs;
+use crate::leader::Leader;
+use marblebarrow_proto::ids::JobId;
+use marblebarrow_proto::job::JobSpec;
+use std::collections::BTreeMap;
+
+/// Array work on ordinary machines that run no service.
+struct ReplaceableWork {
+    /// CPUs that it uses.
+    cpus: f64,
+    /// The job with most of its tasks.
+    largest: Option<JobSpec>,
+}
+
+impl Leader {
+    /// Plans spot machines for part of the array work that ordinary machines run.
+    pub(super) fn replace_with_spot(
+        &mut self,
+        now: Secs,
+        capacity: &[Capacity],
+        plan: &mut RentPlan,
+    ) {
+        let work = self.replaceable_work();
+        let seen = &mut self.cloud_requests.replaceable_cpus;
+        seen.add(now, work.cpus, SWAP_AFTER_S);
+        let Some(spec) = work.largest.filter(|_| seen.covers(SWAP_AFTER_S)) else { return };
+        let steady = seen.least();
+        let spot = capacity.iter().filter(|machine| machine.location.spot);
+        let spot_free: f64 = spot.map(Capacity::free_cpus).sum();
+        let mut wanted = steady * SWAP_SHARE - spot_free;
+        for _ in 0..PLAN_MAX {
+            if wanted <= 0.0 {
+                return;
+            }
+            let Some((machine, offer)) = self.cheapest_offer(now, &spec, u32::MAX, false) else {
+                return;
+            };
+            if !machine.location.spot || wanted < machine.free[0] {
+                return;
+            }
+            wanted -= machine.free[0];
+            plan.add(offer);
+        }
+    }
+
+    fn replaceable_work(&self) -> ReplaceableWork {
+        let mut cpus = 0.0;
+        let mut tasks: BTreeMap<&JobId, u32> = BTreeMap::new();
+        for machine in self.machines.values().filter(|m| !m.info.spot && m.services == 0) {
+            for task in &machine.tasks {
+                let Some(job) = self.jobs.get(&task.job) else { continue };
+                if job.spec().spot && !job.spare() {
+                    cpus += job.spec().cpus;
+                    *tasks.entry(&task.job).or_default() += 1;
+                }
+            }
+        }
+        let largest = tasks.iter().max_by_key(|(_, count)| **count);
+        let largest = largest.and_then(|(id, _)| self.jobs.get(*id));
+        ReplaceableWork { cpus, largest: largest.map(|job| job.spec().clone()) }
+    }
+}
--- a/crates/core/src/tests/provision.rs
+++ b/crates/core/src/tests/provision.rs
@@ -1,12 +1,14 @@
+use super::bin_packing::{AllowedZones, Location};
 use super::*;
 use proptest::prelude::*;
 
 use crate::facts::{Facts, Tuning};
 use crate::jobs::{Live, Phase};
 use crate::place::Demand;
-use marblebarrow_proto::ids::{Attempt, NodeId, Term};
+use marblebarrow_proto::ids::{Attempt, JobId, MachineId, NodeId, Term};
 use marblebarrow_proto::job::Priority;
 use marblebarrow_proto::records::SpecRecord;
+use marblebarrow_proto::wire::MachineType;
 use rand::SeedableRng as _;
 use std::sync::Arc;
 
@@ -96,7 +98,7 @@
 }
 
 fn late(leader: &Leader) -> u32 {
-    leader.late_tasks(0.0, &[], |_| true).0.iter().map(|(_, n)| n).sum()
+    leader.late_tasks(0.0, &[], |_| true).shortages.iter().map(|shortage| shortage.tasks).sum()
 }
 
 /// 9,000 tasks wait for as many busy CPUs: those that would start after a
@@ -119,12 +121,12 @@
 fn a_backlog_that_stays_gets_machines() {
     for (steady, wanted) in [(true, true), (false, false)] {
         let mut leader = leader(0, 2_000, false);
-        let mut plan = BTreeMap::new();
+        let mut plan = RentPlan::default();
         for step in 0..60 {
             let cpus = if steady || step % 10 > 0 { 2_000.0 } else { 0.0 };
-            leader.drain_backlog(f64::from(step) * FLEET_EVERY_S, cpus, 250, &mut plan);
+            leader.plan_for_backlog(f64::from(step) * FLEET_EVERY_S, cpus, 250, &mut plan);
         }
-        assert_eq!(!plan.is_empty(), wanted, "{plan:?}");
+        assert_eq!(!plan.machines.is_empty(), wanted, "{plan:?}");
     }
 }
 
@@ -149,24 +151,22 @@
         spot in any::<bool>(),
         tasks in 0u32..60,
     ) {
-        let mut rooms: Vec<Room> = rooms
+        let mut rooms: Vec<Capacity> = rooms
             .into_iter()
-            .map(|(free, spot, kind)| Room {
-                at: 0.0,
+            .map(|(free, spot, machine_type)| Capacity {
+                available_at: 0.0,
                 free: [f64::from(free), 0.0, 8.0],
-                spot,
-                kind,
-                zone: 0,
+                location: Location { machine_type, zone: 0, spot },
             })
             .collect();
-        let need = Need {
+        let need = TaskNeeds {
             amounts: [f64::from(cpus), 0.0, 1.0],
             spot,
-            kinds: vec![Some(None), None],
+            types: vec![AllowedZones::All, AllowedZones::None],
         };
         let mut one_by_one = rooms.clone();
-        let placed = (0..tasks).take_while(|_| need.take(&mut one_by_one)).count() as u32;
-        prop_assert_eq!(need.lacking(&mut rooms, tasks), tasks - placed);
+        let placed = (0..tasks).take_while(|_| need.pack_one(&mut one_by_one)).count() as u32;
+        prop_assert_eq!(need.pack(&mut rooms, tasks), tasks - placed);
         let mut left: Vec<u32> = rooms.iter().map(|r| r.free[0] as u32).collect();
         let mut wanted: Vec<u32> = one_by_one.iter().map(|r| r.free[0] as u32).collect();
         left.sort_unstable();
