--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -7,6 +7,8 @@
 /// replaced soon; long enough for a slow answer of the state service (a few
 /// hundred ms) and a processor stall.
 pub const GRANT_MS: u64 = 3_000;
+/// The same in seconds.
+pub const GRANT_S: f64 = GRANT_MS as f64 / 1e3;
 /// Seconds between touches: five tries within a grant.
 pub const TOUCH_EVERY_S: f64 = 0.6;
 /// Taken off a grant's certain life, seconds: owner-queue delay between the
--- /dev/null
+++ b/crates/core/src/election/campaign.rs
@@ -0,0 +1,164 @@
+//! The steps of an election: a grant, the term counter, and the transaction that makes this
+//! controller leader.
+
+use super::{Election, Leadership, LeadershipChange, Role, lease};
+use crate::consts::GRANT_MS;
+use crate::event::{ActionSink, OpId, Secs, StoreRequest, StoreResult};
+use crate::replica::Replica;
+use marblebarrow_proto::cbor::{from_value, to_value};
+use marblebarrow_proto::ids::Term;
+use marblebarrow_proto::records::{LEADER, LeaderRecord, TERM, TermRecord};
+use marblebarrow_proto::wire::{Cond, Item, Txn, Write};
+
+/// The term counter as it was read.
+struct TermCounter {
+    /// The last term; 0: none yet.
+    term: u64,
+    /// Version of its key; 0: absent.
+    version: u64,
+}
+
+impl TermCounter {
+    /// `None` if the record can't be read.
+    fn of(item: Option<&Item>) -> Option<Self> {
+        let Some(item) = item else { return Some(Self { term: 0, version: 0 }) };
+        let record = from_value::<TermRecord>(&item.value).ok()?;
+        Some(Self { term: record.term, version: item.version })
+    }
+}
+
+impl Election {
+    /// Stands, if nobody leads and it is time.
+    pub(super) fn follow(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
+        if !replica.synced {
+            return;
+        }
+        match &replica.leader {
+            Some((leader, _)) if self.is_dead_self(leader) => {
+                self.revoked = Some(leader.grant);
+                out.store(StoreRequest::Revoke(leader.grant));
+            }
+            Some(_) => self.candidacy.note_leader(now),
+            None if self.candidacy.may_stand(now) => {
+                let op = out.store(StoreRequest::Grant(GRANT_MS));
+                self.role = Role::Granting { op, since: now };
+            }
+            None => {}
+        }
+    }
+
+    /// Whether our own earlier process led: it is dead, so its key may go.
+    fn is_dead_self(&self, leader: &LeaderRecord) -> bool {
+        leader.node == self.me && leader.boot != self.boot && self.revoked != Some(leader.grant)
+    }
+
+    /// Follows again, and stands no sooner than after a while.
+    pub(super) fn fall_back(&mut self, now: Secs) {
+        self.role = Role::Follower;
+        self.candidacy.retry_later(now);
+    }
+
+    /// Whether an answer of the store is to a step of the election; if so, takes it.
+    pub(super) fn campaign_answered(
+        &mut self,
+        now: Secs,
+        answered: OpId,
+        result: &StoreResult,
+        out: &mut ActionSink,
+    ) -> Option<LeadershipChange> {
+        match self.role {
+            Role::Granting { op, since } if op == answered => {
+                self.granted(now, since, result, out);
+                Some(LeadershipChange::None)
+            }
+            Role::Reading { op, grant, since } if op == answered => {
+                match result {
+                    StoreResult::Value(item) => self.stand(now, grant, since, item.as_ref(), out),
+                    _ => self.fall_back(now),
+                }
+                Some(LeadershipChange::None)
+            }
+            Role::Candidate { op: Some(op), grant, since, term } if op == answered => {
+                Some(self.candidacy_answered(now, grant, since, term, result))
+            }
+            _ => None,
+        }
+    }
+
+    fn granted(&mut self, now: Secs, since: Secs, result: &StoreResult, out: &mut ActionSink) {
+        let StoreResult::Granted(grant) = result else { return self.fall_back(now) };
+        let op = out.store(StoreRequest::Get(TERM.into()));
+        self.role = Role::Reading { op, grant: *grant, since };
+    }
+
+    fn candidacy_answered(
+        &mut self,
+        now: Secs,
+        grant: u64,
+        since: Secs,
+        term: Term,
+        result: &StoreResult,
+    ) -> LeadershipChange {
+        match result {
+            StoreResult::Committed(version) => {
+                return self.win(now, grant, since, term, *version);
+            }
+            // The watch will tell.
+            StoreResult::Unknown => {
+                self.role = Role::Candidate { op: None, grant, since, term };
+            }
+            _ => self.fall_back(now),
+        }
+        LeadershipChange::None
+    }
+
+    /// Sends the transaction that makes this controller leader of the next term.
+    fn stand(
+        &mut self,
+        now: Secs,
+        grant: u64,
+        since: Secs,
+        counter: Option<&Item>,
+        out: &mut ActionSink,
+    ) {
+        if !self.candidacy.is_wait_over(now) {
+            return self.fall_back(now);
+        }
+        let Some(counter) = TermCounter::of(counter) else { return self.fall_back(now) };
+        let term = Term(counter.term + 1);
+        let op = out.store(StoreRequest::Commit(self.campaign_txn(grant, term, counter.version)));
+        self.role = Role::Candidate { op: Some(op), grant, since, term };
+    }
+
+    /// Takes the leader key and counts the term, if nobody else did either.
+    fn campaign_txn(&self, grant: u64, term: Term, counter_version: u64) -> Txn {
+        let leader = LeaderRecord { node: self.me.clone(), term: term.0, grant, boot: self.boot };
+        let counter = TermRecord { term: term.0 };
+        Txn {
+            conds: vec![
+                Cond { key: LEADER.into(), version: 0 },
+                Cond { key: TERM.into(), version: counter_version },
+            ],
+            writes: vec![
+                Write::Put { key: LEADER.into(), value: to_value(&leader), grant: Some(grant) },
+                Write::Put { key: TERM.into(), value: to_value(&counter), grant: None },
+            ],
+        }
+    }
+
+    /// The leader key is ours, at that version, under a grant asked for at `since`.
+    pub(super) fn win(
+        &mut self,
+        now: Secs,
+        grant: u64,
+        since: Secs,
+        term: Term,
+        version: u64,
+    ) -> LeadershipChange {
+        let valid_until = lease::certain_until(since);
+        self.pledges.clear();
+        self.lease.begin(now);
+        self.role = Role::Leader(Leadership { grant, term, version, valid_until });
+        LeadershipChange::Won
+    }
+}
--- /dev/null
+++ b/crates/core/src/election/lease.rs
@@ -0,0 +1,69 @@
+//! Renewal of the lease that the leader key is held under.
+
+use crate::consts::*;
+use crate::event::{ActionSink, OpId, Secs, StoreRequest};
+
+/// A touch of the grant that the store hasn't answered.
+#[derive(Clone, Copy, Debug)]
+struct PendingTouch {
+    op: OpId,
+    sent: Secs,
+}
+
+/// When the lease is renewed, and how that goes.
+#[derive(Debug, Default)]
+pub(super) struct LeaseRenewal {
+    pending: Option<PendingTouch>,
+    next_touch: Secs,
+    failing: bool,
+}
+
+impl LeaseRenewal {
+    /// Whether the last renewal failed.
+    pub(super) fn is_failing(&self) -> bool {
+        self.failing
+    }
+
+    /// A leadership begins: the first renewal is due at once.
+    pub(super) fn begin(&mut self, now: Secs) {
+        self.failing = false;
+        self.next_touch = now;
+    }
+
+    /// Renews the lease, if it is time.
+    pub(super) fn touch_if_due(&mut self, now: Secs, grant: u64, out: &mut ActionSink) {
+        if self.pending.is_none() && now >= self.next_touch {
+            let op = out.store(StoreRequest::Touch(grant));
+            self.pending = Some(PendingTouch { op, sent: now });
+        }
+    }
+
+    /// If the answer is to a renewal: when that was sent.
+    pub(super) fn answered(&mut self, op: OpId) -> Option<Secs> {
+        let sent = self.pending.filter(|touch| touch.op == op)?.sent;
+        self.pending = None;
+        Some(sent)
+    }
+
+    /// The renewal sent at that time was carried out.
+    pub(super) fn renewed(&mut self, sent: Secs) {
+        self.next_touch = sent + TOUCH_EVERY_S;
+        self.failing = false;
+    }
+
+    /// A renewal failed, or its answer is lost.
+    pub(super) fn failed(&mut self, now: Secs) {
+        self.next_touch = now + STORE_RETRY_S;
+        self.failing = true;
+    }
+
+    /// Waits for no answer any more.
+    pub(super) fn abandon(&mut self) {
+        self.pending = None;
+    }
+}
+
+/// Until when a grant that was asked for or touched at `sent` surely lives.
+pub(super) fn certain_until(sent: Secs) -> Secs {
+    sent + GRANT_S * (1.0 - DRIFT) - GRANT_MARGIN_S
+}
--- /dev/null
+++ b/crates/core/src/election/mod.rs
@@ -0,0 +1,318 @@
+//! Leader election: who leads, and until when that is certain.
+//!
+//! The leader holds the leader key under a lease of the state service (a grant). It acts only
+//! while the lease surely lives, counted from the sending of the last good renewal (a touch);
+//! in an outage of the state service also while every other controller has pledged not to
+//! stand ([`pledges`]). A pledge is given only by a controller that the store refuses too, and
+//! a fresh process waits a pledge's length before it stands, so that a pledge outlives the
+//! restart of the process that gave it ([`candidacy`]). [`campaign`] holds the steps of an
+//! election.
+
+mod campaign;
+mod candidacy;
+mod lease;
+mod pledges;
+
+use crate::consts::*;
+use crate::event::{ActionSink, OpId, PledgeAnswer, Secs, StoreRequest, StoreResult};
+use crate::replica::Replica;
+use candidacy::Candidacy;
+use lease::LeaseRenewal;
+use marblebarrow_proto::ids::{NodeId, Term};
+use pledges::Pledges;
+use std::fmt;
+
+/// A leadership.
+#[derive(Debug, Clone)]
+pub struct Leadership {
+    /// The grant of the leader key.
+    pub grant: u64,
+    /// The term.
+    pub term: Term,
+    /// Version of the leader key: the condition of every write.
+    pub version: u64,
+    /// The grant surely lives until then.
+    pub valid_until: Secs,
+}
+
+/// Until when nobody else can lead.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct LeadershipBounds {
+    /// Our term.
+    pub term: u64,
+    /// The lease of the leader key surely lives until then.
+    pub lease_until: Secs,
+    /// Every peer has pledged not to stand until then.
+    pub pledged_until: Secs,
+}
+
+/// The state of this controller in an election.
+#[derive(Debug)]
+enum Role {
+    /// Another leads, or nobody.
+    Follower,
+    /// Asked for a grant.
+    Granting { op: OpId, since: Secs },
+    /// Reads the term counter.
+    Reading { op: OpId, grant: u64, since: Secs },
+    /// Sent the transaction that makes it leader; without `op`, the answer is lost and the
+    /// watch will tell.
+    Candidate { op: Option<OpId>, grant: u64, since: Secs, term: Term },
+    /// Leads.
+    Leader(Leadership),
+}
+
+/// What an election step led to.
+#[derive(Debug, PartialEq)]
+pub enum LeadershipChange {
+    /// Nothing.
+    None,
+    /// We lead from now on.
+    Won,
+    /// We no longer lead.
+    Lost(LossReason),
+}
+
+/// Why a leadership ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LossReason {
+    /// Resigned: all workers fell silent at once.
+    WorkersUnreachable,
+    /// Resigned: the copy of the store got too old.
+    OutOfDate,
+    /// The state service no longer knows the lease of the leader key.
+    LeaseGone,
+    /// The watch showed another leader.
+    Superseded,
+    /// A transaction failed as the leader key had changed.
+    Deposed,
+}
+
+impl fmt::Display for LossReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::WorkersUnreachable => "workers_unreachable",
+            Self::OutOfDate => "out_of_date",
+            Self::LeaseGone => "lease_gone",
+            Self::Superseded => "superseded",
+            Self::Deposed => "deposed",
+        })
+    }
+}
+
+/// The election as one controller sees it.
+#[derive(Debug)]
+pub struct Election {
+    me: NodeId,
+    /// Tells this process from earlier ones of the same name.
+    boot: u64,
+    peers: Vec<NodeId>,
+    role: Role,
+    candidacy: Candidacy,
+    lease: LeaseRenewal,
+    pledges: Pledges,
+    /// The grant of an earlier process of ours that was revoked last.
+    revoked: Option<u64>,
+}
+
+impl Election {
+    /// A fresh process. `boot` tells it from earlier ones of the same name.
+    pub fn new(me: NodeId, peers: Vec<NodeId>, boot: u64, now: Secs) -> Self {
+        Self {
+            me,
+            boot,
+            candidacy: Candidacy::new(peers.len(), boot, now),
+            peers,
+            role: Role::Follower,
+            lease: LeaseRenewal::default(),
+            pledges: Pledges::default(),
+            revoked: None,
+        }
+    }
+
+    /// A cluster of one has nobody to have pledged to.
+    pub fn founded(mut self) -> Self {
+        if self.peers.is_empty() {
+            self.candidacy.stand_at_once();
+        }
+        self
+    }
+
+    /// The leadership, if we hold it (whether or not we may act).
+    pub fn leadership(&self) -> Option<&Leadership> {
+        match &self.role {
+            Role::Leader(leadership) => Some(leadership),
+            _ => None,
+        }
+    }
+
+    /// The term in which we may act, and until when nobody else can: while the grant surely
+    /// lives, and while every peer's pledge does.
+    pub fn leadership_bounds(&self) -> Option<LeadershipBounds> {
+        let held = self.leadership()?;
+        Some(LeadershipBounds {
+            term: held.term.0,
+            lease_until: held.valid_until,
+            pledged_until: self.pledges.pledged_until(&self.peers),
+        })
+    }
+
+    /// When we knew of every cancellation that any peer had confirmed, as the peers themselves
+    /// told.
+    pub fn cancellations_known_at(&self) -> Secs {
+        self.pledges.informed_at(&self.peers)
+    }
+
+    /// Whether the last touch of the grant failed.
+    pub fn touch_failing(&self) -> bool {
+        self.lease.is_failing()
+    }
+
+    /// Steps with time.
+    pub fn tick(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) -> LeadershipChange {
+        match &self.role {
+            Role::Follower => self.follow(now, replica, out),
+            Role::Granting { since, .. } | Role::Reading { since, .. } => {
+                if now > *since + GRANT_S {
+                    self.fall_back(now);
+                }
+            }
+            Role::Candidate { since, .. } => {
+                // The grant isn't touched, so by then whatever became of the transaction, the
+                // key is gone or was never there.
+                if now > *since + GRANT_S + 1.0 {
+                    self.fall_back(now);
+                }
+            }
+            Role::Leader(leadership) => {
+                let (grant, term) = (leadership.grant, leadership.term);
+                self.lease.touch_if_due(now, grant, out);
+                if self.lease.is_failing() && !self.peers.is_empty() {
+                    self.pledges.ask_if_due(now, term, replica.revision, out);
+                }
+            }
+        }
+        LeadershipChange::None
+    }
+
+    /// Whether the controller that workers try after us is the silent one.
+    pub fn next_in_turn(&mut self, silent: bool) {
+        self.candidacy.note_next_silent(silent);
+    }
+
+    /// Whether any other controller was heard lately.
+    pub fn note_peer_heard(&mut self, now: Secs, any: bool) {
+        self.candidacy.note_alone(now, !any && !self.peers.is_empty());
+    }
+
+    /// Whether this process still waits lest its earlier self has pledged.
+    pub fn fresh(&self) -> bool {
+        self.candidacy.is_fresh() && !self.peers.is_empty()
+    }
+
+    /// A peer that was alive after our start says whether it leads. Only a leader can hold a
+    /// pledge of our earlier process; if none of the peers is one, there is nothing to wait
+    /// for.
+    pub fn peer_leads(&mut self, now: Secs, peer: NodeId, leading: bool) {
+        self.candidacy.note_peer_leads(now, peer, leading);
+    }
+
+    /// Gives up the leadership so that a controller that workers can reach may win it.
+    pub fn resign(
+        &mut self,
+        now: Secs,
+        reason: LossReason,
+        out: &mut ActionSink,
+    ) -> LeadershipChange {
+        if let Some(held) = self.leadership() {
+            out.store(StoreRequest::Revoke(held.grant));
+        }
+        let change = self.lose(now, reason);
+        self.candidacy.wait_until(now + RESIGNED_S);
+        change
+    }
+
+    /// Loses a leadership, if we hold one.
+    pub fn lose(&mut self, now: Secs, reason: LossReason) -> LeadershipChange {
+        let led = self.leadership().is_some();
+        self.lease.abandon();
+        self.fall_back(now);
+        if led { LeadershipChange::Lost(reason) } else { LeadershipChange::None }
+    }
+
+    /// Whether an answer of the store is for us; if so, takes it.
+    pub fn store(
+        &mut self,
+        now: Secs,
+        op: OpId,
+        result: &StoreResult,
+        out: &mut ActionSink,
+    ) -> Option<LeadershipChange> {
+        if let Some(sent) = self.lease.answered(op) {
+            return Some(self.touched(now, sent, result));
+        }
+        self.campaign_answered(now, op, result, out)
+    }
+
+    fn touched(&mut self, now: Secs, sent: Secs, result: &StoreResult) -> LeadershipChange {
+        let Role::Leader(leadership) = &mut self.role else {
+            return LeadershipChange::None;
+        };
+        match result {
+            StoreResult::Touched => {
+                leadership.valid_until = lease::certain_until(sent);
+                self.lease.renewed(sent);
+                LeadershipChange::None
+            }
+            StoreResult::NoGrant => self.lose(now, LossReason::LeaseGone),
+            _ => {
+                self.lease.failed(now);
+                LeadershipChange::None
+            }
+        }
+    }
+
+    /// The watched leader key changed.
+    pub fn leader_changed(&mut self, now: Secs, replica: &Replica) -> LeadershipChange {
+        let seen = replica.leader.as_ref();
+        match (&self.role, seen) {
+            // Removed: before the watch has shown our own key, it may be an older removal;
+            // the touch will find out.
+            (Role::Leader(_), None) => LeadershipChange::None,
+            (Role::Leader(held), Some((_, version))) if *version <= held.version => {
+                LeadershipChange::None
+            }
+            (Role::Leader(_), Some(_)) => self.lose(now, LossReason::Superseded),
+            (Role::Candidate { grant, since, term, .. }, Some((record, version)))
+                if record.boot == self.boot && record.grant == *grant =>
+            {
+                let (grant, since, term) = (*grant, *since, *term);
+                self.win(now, grant, since, term, *version)
+            }
+            _ => LeadershipChange::None,
+        }
+    }
+
+    /// A leader asks us not to stand. `store_refuses`: the store has refused us lately too, so
+    /// that it has an outage as far as we can tell. Whether we pledge.
+    pub fn pledge_asked(
+        &mut self,
+        now: Secs,
+        (from, term): (&NodeId, u64),
+        replica: &Replica,
+        store_refuses: bool,
+    ) -> bool {
+        let known = replica.leader.as_ref().is_some_and(|(r, _)| r.node == *from && r.term == term);
+        let granted = store_refuses && known && matches!(self.role, Role::Follower);
+        if granted {
+            self.candidacy.pledge(now);
+        }
+        granted
+    }
+
+    /// A peer answered a request sent at `sent`, and all cancellations that it told are known
+    /// by now.
+    pub fn pledged(&mut self, peer: NodeId, sent: Secs, answer: &PledgeAnswer) {
+        self.pledges.answered(peer, sent, answer);
+    }
+}
