--- /dev/null
+++ b/crates/core/src/reports/mod.rs
@@ -0,0 +1,138 @@
+//! Heartbeats of workers: their reports, and the commands that the answers carry.
+//!
+//! [`sessions`] takes a report's news of its worker, [`tasks`] of each task listed, and
+//! [`absence`] of the tasks that aren't; [`outcomes`] books tasks that ended.
+
+mod absence;
+mod outcomes;
+mod sessions;
+mod tasks;
+
+use crate::consts::*;
+use crate::event::{Answer, Secs};
+use crate::fleet::Machine;
+use crate::leader::Leader;
+use crate::replica::Replica;
+use marblebarrow_proto::ids::{MachineId, TaskId};
+use marblebarrow_proto::wire::{Command, Report, ReportAnswer, ReportTask, TaskState};
+
+impl Leader {
+    /// Takes a report and answers it; `None`: must not be answered with 200.
+    pub(crate) fn answer_report(
+        &mut self,
+        now: Secs,
+        report: &Report,
+        replica: &Replica,
+    ) -> Option<Answer> {
+        if self.released_machines.contains_key(&report.machine) {
+            return None;
+        }
+        if self.loading.is_some() {
+            // Leases go on; machines are counted from when loading ends. That may take as
+            // long as an outage of the store does, so what is known to be cancelled is
+            // stopped even now.
+            let commands = stops_while_loading(report, replica);
+            return Some(Answer::Report(ReportAnswer { token: self.term.0, commands }));
+        }
+        if self.machines.get(&report.machine).is_some_and(|m| is_late_copy(report, m)) {
+            self.probe_after_late_copy(now, &report.machine);
+            return None;
+        }
+        self.apply_report(now, report);
+        self.note_report_interval(now, report);
+        if !self.renew_lease(now, &report.machine)? {
+            return None;
+        }
+        self.fill_machine(now, &report.machine)?;
+        let commands = self.commands_for_answer(now, &report.machine)?;
+        let token = self.machines.get(&report.machine).map(|m| self.token_for(m))?;
+        Some(Answer::Report(ReportAnswer { token, commands }))
+    }
+
+    /// A late copy may also mean that the worker began anew, which only a fresh exchange can
+    /// tell.
+    fn probe_after_late_copy(&mut self, now: Secs, id: &MachineId) {
+        let Some(m) = self.machines.get_mut(id) else { return };
+        if !m.reborn && m.reached.is_none_or(|at| now - at > WORKER_MARGIN_S) {
+            m.probe_due = true;
+        }
+    }
+
+    /// Whether the answer may renew the lease of the worker's tasks; if so, counts it from
+    /// now.
+    fn renew_lease(&mut self, now: Secs, id: &MachineId) -> Option<bool> {
+        if self.machines.get(id)?.lapsed.is_some() || !self.may_renew(now, id) {
+            return Some(false);
+        }
+        let m = self.machines.get_mut(id)?;
+        m.answered = now;
+        m.withheld = false;
+        Some(true)
+    }
+
+    /// What becomes free is filled at once, in the same answer if the start is recorded
+    /// already.
+    fn fill_machine(&mut self, now: Secs, id: &MachineId) -> Option<()> {
+        if self.backlog && self.machines.get(id)?.free()[0] + 1e-9 >= self.least_cpus {
+            self.place(now, Some(id));
+        }
+        Some(())
+    }
+
+    fn commands_for_answer(&mut self, now: Secs, id: &MachineId) -> Option<Vec<Command>> {
+        if self.machines.get(id)?.direct.is_some() {
+            // Direct commands are under way: two ways at once would cross. The end of
+            // cancelled tasks may, as it is repeated until a report shows it: an answer that
+            // renews their lease must carry it.
+            return Some(self.stops(id, |job| job.is_none_or(|j| j.cancelled)));
+        }
+        let (commands, starts) = self.compose(id);
+        for (task, _) in starts {
+            let live = self.jobs.get_mut(&task.job).and_then(|j| j.live.get_mut(&task.index));
+            if let Some(live) = live {
+                live.sent = Some(now);
+            }
+        }
+        Some(commands)
+    }
+
+    /// What the interval of a worker's own reports proves: one that got no answer waits for
+    /// it, then tries elsewhere, so one that is back sooner got it.
+    fn note_report_interval(&mut self, now: Secs, report: &Report) {
+        let Some(m) = self.machines.get_mut(&report.machine) else { return };
+        let soon = m.last_report.is_some_and(|at| now - at < WORKER_GIVES_UP_S - WORKER_MARGIN_S);
+        if soon && m.reported != 0 && m.confirmed {
+            m.reached = Some(now);
+        }
+        m.last_report = Some(now);
+        m.reported = report.seq;
+    }
+}
+
+/// Whether a report is a copy that came late: its sender gave it up long ago, and an answer
+/// would only make a dead machine's lease seem alive.
+fn is_late_copy(report: &Report, m: &Machine) -> bool {
+    (report.session, report.seq) <= (m.session, m.reported)
+        || report.session < m.session
+        || is_obsolete(report, m)
+}
+
+/// Whether a report comes from a session whose lease ended, or from before the worker began
+/// anew: the highest token seen never falls.
+fn is_obsolete(report: &Report, m: &Machine) -> bool {
+    report.token < m.token || m.reborn || m.lapsed.is_some_and(|lapsed| report.session <= lapsed)
+}
+
+/// Commands that end what a report lists of jobs known to be cancelled.
+fn stops_while_loading(report: &Report, replica: &Replica) -> Vec<Command> {
+    let cancelled = |entry: &&ReportTask| {
+        TaskId::parse(&entry.task).is_some_and(|task| replica.is_cancelled(&task.job))
+    };
+    let stop = |entry: &ReportTask| Command::Stop {
+        task: entry.task.clone(),
+        attempt: entry.attempt,
+        grace_s: 0.0,
+    };
+    let running = report.tasks.iter().filter(|entry| entry.state != TaskState::Exited);
+    running.filter(cancelled).map(stop).collect()
+}
--- /dev/null
+++ b/crates/core/src/reports/sessions.rs
@@ -0,0 +1,110 @@
+//! A report's news of its worker: its session, and what that proves.
+
+use super::is_obsolete;
+use crate::event::Secs;
+use crate::fleet::Machine;
+use crate::leader::Leader;
+use marblebarrow_proto::ids::MachineId;
+use marblebarrow_proto::records::MachineRecord;
+use marblebarrow_proto::wire::Report;
+use std::collections::BTreeSet;
+
+impl Leader {
+    /// Takes a report's news, unless a newer message was taken before.
+    pub(crate) fn apply_report(&mut self, now: Secs, report: &Report) {
+        if self.released_machines.contains_key(&report.machine) {
+            return;
+        }
+        let id = &report.machine;
+        self.meet_machine(now, report);
+        let Some(m) = self.machines.get(id) else { return };
+        if is_obsolete(report, m) || (report.session, report.seq) <= (m.session, m.seq) {
+            return;
+        }
+        if m.session != 0 && report.session > m.session {
+            self.end_session(now, id);
+        }
+        self.take_session(now, report);
+        self.take_reachability(now, report);
+        self.revoke_shown(now, id);
+        let mut listed = BTreeSet::new();
+        for entry in &report.tasks {
+            self.apply_task(now, id, entry, &mut listed);
+        }
+        self.apply_absence(now, id, &listed);
+    }
+
+    /// A machine that isn't known yet is from now on.
+    fn meet_machine(&mut self, now: Secs, report: &Report) {
+        let machine = self
+            .machines
+            .entry(report.machine.clone())
+            .or_insert_with(|| Machine::new(machine_record(report), now));
+        self.cloud_requests.heard(now, &report.machine);
+        if machine.heard.is_none() {
+            machine.learn_type(self.cloud_requests.machine_type(&machine.info.kind));
+        }
+    }
+
+    /// The worker has begun a new session: its lease ended though we heard it, or it was
+    /// silent. Either way its tasks are gone, and it must show anew that it hears us.
+    fn end_session(&mut self, now: Secs, id: &MachineId) {
+        self.lose_tasks(id, now);
+        let Some(m) = self.machines.get_mut(id) else { return };
+        m.reached = None;
+        m.reported = 0;
+        m.last_report = None;
+        m.withheld = false;
+    }
+
+    fn take_session(&mut self, now: Secs, report: &Report) {
+        let Some(m) = self.machines.get_mut(&report.machine) else { return };
+        if m.heard.is_none() || m.lapsed.is_some() || m.session != report.session {
+            self.place_due = true;
+        }
+        if m.session != report.session {
+            // Its lease counts from when the session began, which may be just now: counted
+            // from our last answer to the one before, it once seemed to end while tasks ran
+            // on.
+            m.answered = now;
+        }
+        m.lapsed = None;
+        m.session = report.session;
+        m.seq = report.seq;
+        m.token = m.token.max(report.token);
+        m.heard = Some(now);
+        m.unreached = 0;
+        if m.info.addr != report.addr {
+            m.info.addr.clone_from(&report.addr);
+            if let Some(block) = m.block {
+                self.writer.machine_changed(block, now);
+            }
+        }
+        m.notice = report.notice_s.map(|s| now + s);
+    }
+
+    fn take_reachability(&mut self, now: Secs, report: &Report) {
+        let Some(m) = self.machines.get_mut(&report.machine) else { return };
+        // It has seen our token: whatever older leaders sent is void, and this list is all
+        // there is.
+        if !m.confirmed && report.token >= self.term.0 {
+            m.confirmed = true;
+            m.reached = Some(now);
+        }
+        m.probe_due = m.reached.is_none();
+        m.exited.clear();
+        m.strangers.clear();
+    }
+}
+
+/// What a report tells to be recorded of its machine.
+fn machine_record(report: &Report) -> MachineRecord {
+    MachineRecord {
+        kind: report.kind.clone(),
+        zone: report.zone.clone(),
+        spot: report.spot,
+        addr: report.addr.clone(),
+        images: Vec::new(),
+        number: 0,
+    }
+}
--- /dev/null
+++ b/crates/core/src/reports/tasks.rs
@@ -0,0 +1,168 @@
+//! Reconciliation of the tasks that a report lists with those that are booked.
+
+use crate::consts::LAG_WEIGHT;
+use crate::event::Secs;
+use crate::jobs::{Live, Outcome, Phase};
+use crate::leader::Leader;
+use marblebarrow_proto::ids::{Attempt, MachineId, TaskId};
+use marblebarrow_proto::job::Kind;
+use marblebarrow_proto::wire::{ReportTask, TaskState, Why};
+use std::collections::BTreeSet;
+
+impl Leader {
+    /// Takes an entry of a report. Tasks that are booked on the machine and run or will run
+    /// there are added to `listed`.
+    pub(super) fn apply_task(
+        &mut self,
+        now: Secs,
+        id: &MachineId,
+        entry: &ReportTask,
+        listed: &mut BTreeSet<TaskId>,
+    ) {
+        let Some(task) = TaskId::parse(&entry.task) else { return };
+        let Some(m) = self.machines.get_mut(id) else { return };
+        let key = (task.clone(), entry.attempt);
+        m.start_doubts.note_listed(&key);
+        let exited = entry.state == TaskState::Exited;
+        let job = self.jobs.get(&task.job).filter(|job| task.index < job.spec().tasks);
+        let Some(job) = job else {
+            // Over and closed, or never ours.
+            if exited {
+                m.exited.insert(key, exit_reason(entry));
+            } else {
+                m.strangers.insert(key);
+            }
+            return;
+        };
+        let is_booked = |live: &Live| live.machine == *id && live.attempt == entry.attempt;
+        let booked = job.live.get(&task.index).is_some_and(is_booked);
+        if exited {
+            if booked {
+                m.reached = Some(now);
+            }
+            m.exited.insert(key, exit_reason(entry));
+            self.task_ended(now, id, &task, exit_reason(entry), booked);
+        } else if booked {
+            self.confirm_attempt(now, id, &task, entry.state);
+            listed.insert(task);
+        } else if self.is_newer_attempt(&task, entry.attempt) {
+            if self.adopt_attempt(now, id, &task, entry).is_some() {
+                listed.insert(task);
+            }
+        } else {
+            self.note_stranger(id, task, entry.attempt);
+        }
+    }
+
+    /// The worker lists a booked attempt: it got the command.
+    fn confirm_attempt(&mut self, now: Secs, id: &MachineId, task: &TaskId, state: TaskState) {
+        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(live) = job.live.get_mut(&task.index) else { return };
+        if live.phase == Phase::Sent {
+            m.reached = Some(now);
+        }
+        if !matches!(state, TaskState::Running | TaskState::Waiting) {
+            if live.phase != Phase::Running {
+                live.phase = Phase::Seen;
+            }
+            return;
+        }
+        let (image, image_gb) = (&job.record.spec.image, job.record.spec.image_gb);
+        if m.touch_image(image, image_gb)
+            && let Some(block) = m.block
+        {
+            self.writer.machine_changed(block, now);
+        }
+        if state == TaskState::Running {
+            self.confirm_running(now, id, task);
+        } else {
+            live.phase = Phase::Seen;
+        }
+    }
+
+    fn confirm_running(&mut self, now: Secs, id: &MachineId, task: &TaskId) {
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(live) = job.live.get_mut(&task.index) else { return };
+        if live.ran_from.is_none() {
+            let after = now - live.since;
+            if !live.adopted && job.record.spec.kind == Kind::Array {
+                self.start_lag += (after - self.start_lag) * LAG_WEIGHT;
+            }
+            self.log.push(|| format!("event=runs task={task} machine={id} after_s={after:.1}"));
+        }
+        live.phase = Phase::Running;
+        let ran_from = *live.ran_from.get_or_insert(now);
+        job.ran_for(now - ran_from);
+    }
+
+    /// Attempts are ordered: a later one was only made when the earlier was surely gone. So
+    /// of two, the smaller comes from an old report, even if this term has only just learnt
+    /// of either.
+    fn is_newer_attempt(&self, task: &TaskId, attempt: Attempt) -> bool {
+        let Some(job) = self.jobs.get(&task.job) else { return false };
+        let newer = job.live.get(&task.index).is_none_or(|live| live.attempt < attempt);
+        newer && !job.finished.contains(task.index)
+    }
+
+    /// An attempt that nobody needs.
+    fn note_stranger(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
+        self.log.push(|| {
+            format!(
+                "event=stranger task={task} attempt={} machine={id} term={}",
+                attempt.0, self.term.0
+            )
+        });
+        if let Some(m) = self.machines.get_mut(id) {
+            m.strangers.insert((task, attempt));
+        }
+    }
+
+    /// An attempt started under an earlier term is ours from now on.
+    fn adopt_attempt(
+        &mut self,
+        now: Secs,
+        id: &MachineId,
+        task: &TaskId,
+        entry: &ReportTask,
+    ) -> Option<()> {
+        if self.jobs.get(&task.job)?.live.contains_key(&task.index) {
+            self.over(&task.job, task.index, Outcome::Lost, now);
+        }
+        let number = self.machine_number(id)?;
+        let job = self.jobs.get_mut(&task.job)?;
+        let m = self.machines.get_mut(id)?;
+        job.maybe_running.remove(&task.index);
+        job.again.remove(&task.index);
+        job.started.insert(task.index);
+        job.machines.insert(number);
+        self.writer.want_machine(id, m, now);
+        job.live.insert(task.index, adopted(id, entry, job.cancelled, now));
+        if entry.state == TaskState::Running {
+            m.touch_image(&job.record.spec.image, job.record.spec.image_gb);
+        }
+        self.writer.touch_task(&task.job, task.index, now, false);
+        self.attach(&task.job, task.index, id);
+        Some(())
+    }
+}
+
+fn exit_reason(entry: &ReportTask) -> Why {
+    entry.why.unwrap_or(Why::Other)
+}
+
+/// An attempt that an earlier leader started, as a report lists it.
+fn adopted(id: &MachineId, entry: &ReportTask, cancelled: bool, now: Secs) -> Live {
+    let running = entry.state == TaskState::Running;
+    Live {
+        machine: id.clone(),
+        attempt: entry.attempt,
+        phase: if running { Phase::Running } else { Phase::Seen },
+        since: now,
+        ran_from: None,
+        doubt: false,
+        stop: cancelled.then_some(0.0),
+        sent: None,
+        adopted: true,
+    }
+}
