--- a/crates/core/src/gangs.rs
+++ b/crates/core/src/gangs.rs
@@ -1,5 +1,6 @@
-//! Gangs: placed whole or not at all.
+//! Gang scheduling: all tasks of a gang are placed at once, or none.
 
+use crate::fleet::Machine;
 use crate::jobs::Job;
 use crate::leader::Leader;
 use crate::place::{SchedulingPass, fits, machine_allowed};
@@ -7,78 +8,122 @@
 use marblebarrow_proto::job::{JobSpec, Kind};
 use std::collections::BTreeMap;
 
+/// A machine that may run members of a gang.
+struct Candidate<'a> {
+    id: &'a MachineId,
+    zone: &'a str,
+    /// CPUs, GPUs, memory (GB).
+    free: [f64; 3],
+    has_image: bool,
+}
+
+/// Where a member of a gang is to run.
+struct Assignment {
+    /// The task's index.
+    member: u32,
+    machine: MachineId,
+}
+
 impl Leader {
-    /// A gang starts when all its tasks fit at once; until then the others of
-    /// its queue are served.
+    /// Places gangs whose tasks all fit at once; until then the others of the queue are
+    /// served.
     pub(crate) fn place_gangs(&mut self, pass: &mut SchedulingPass) {
         for id in self.waiting_by_priority(Kind::Gang) {
-            let Some(job) = self.jobs.get(&id) else {
-                continue;
-            };
+            let Some(job) = self.jobs.get(&id) else { continue };
             let members = job.gang_members(pass.now);
             if members.is_empty() {
                 continue;
             }
             // The members of a gang find each other by their common attempt.
-            let places = self.gang_places(pass, job, &members);
+            let assignments = self.assign_members(pass, job, &members);
             let attempt = self.new_attempt();
-            for (n, machine) in places {
-                self.assign(pass, &id, n, &machine, attempt);
+            for Assignment { member, machine } in assignments {
+                self.assign(pass, &id, member, &machine, attempt);
             }
         }
     }
 
     /// Machines for all members, or none.
-    fn gang_places(
-        &self,
-        pass: &SchedulingPass,
-        job: &Job,
-        members: &[u32],
-    ) -> Vec<(u32, MachineId)> {
+    fn assign_members(&self, pass: &SchedulingPass, job: &Job, members: &[u32]) -> Vec<Assignment> {
         let spec = job.spec();
-        let n = members.len() as f64;
-        let whole = JobSpec { cpus: spec.cpus * n, gpus: spec.gpus * n, ..spec.clone() };
+        let size = members.len() as f64;
+        let whole = JobSpec { cpus: spec.cpus * size, gpus: spec.gpus * size, ..spec.clone() };
         if members.is_empty() || !self.within_limit(pass, &whole) {
             return Vec::new();
         }
-        let mut zones: Vec<Option<&str>> = vec![None];
-        if spec.one_zone {
-            zones = self.machines.values().map(|m| Some(m.info.zone.as_str())).collect();
-            zones.sort_unstable();
-            zones.dedup();
-        }
-        for zone in zones {
-            let mut rooms: Vec<(&MachineId, &str, [f64; 3], bool)> = self
-                .machines
-                .iter()
-                .filter(|(_, m)| {
-                    m.usable(pass.now, self.facts.report_s)
-                        && zone.is_none_or(|z| z == m.info.zone)
-                        && machine_allowed(job, m, &self.machines)
-                        && !m.exited.keys().any(|(t, _)| t.job == spec.id)
-                })
-                .map(|(id, m)| (id, m.info.zone.as_str(), m.free(), m.has_image(&spec.image)))
-                .collect();
-            // Machines with the image first, then the fullest.
-            rooms.sort_by(|a, b| b.3.cmp(&a.3).then(a.2[0].total_cmp(&b.2[0])));
-            let mut in_zone: BTreeMap<&str, u32> = BTreeMap::new();
-            let mut places = Vec::new();
-            for &member in members {
-                let most = if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX };
-                let room = rooms.iter_mut().find(|(_, z, free, _)| {
-                    fits(spec, free) && in_zone.get(z).copied().unwrap_or(0) < most
-                });
-                let Some((id, z, free, _)) = room else { break };
-                free[0] -= spec.cpus;
-                free[1] -= spec.gpus;
-                free[2] -= spec.memory_gb;
-                *in_zone.entry(z).or_default() += 1;
-                places.push((member, (*id).clone()));
-            }
-            if places.len() == members.len() {
-                return places;
+        for zone in self.gang_zones(spec) {
+            let candidates = self.gang_candidates(pass, job, zone);
+            let assignments = pack_members(spec, members, candidates);
+            if assignments.len() == members.len() {
+                return assignments;
             }
         }
         Vec::new()
     }
+
+    /// The zones to try one after the other; `None` is all at once.
+    fn gang_zones(&self, spec: &JobSpec) -> Vec<Option<&str>> {
+        if !spec.one_zone {
+            return vec![None];
+        }
+        let mut zones: Vec<_> =
+            self.machines.values().map(|m| Some(m.info.zone.as_str())).collect();
+        zones.sort_unstable();
+        zones.dedup();
+        zones
+    }
+
+    /// Machines that may run members: those with the image first, then the fullest.
+    fn gang_candidates(
+        &self,
+        pass: &SchedulingPass,
+        job: &Job,
+        zone: Option<&str>,
+    ) -> Vec<Candidate<'_>> {
+        let spec = job.spec();
+        let allowed = |m: &Machine| {
+            m.usable(pass.now, self.facts.report_s)
+                && zone.is_none_or(|zone| zone == m.info.zone)
+                && machine_allowed(job, m, &self.machines)
+                && !m.exited.keys().any(|(task, _)| task.job == spec.id)
+        };
+        let mut candidates: Vec<Candidate> = self
+            .machines
+            .iter()
+            .filter(|(_, m)| allowed(m))
+            .map(|(id, m)| Candidate {
+                id,
+                zone: &m.info.zone,
+                free: m.free(),
+                has_image: m.has_image(&spec.image),
+            })
+            .collect();
+        candidates
+            .sort_by(|a, b| b.has_image.cmp(&a.has_image).then(a.free[0].total_cmp(&b.free[0])));
+        candidates
+    }
+}
+
+/// Packs members onto the candidates, first fit; fewer than all if they don't fit.
+fn pack_members(
+    spec: &JobSpec,
+    members: &[u32],
+    mut candidates: Vec<Candidate>,
+) -> Vec<Assignment> {
+    let most_in_zone = if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX };
+    let mut in_zone: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut assignments = Vec::new();
+    for &member in members {
+        let candidate = candidates.iter_mut().find(|candidate| {
+            let placed = in_zone.get(candidate.zone).copied().unwrap_or(0);
+            fits(spec, &candidate.free) && placed < most_in_zone
+        });
+        let Some(candidate) = candidate else { break };
+        candidate.free[0] -= spec.cpus;
+        candidate.free[1] -= spec.gpus;
+        candidate.free[2] -= spec.memory_gb;
+        *in_zone.entry(candidate.zone).or_default() += 1;
+        assignments.push(Assignment { member, machine: candidate.id.clone() });
+    }
+    assignments
 }
