--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -51,9 +51,7 @@
                 let spec = job.record.spec.clone();
                 m.services -= u32::from(spec.kind == Kind::Service);
                 if !m.freed.remove(&task) {
-                    m.used[0] -= spec.cpus;
-                    m.used[1] -= spec.gpus;
-                    m.used[2] -= spec.memory_gb;
+                    m.unbook(&spec);
                 }
                 let image = &spec.image;
                 let waits = |t: &TaskId| {
@@ -98,9 +96,7 @@
         if m.tasks.insert(TaskId { job: id.clone(), index: n }) {
             let spec = job.spec();
             m.services += u32::from(spec.kind == Kind::Service);
-            m.used[0] += spec.cpus;
-            m.used[1] += spec.gpus;
-            m.used[2] += spec.memory_gb;
+            m.book(spec);
         }
     }
 
--- a/crates/core/src/cells/home.rs
+++ b/crates/core/src/cells/home.rs
@@ -5,6 +5,7 @@
 use crate::event::{Action, ActionSink, Secs, StoreRequest, StoreResult, TaskCounts};
 use crate::jobs::Job;
 use crate::leader::Leader;
+use crate::place::exceeds_limit;
 use crate::replica::Replica;
 use marblebarrow_cells::choice::Choice;
 use marblebarrow_cells::message::{CellRequest, Exchange, Offer, Sender};
@@ -102,12 +103,12 @@
     /// Whether the team's limit here allows a task more: what waits for that isn't short of
     /// machines, and must not evade it elsewhere.
     pub(super) fn team_has_room(&self, spec: &JobSpec) -> bool {
-        let Some(team) = self.facts.teams.iter().find(|team| team.name == spec.team) else {
+        let Some(team) = self.team(&spec.team) else {
             return false;
         };
         let used = self.team_usage().get(&spec.team).copied().unwrap_or_default();
-        let over = |have: f64, more: f64, limit: f64| limit > 0.0 && have + more > limit + 1e-9;
-        !over(used[0], spec.cpus, team.cpus_max) && !over(used[1], spec.gpus, team.gpus_max)
+        !exceeds_limit(used[0], spec.cpus, team.cpus_max)
+            && !exceeds_limit(used[1], spec.gpus, team.gpus_max)
     }
 
     /// Chooses a cell and records the intent; false: no cell or no change can be had now.
--- a/crates/core/src/cloud_requests/answers.rs
+++ b/crates/core/src/cloud_requests/answers.rs
@@ -125,7 +125,7 @@
         self.cloud_requests.to_release.remove(id);
         self.cloud_requests.booting.remove(id);
         self.released_machines.insert(id.clone(), now);
-        let life = self.facts.list_lag_s * TOMB_LAGS;
+        let life = self.facts.list_lag_s * RELEASED_KEPT_LAGS;
         self.released_machines.retain(|_, at| now - *at < life);
         self.lose_tasks(id, now);
         if let Some(m) = self.machines.remove(id) {
--- a/crates/core/src/cloud_requests/mod.rs
+++ b/crates/core/src/cloud_requests/mod.rs
@@ -8,7 +8,7 @@
 mod fleet_log;
 mod recent_samples;
 
-pub(crate) use boots::{Booting, MachinePool};
+pub(crate) use boots::Booting;
 pub(crate) use recent_samples::RecentSamples;
 
 use crate::consts::*;
@@ -16,14 +16,15 @@
 use crate::leader::Leader;
 use crate::provision::MachineOffer;
 use crate::replica::Replica;
-use marblebarrow_proto::ids::MachineId;
+use boots::MachinePool;
+use marblebarrow_proto::ids::{MachineId, Term};
 use marblebarrow_proto::job::{JobSpec, Kind};
 use marblebarrow_proto::wire::{ListedMachine, MachineType, Rent};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A request that the cloud hasn't answered.
 #[derive(Debug)]
-pub(crate) enum Pending {
+enum Pending {
     /// For the machine types.
     Types,
     /// For a page of the machine list.
@@ -60,11 +61,11 @@
     /// Machines that were rented or listed, and haven't reported.
     pub(crate) booting: BTreeMap<MachineId, Booting>,
     /// Requests that the cloud hasn't answered.
-    pub(crate) pending: HashMap<OpId, Pending>,
+    pending: HashMap<OpId, Pending>,
     /// How many of them rent machines.
-    pub(crate) renting: usize,
+    renting: usize,
     /// Rents to retry: it isn't known whether they were carried out.
-    pub(crate) rents_to_retry: Vec<Rent>,
+    rents_to_retry: Vec<Rent>,
     /// Machines to release.
     pub(crate) to_release: BTreeSet<MachineId>,
     releasing: bool,
@@ -73,7 +74,7 @@
     /// Offers that had no machine left, and until when they aren't tried.
     pub(crate) no_capacity: BTreeMap<MachineOffer, Secs>,
     /// The number of the last rent of this term.
-    pub(crate) next_request: u64,
+    next_request: u64,
     /// Rotates the zones that machines are rented in.
     pub(crate) next_zone: usize,
     /// Requests that may be sent now.
@@ -122,7 +123,7 @@
             services: BTreeMap::new(),
             next_log: now,
             leader_since: now,
-            next_consolidation: now + GATHER_AGE_S,
+            next_consolidation: now + CONSOLIDATE_AGE_S,
             replaceable_cpus: RecentSamples::default(),
             backlog_cpus: RecentSamples::default(),
         }
@@ -185,6 +186,22 @@
             return;
         }
         let Some(rent) = self.rents_to_retry.pop() else { return };
+        self.send_rent(rent, out);
+    }
+
+    /// Whether a rent is under way, or to be retried.
+    pub(crate) fn is_renting(&self) -> bool {
+        self.renting > 0 || !self.rents_to_retry.is_empty()
+    }
+
+    /// A name for a rent. Term and counter: no controller ever uses it again.
+    pub(crate) fn new_request_name(&mut self, term: Term) -> String {
+        self.next_request += 1;
+        format!("r-{}-{}", term.0, self.next_request)
+    }
+
+    /// Sends a rent; the rate limit must have allowed it.
+    pub(crate) fn send_rent(&mut self, rent: Rent, out: &mut ActionSink) {
         self.renting += 1;
         let op = out.cloud(CloudRequest::Rent(rent.clone()));
         self.pending.insert(op, Pending::Rent(rent));
--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -18,7 +18,7 @@
 /// clocks, doubled.
 pub const DRIFT: f64 = 0.001;
 /// A leader that no worker reports to for this many report intervals, while
-/// several did before, is cut off from them and gives up its office.
+/// several did before, is cut off from them and resigns.
 pub const WORKERS_SILENT_REPORTS: f64 = 1.3;
 /// Added to that, seconds.
 pub const WORKERS_SILENT_MARGIN_S: f64 = 0.6;
@@ -27,7 +27,7 @@
 pub const LATE_STEP_S: f64 = 0.25;
 /// Workers that must have been heard for their common silence to say that.
 pub const WORKERS_SILENT_LEAST: usize = 3;
-/// After giving up its office a controller doesn't stand for this long,
+/// After resigning a controller doesn't stand for this long,
 /// seconds, so that another can.
 pub const RESIGNED_S: f64 = 8.0;
 /// A controller that hears no other stands this much later, seconds: if the
@@ -165,7 +165,7 @@
 pub const PROGRESS_ALL_EVERY: u32 = 8;
 /// How often controllers beat to each other, seconds.
 pub const HEARTBEAT_EVERY_S: f64 = 1.0;
-/// The same while a fresh process waits to learn that no leader is in office.
+/// The same while a fresh process waits to learn that nobody leads.
 pub const HEARTBEAT_FIRST_S: f64 = 0.3;
 /// A peer's word on the store is believed for this long, seconds.
 pub const HEARTBEAT_FRESH_S: f64 = 2.5;
@@ -262,6 +262,8 @@
 /// A replica that ran for this long, seconds, shows that its service is sound: those
 /// submitted with a mistake fail within seconds.
 pub const SERVES_S: f64 = 20.0;
+/// An evicted task gets this many times what its job says that saving takes.
+pub const SAVE_GRACE: f64 = 2.0;
 /// Tasks that a job taken for mistaken may have under way at once.
 pub const BAD_JOB_TASKS: usize = 1;
 /// A machine whose tasks take this many times their jobs' mean is slow.
@@ -269,6 +271,9 @@
 /// Tasks that must say so in a row.
 pub const SLOW_SAMPLES: u32 = 3;
 
+/// Sums of CPUs, GPUs and memory are compared with this tolerance: they are fractions.
+pub const AMOUNT_TOLERANCE: f64 = 1e-9;
+
 // --- sizing and queues (the paper's, section 5) -----------------------------
 
 /// Jobs with fewer tasks are thin and skip sampling.
@@ -370,10 +375,10 @@
 pub const IDLE_IMAGES_ORDINARY_S: f64 = 30.0;
 /// Arrays that keep ordinary machines busy for this long, seconds, are worth
 /// spot machines in their place: that pays for boots and fetches in a minute.
-pub const SWAP_AFTER_S: f64 = 20.0;
+pub const SPOT_REPLACE_AFTER_S: f64 = 20.0;
 /// Share of those CPUs that is rented as spot at a time; also the least CPUs
 /// worth it, in machines.
-pub const SWAP_SHARE: f64 = 0.3;
+pub const SPOT_REPLACE_SHARE: f64 = 0.3;
 /// An idle job (work for spare capacity) that could use spot machines, and of which
 /// nothing began, gets an ordinary machine after this long, seconds.
 pub const SPARE_BEGIN_S: f64 = 30.0;
@@ -415,14 +420,14 @@
 /// A zone that had no capacity isn't asked again for this long, seconds.
 pub const NO_CAPACITY_S: f64 = 15.0;
 /// Replicas are moved together, to return a machine, at most so often, seconds.
-pub const GATHER_EVERY_S: f64 = 4.0;
+pub const CONSOLIDATE_EVERY_S: f64 = 4.0;
 /// In a fleet of more than this many machines the pause shrinks in proportion.
-pub const GATHER_FLEET: f64 = 40.0;
+pub const CONSOLIDATE_FLEET: f64 = 40.0;
 /// A replica is not moved before it has run this long, seconds: a start that is
 /// stopped within half a minute counts for nobody.
-pub const GATHER_AGE_S: f64 = 35.0;
+pub const CONSOLIDATE_AGE_S: f64 = 35.0;
 /// Only machines used up to this share are emptied by moving replicas.
-pub const GATHER_SHARE: f64 = 0.5;
+pub const CONSOLIDATE_SHARE: f64 = 0.5;
 /// Machines in one rental request (protocol page).
 pub const RENT_MAX: u32 = 50;
 /// Machines that one round of renting plans at most, if the fleet is small:
@@ -436,11 +441,11 @@
 /// image: machines die by the dozen, and a fetch keeps users waiting.
 pub const HOLDERS_SHARE: f64 = 0.1;
 /// Idle machines returned in one round, as a share of those that may go.
-pub const RETURN_SHARE: f64 = 0.15;
+pub const SCALE_IN_SHARE: f64 = 0.15;
 /// Machines in one release (protocol page: 100).
 pub const RELEASE_MAX: usize = 100;
 /// How long a released machine's name is remembered, in list lags.
-pub const TOMB_LAGS: f64 = 20.0;
+pub const RELEASED_KEPT_LAGS: f64 = 20.0;
 /// Part of the cloud's request rate that is used.
 pub const CLOUD_SHARE: f64 = 0.8;
 /// Wait after a failed cloud request, seconds.
--- a/crates/core/src/deprovision/consolidation.rs
+++ b/crates/core/src/deprovision/consolidation.rs
@@ -5,6 +5,7 @@
 use crate::fleet::Machine;
 use crate::jobs::{Job, Live};
 use crate::leader::Leader;
+use crate::place::{fits, matches_spec};
 use marblebarrow_proto::ids::{MachineId, TaskId};
 use marblebarrow_proto::job::{JobSpec, Kind};
 
@@ -17,32 +18,25 @@
 
 impl Target<'_> {
     /// Whether a replica could start there without a fetch.
-    fn fits(&self, spec: &JobSpec) -> bool {
-        let info = &self.machine.info;
-        let needs = needs(spec);
+    fn holds(&self, spec: &JobSpec) -> bool {
         self.machine.has_image(&spec.image)
-            && spec.types.as_ref().is_none_or(|types| types.contains(&info.kind))
-            && spec.zone.as_ref().is_none_or(|zone| *zone == info.zone)
-            && (0..3).all(|i| self.free[i] + 1e-9 >= needs[i])
+            && matches_spec(spec, self.machine)
+            && fits(spec, &self.free)
     }
 
     fn take(&mut self, spec: &JobSpec) {
-        let needs = needs(spec);
-        (0..3).for_each(|i| self.free[i] -= needs[i]);
+        self.free[0] -= spec.cpus;
+        self.free[1] -= spec.gpus;
+        self.free[2] -= spec.memory_gb;
     }
 }
 
-/// CPUs, GPUs, memory (GB) of a task.
-fn needs(spec: &JobSpec) -> [f64; 3] {
-    [spec.cpus, spec.gpus, spec.memory_gb]
-}
-
 /// Whether a replica may be moved: it has run for long enough, and no other replica's place
 /// depends on its own.
 fn is_movable(job: &Job, index: u32, now: Secs) -> bool {
     let spec = job.spec();
     let settled = |live: &Live| {
-        let ran_long = live.ran_from.is_some_and(|from| now - from > GATHER_AGE_S);
+        let ran_long = live.ran_from.is_some_and(|from| now - from > CONSOLIDATE_AGE_S);
         live.stop.is_none() && !live.doubt && ran_long
     };
     spec.kind == Kind::Service
@@ -67,8 +61,8 @@
         if !self.fits_elsewhere(now, &id) || !self.is_warm_without(now, &id) {
             return;
         }
-        let crowd = (self.machines.len() as f64 / GATHER_FLEET).max(1.0);
-        self.cloud_requests.next_consolidation = now + GATHER_EVERY_S / crowd;
+        let crowd = (self.machines.len() as f64 / CONSOLIDATE_FLEET).max(1.0);
+        self.cloud_requests.next_consolidation = now + CONSOLIDATE_EVERY_S / crowd;
         let replicas = self.machines.get(&id).map_or(0, |machine| machine.tasks.len());
         self.log.push(|| format!("event=gather machine={id} replicas={replicas}"));
         self.evict_all(&id);
@@ -86,7 +80,7 @@
                 self.keeps_replicas(m, now) && m.direct.is_none() && m.tasks.iter().all(movable)
             })
             .map(|(id, m)| (share(m), id))
-            .filter(|(share, _)| *share <= GATHER_SHARE)
+            .filter(|(share, _)| *share <= CONSOLIDATE_SHARE)
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, id)| id.clone())
     }
@@ -107,7 +101,7 @@
             .collect();
         machine.tasks.iter().all(|task| {
             let Some(spec) = self.jobs.get(&task.job).map(|job| job.spec()) else { return false };
-            let Some(target) = targets.iter_mut().find(|target| target.fits(spec)) else {
+            let Some(target) = targets.iter_mut().find(|target| target.holds(spec)) else {
                 return false;
             };
             target.take(spec);
@@ -122,7 +116,7 @@
         if self.has_waiting_regular_work() {
             return;
         }
-        let most = (machines.len() as f64 * RETURN_SHARE).ceil() as usize;
+        let most = (machines.len() as f64 * SCALE_IN_SHARE).ceil() as usize;
         for id in machines.into_iter().take(most) {
             if !self.is_warm_without(now, &id) {
                 continue;
--- a/crates/core/src/deprovision/idle.rs
+++ b/crates/core/src/deprovision/idle.rs
@@ -92,7 +92,7 @@
         }
         let mut failover = FailoverCapacity::of(self, now);
         let idle = self.by_release_order(idle, &failover);
-        let mut left = (idle.len() as f64 * RETURN_SHARE).ceil() as usize;
+        let mut left = (idle.len() as f64 * SCALE_IN_SHARE).ceil() as usize;
         for IdleMachine { spot, id, .. } in idle {
             if left == 0 {
                 break;
--- a/crates/core/src/deprovision/mod.rs
+++ b/crates/core/src/deprovision/mod.rs
@@ -99,7 +99,7 @@
     /// Stops a task, with time to save its work.
     fn evict(&mut self, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        let grace = job.spec().save_s * 2.0;
+        let grace = job.eviction_grace();
         if let Some(live) = job.live.get_mut(&task.index) {
             live.stop.get_or_insert(grace);
         }
--- a/crates/core/src/deprovision/replica_failover.rs
+++ b/crates/core/src/deprovision/replica_failover.rs
@@ -1,7 +1,7 @@
 //! Capacity for the failover of replicas: machines that could take over a lost replica
 //! without fetching its image.
 
-use crate::consts::HOLDERS_SHARE;
+use crate::consts::{AMOUNT_TOLERANCE, HOLDERS_SHARE};
 use crate::event::Secs;
 use crate::fleet::Machine;
 use crate::leader::Leader;
@@ -39,7 +39,7 @@
             if machine.info.spot || !machine.usable(now, leader.facts.report_s) {
                 continue;
             }
-            let cpus = free_with_preemption(leader, machine)[0] + 1e-9;
+            let cpus = free_with_preemption(leader, machine)[0] + AMOUNT_TOLERANCE;
             for (image, _) in &machine.images {
                 if let Some(failover) = images.get_mut(image).filter(|f| f.cpus <= cpus) {
                     failover.holders += 1;
--- a/crates/core/src/deprovision/spot_notices.rs
+++ b/crates/core/src/deprovision/spot_notices.rs
@@ -3,7 +3,7 @@
 
 use crate::event::Secs;
 use crate::fleet::Machine;
-use crate::jobs::Outcome;
+use crate::jobs::{Outcome, live_attempt};
 use crate::leader::Leader;
 use marblebarrow_proto::ids::TaskId;
 
@@ -12,7 +12,7 @@
     pub(crate) fn drain_noticed(&mut self, now: Secs) {
         for task in self.due_for_eviction(now) {
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
-            let grace = job.spec().save_s * 2.0;
+            let grace = job.eviction_grace();
             let live = job.live.get_mut(&task.index).filter(|live| live.stop.is_none());
             let Some(live) = live else { continue };
             live.stop = Some(grace);
@@ -44,7 +44,7 @@
         let hears = |m: &Machine| m.hears(now, self.facts.report_s);
         for m in self.machines.values().filter(|m| m.notice.is_some() || m.cordoned || !hears(m)) {
             for task in &m.tasks {
-                let live = self.jobs.get(&task.job).and_then(|job| job.live.get(&task.index));
+                let live = live_attempt(&self.jobs, task);
                 if live.is_some_and(|live| live.never_sent(now)) {
                     unsent.push(task.clone());
                 }
--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -2,7 +2,7 @@
 
 use crate::consts::{DIRECT_BACKOFF_S, PROBE_AGAIN_S, PROBES};
 use crate::event::{DirectResult, OpId, Secs};
-use crate::jobs::Phase;
+use crate::jobs::{Phase, live_attempt_mut};
 use crate::leader::Leader;
 use crate::start_doubts::AttemptKey;
 use marblebarrow_proto::ids::MachineId;
@@ -90,7 +90,7 @@
         }
         for key in sent.starts {
             let (task, attempt) = &key;
-            let live = self.jobs.get_mut(&task.job).and_then(|j| j.live.get_mut(&task.index));
+            let live = live_attempt_mut(&mut self.jobs, task);
             if let Some(live) = live
                 && live.machine == sent.machine
                 && live.attempt == *attempt
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -4,6 +4,7 @@
 use crate::event::{OpId, Secs};
 use crate::start_doubts::StartDoubts;
 use marblebarrow_proto::ids::{Attempt, MachineId, TaskId};
+use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::records::MachineRecord;
 use marblebarrow_proto::wire::{MachineType, Why};
 use std::collections::{BTreeMap, BTreeSet};
@@ -188,6 +189,20 @@
         }
     }
 
+    /// Counts a task's CPUs, GPUs and memory as used.
+    pub fn book(&mut self, spec: &JobSpec) {
+        self.used[0] += spec.cpus;
+        self.used[1] += spec.gpus;
+        self.used[2] += spec.memory_gb;
+    }
+
+    /// Counts a task's CPUs, GPUs and memory as free again.
+    pub fn unbook(&mut self, spec: &JobSpec) {
+        self.used[0] -= spec.cpus;
+        self.used[1] -= spec.gpus;
+        self.used[2] -= spec.memory_gb;
+    }
+
     /// What is free.
     pub fn free(&self) -> [f64; 3] {
         std::array::from_fn(|i| self.size[i] - self.used[i])
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -3,7 +3,7 @@
 use crate::consts::*;
 use crate::event::Secs;
 use crate::facts::Tuning;
-use marblebarrow_proto::ids::{Attempt, MachineId};
+use marblebarrow_proto::ids::{Attempt, JobId, MachineId, TaskId};
 use marblebarrow_proto::intset::IntSet;
 use marblebarrow_proto::job::{JobSpec, Kind, Priority};
 use marblebarrow_proto::records::{PART_TASKS, SpecRecord};
@@ -204,6 +204,11 @@
         &self.record.spec
     }
 
+    /// How much time a task that is evicted gets to save its work, seconds.
+    pub fn eviction_grace(&self) -> Secs {
+        self.spec().save_s * SAVE_GRACE
+    }
+
     /// Whether all tasks completed.
     pub fn complete(&self) -> bool {
         self.spec().kind != Kind::Service && self.finished.len() == self.spec().tasks
@@ -321,7 +326,7 @@
     /// serves is sound: two machines that failed under it in its life once would
     /// have kept its lost replicas away while the others served.
     pub fn ran_for(&mut self, run: Secs) {
-        self.rooted |= run > GATHER_AGE_S;
+        self.rooted |= run > CONSOLIDATE_AGE_S;
         if self.spec().kind == Kind::Service && run > SERVES_S {
             self.successes = self.successes.max(1);
             self.failed_on.clear();
@@ -502,6 +507,19 @@
     }
 }
 
+/// The jobs that aren't over, by id.
+pub type Jobs = BTreeMap<JobId, Job>;
+
+/// The attempt of a task that runs or may run.
+pub fn live_attempt<'a>(jobs: &'a Jobs, task: &TaskId) -> Option<&'a Live> {
+    jobs.get(&task.job)?.live.get(&task.index)
+}
+
+/// The same, to be changed.
+pub fn live_attempt_mut<'a>(jobs: &'a mut Jobs, task: &TaskId) -> Option<&'a mut Live> {
+    jobs.get_mut(&task.job)?.live.get_mut(&task.index)
+}
+
 /// The queue of a job of that size, task-seconds (the paper's section 5.1.1).
 pub fn queue_of(size_s: f64) -> u8 {
     let mut bound = TOP_BOUND_S;
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -3,7 +3,7 @@
 use crate::consts::*;
 use crate::direct_results::DirectSent;
 use crate::event::{Action, ActionSink, Secs};
-use crate::jobs::{Job, Phase};
+use crate::jobs::{Job, Phase, live_attempt};
 use crate::leader::Leader;
 use crate::start_doubts::AttemptKey;
 use marblebarrow_proto::ids::{MachineId, TaskId};
@@ -49,7 +49,7 @@
         let strangers = m.strangers.iter().filter(|(task, _)| wanted(task));
         let strangers = strangers.map(|(task, attempt)| stop(task, *attempt, 0.0));
         let ours = m.tasks.iter().filter(|task| wanted(task)).filter_map(|task| {
-            let live = self.jobs.get(&task.job)?.live.get(&task.index)?;
+            let live = live_attempt(&self.jobs, task)?;
             Some(stop(task, live.attempt, live.stop?))
         });
         strangers.chain(ours).collect()
--- a/crates/core/src/place/assign.rs
+++ b/crates/core/src/place/assign.rs
@@ -2,15 +2,13 @@
 
 use super::candidates::TaskRequest;
 use super::{ImagePolicy, RequestShape, SchedulingPass};
+use crate::consts::AMOUNT_TOLERANCE;
 use crate::event::Secs;
 use crate::jobs::{Live, Phase};
 use crate::leader::Leader;
 use marblebarrow_proto::ids::{Attempt, JobId, MachineId, TaskId};
 use marblebarrow_proto::job::{JobSpec, Kind};
 
-/// Amounts are compared with this tolerance.
-const TOLERANCE: f64 = 1e-9;
-
 impl Leader {
     /// Places one task on the best machine with free capacity; whether there was one.
     pub(super) fn place_task(
@@ -123,7 +121,7 @@
         }
         self.writer.want_machine(id, machine, pass.now);
         let free = machine.free();
-        if free[0] + TOLERANCE >= self.least_cpus {
+        if free[0] + AMOUNT_TOLERANCE >= self.least_cpus {
             pass.available.insert(id.clone(), free);
         } else {
             pass.available.remove(id);
--- a/crates/core/src/place/candidates.rs
+++ b/crates/core/src/place/candidates.rs
@@ -1,6 +1,7 @@
 //! Which machines a task may start on, and which of them is best.
 
 use super::{ImagePolicy, SchedulingPass};
+use crate::consts::AMOUNT_TOLERANCE;
 use crate::event::Secs;
 use crate::fleet::{Machine, Machines};
 use crate::jobs::{Job, Live};
@@ -9,8 +10,6 @@
 use marblebarrow_proto::job::JobSpec;
 use std::collections::BTreeMap;
 
-/// Amounts are compared with this tolerance.
-const TOLERANCE: f64 = 1e-9;
 /// Bound on the smallest task's CPUs while no task is known.
 const LEAST_CPUS_MAX: f64 = 1e6;
 
@@ -127,9 +126,9 @@
 
 /// Whether a task fits into free capacity: CPUs, GPUs, memory (GB).
 pub(crate) fn fits(spec: &JobSpec, free: &[f64; 3]) -> bool {
-    spec.cpus <= free[0] + TOLERANCE
-        && spec.gpus <= free[1] + TOLERANCE
-        && spec.memory_gb <= free[2] + TOLERANCE
+    spec.cpus <= free[0] + AMOUNT_TOLERANCE
+        && spec.gpus <= free[1] + AMOUNT_TOLERANCE
+        && spec.memory_gb <= free[2] + AMOUNT_TOLERANCE
 }
 
 /// Whether a task of the job may start on a machine as far as type, zone and spot go,
@@ -149,7 +148,8 @@
     zone_allowed(job, &machine.info.zone, machines)
 }
 
-fn matches_spec(spec: &JobSpec, machine: &Machine) -> bool {
+/// Whether tasks of the job may run on such a machine: spot, zone and type.
+pub(crate) fn matches_spec(spec: &JobSpec, machine: &Machine) -> bool {
     let info = &machine.info;
     (spec.spot || !info.spot)
         && spec.zone.as_ref().is_none_or(|zone| *zone == info.zone)
@@ -174,7 +174,7 @@
         now: Secs,
         only_machine: Option<&MachineId>,
     ) -> BTreeMap<MachineId, [f64; 3]> {
-        let least = self.least_cpus.min(LEAST_CPUS_MAX) - TOLERANCE;
+        let least = self.least_cpus.min(LEAST_CPUS_MAX) - AMOUNT_TOLERANCE;
         let report_s = self.facts.report_s;
         let has_room = |m: &Machine| m.usable(now, report_s) && m.free()[0] >= least;
         match only_machine {
--- a/crates/core/src/place/image_demand.rs
+++ b/crates/core/src/place/image_demand.rs
@@ -3,11 +3,11 @@
 use crate::consts::HOLDERS_FREE_SHARE;
 use crate::event::Secs;
 use crate::fleet::Machines;
-use crate::jobs::Job;
+use crate::jobs::Jobs;
 use crate::leader::Leader;
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::job::{JobSpec, Kind};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 
 /// The demand for an image: CPUs.
 #[derive(Debug, Default, Clone, Copy)]
@@ -20,7 +20,7 @@
 
 /// The demand for each image that array tasks wait for.
 pub(super) fn image_demand(
-    jobs: &BTreeMap<JobId, Job>,
+    jobs: &Jobs,
     machines: &Machines,
     now: Secs,
     report_s: f64,
@@ -32,7 +32,7 @@
     images
 }
 
-fn waiting_demand(jobs: &BTreeMap<JobId, Job>) -> HashMap<String, Demand> {
+fn waiting_demand(jobs: &Jobs) -> HashMap<String, Demand> {
     let mut images: HashMap<String, Demand> = HashMap::new();
     for job in jobs.values().filter(|job| job.spec().kind == Kind::Array) {
         let waiting = f64::from(job.waiting()) * job.spec().cpus;
--- a/crates/core/src/place/mod.rs
+++ b/crates/core/src/place/mod.rs
@@ -18,10 +18,11 @@
 mod quota;
 mod services;
 
-pub(crate) use candidates::{fits, machine_allowed};
+pub(crate) use candidates::{fits, machine_allowed, matches_spec};
 pub(crate) use image_demand::Demand;
 pub(crate) use pass::{ImagePolicy, PreemptionReason, RequestShape, SchedulingPass};
 pub(crate) use queues::QueueSnapshot;
+pub(crate) use quota::exceeds_limit;
 
 use crate::event::Secs;
 use crate::leader::Leader;
--- a/crates/core/src/place/queues.rs
+++ b/crates/core/src/place/queues.rs
@@ -2,12 +2,11 @@
 
 use crate::consts::{PILOT_QUEUE, QUEUES};
 use crate::event::Secs;
-use crate::jobs::Job;
+use crate::jobs::{Job, Jobs};
 use crate::leader::Leader;
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::job::Kind;
 use std::cmp::{Ordering, Reverse};
-use std::collections::BTreeMap;
 
 /// Which jobs wait, and what each queue's array jobs use. Taken by each full pass; a
 /// machine that becomes free in between is filled from it.
@@ -25,7 +24,7 @@
 
 impl QueueSnapshot {
     /// Looks through all jobs for those that wait.
-    pub(super) fn of(jobs: &BTreeMap<JobId, Job>) -> Self {
+    pub(super) fn of(jobs: &Jobs) -> Self {
         let mut snapshot = Self { services: waiting_jobs(jobs, Kind::Service), ..Self::default() };
         for (id, job) in jobs.iter().filter(|(_, job)| job.spec().kind == Kind::Array) {
             let cpus = job.live.len() as f64 * queued_cpus(job);
@@ -50,7 +49,7 @@
 }
 
 /// Jobs of a kind that have tasks waiting, by priority and arrival.
-fn waiting_jobs(jobs: &BTreeMap<JobId, Job>, kind: Kind) -> Vec<JobId> {
+fn waiting_jobs(jobs: &Jobs, kind: Kind) -> Vec<JobId> {
     let mut waiting: Vec<_> = jobs
         .iter()
         .filter(|(_, job)| job.spec().kind == kind && job.waiting() > 0)
--- a/crates/core/src/place/quota.rs
+++ b/crates/core/src/place/quota.rs
@@ -1,21 +1,20 @@
 //! Team quotas: what a team is guaranteed, and what it may use at most.
 
 use super::SchedulingPass;
+use crate::consts::AMOUNT_TOLERANCE;
 use crate::facts::Team;
 use crate::jobs::Job;
 use crate::leader::Leader;
 use marblebarrow_proto::job::{JobSpec, Kind};
 
-/// Sums of CPUs and GPUs are compared with this tolerance.
-const TOLERANCE: f64 = 1e-9;
-
 impl Leader {
     /// Whether one more task of the job stays within its team's guarantee.
     pub(super) fn within_guarantee(&self, pass: &SchedulingPass, job: &Job) -> bool {
         let spec = job.spec();
         let Some(team) = self.team(&spec.team) else { return false };
         let used = pass.usage_of(&spec.team);
-        used[0] + spec.cpus <= team.cpus + TOLERANCE && used[1] + spec.gpus <= team.gpus + TOLERANCE
+        used[0] + spec.cpus <= team.cpus + AMOUNT_TOLERANCE
+            && used[1] + spec.gpus <= team.gpus + AMOUNT_TOLERANCE
     }
 
     /// Whether one more task of such a job stays within its team's limit.
@@ -29,7 +28,8 @@
             // preempted for them.
             (0..2).for_each(|i| used[i] += reserved[i]);
         }
-        !exceeds(used[0], spec.cpus, team.cpus_max) && !exceeds(used[1], spec.gpus, team.gpus_max)
+        !exceeds_limit(used[0], spec.cpus, team.cpus_max)
+            && !exceeds_limit(used[1], spec.gpus, team.gpus_max)
     }
 
     /// The team of that name.
@@ -39,6 +39,6 @@
 }
 
 /// Whether `more` on top of what is used exceeds a limit; zero is no limit.
-fn exceeds(used: f64, more: f64, limit: f64) -> bool {
-    limit > 0.0 && used + more > limit + TOLERANCE
+pub(crate) fn exceeds_limit(used: f64, more: f64, limit: f64) -> bool {
+    limit > 0.0 && used + more > limit + AMOUNT_TOLERANCE
 }
--- a/crates/core/src/preempt/mod.rs
+++ b/crates/core/src/preempt/mod.rs
@@ -143,10 +143,7 @@
         // Tasks that are told to stop at once free their capacity before the command behind
         // the stop is executed, so the capacity counts as free.
         let Some(machine) = self.machines.get_mut(&live.machine) else { return };
-        let spec = &job.record.spec;
-        machine.used[0] -= spec.cpus;
-        machine.used[1] -= spec.gpus;
-        machine.used[2] -= spec.memory_gb;
+        machine.unbook(&job.record.spec);
         machine.freed.insert(task.clone());
     }
 
--- a/crates/core/src/preempt/quota.rs
+++ b/crates/core/src/preempt/quota.rs
@@ -2,6 +2,7 @@
 //! that team's arrays.
 
 use super::victims::is_stoppable;
+use crate::consts::AMOUNT_TOLERANCE;
 use crate::event::Secs;
 use crate::leader::Leader;
 use crate::place::SchedulingPass;
@@ -48,7 +49,7 @@
         let mut victims = self.team_victims(now, spec, &mut excess);
         victims.sort_by(|a, b| a.lost.total_cmp(&b.lost));
         for TeamVictim { task, frees, .. } in victims {
-            if excess.iter().all(|amount| *amount <= 1e-9) {
+            if excess.iter().all(|amount| *amount <= AMOUNT_TOLERANCE) {
                 break;
             }
             (0..2).for_each(|i| excess[i] -= frees[i]);
--- a/crates/core/src/preempt/victims.rs
+++ b/crates/core/src/preempt/victims.rs
@@ -1,6 +1,6 @@
 //! The choice of tasks to preempt.
 
-use crate::consts::GUARANTEE_LOSS_S;
+use crate::consts::{AMOUNT_TOLERANCE, GUARANTEE_LOSS_S};
 use crate::event::Secs;
 use crate::fleet::Machine;
 use crate::jobs::{Job, Live, Phase};
@@ -114,8 +114,9 @@
         let Some(team) = self.team(&spec.team) else { return false };
         let used = pass.usage_of(&spec.team);
         let preempted = pass.preempted.get(&spec.team).copied().unwrap_or_default();
-        let keeps =
-            |i: usize, need: f64, guarantee: f64| used[i] - preempted[i] - need >= guarantee - 1e-9;
+        let keeps = |i: usize, need: f64, guarantee: f64| {
+            used[i] - preempted[i] - need >= guarantee - AMOUNT_TOLERANCE
+        };
         keeps(0, spec.cpus, team.cpus) && keeps(1, spec.gpus, team.gpus)
     }
 }
--- a/crates/core/src/provision/backlog.rs
+++ b/crates/core/src/provision/backlog.rs
@@ -27,15 +27,7 @@
             return;
         }
         let steady = seen.least();
-        let waits = |job: &&Job| {
-            job.spec().kind == Kind::Array
-                && job.waiting() > 0
-                && !job.mistaken()
-                && !job.spare()
-                && !job.unhurried(now)
-        };
-        let widest = self.jobs.values().filter(waits).max_by_key(|job| job.waiting());
-        let Some(job) = widest else { return };
+        let Some(job) = self.widest_backlog(now) else { return };
         let spec = job.spec().clone();
         let mut wanted = steady * (job.likely_run() / DRAIN_S).min(1.0);
         if wanted < spec.cpus {
@@ -54,4 +46,16 @@
             plan.add(offer);
         }
     }
+
+    /// The array job with most tasks waiting, of those that press for machines.
+    fn widest_backlog(&self, now: Secs) -> Option<&Job> {
+        let waits = |job: &&Job| {
+            job.spec().kind == Kind::Array
+                && job.waiting() > 0
+                && !job.mistaken()
+                && !job.spare()
+                && !job.unhurried(now)
+        };
+        self.jobs.values().filter(waits).max_by_key(|job| job.waiting())
+    }
 }
--- a/crates/core/src/provision/bin_packing.rs
+++ b/crates/core/src/provision/bin_packing.rs
@@ -1,12 +1,10 @@
 //! First-fit bin packing of tasks onto machines that are up, booting or planned.
 
+use crate::consts::AMOUNT_TOLERANCE;
 use crate::event::Secs;
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::wire::MachineType;
 
-/// Amounts are compared with this tolerance.
-const TOLERANCE: f64 = 1e-9;
-
 /// Where a machine is, and of which type. Type and zone are indexes: into the list of
 /// machine types, and into the type's list of zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -77,7 +75,7 @@
     }
 
     fn fits(&self, capacity: &Capacity) -> bool {
-        (0..3).all(|i| capacity.free[i] + TOLERANCE >= self.amounts[i])
+        (0..3).all(|i| capacity.free[i] + AMOUNT_TOLERANCE >= self.amounts[i])
             && self.allows(capacity.location)
     }
 
--- a/crates/core/src/provision/mod.rs
+++ b/crates/core/src/provision/mod.rs
@@ -18,9 +18,8 @@
 
 pub(crate) use offers::MachineOffer;
 
-use crate::cloud_requests::Pending;
 use crate::consts::*;
-use crate::event::{ActionSink, CloudRequest, Secs};
+use crate::event::{ActionSink, Secs};
 use crate::facts::Facts;
 use crate::jobs::Job;
 use crate::leader::Leader;
@@ -66,7 +65,7 @@
             return false;
         };
         let used = self.usage.entry(spec.team.clone()).or_default();
-        if team.cpus_max > 0.0 && used[0] + spec.cpus > team.cpus_max + 1e-9 {
+        if team.cpus_max > 0.0 && used[0] + spec.cpus > team.cpus_max + AMOUNT_TOLERANCE {
             return false;
         }
         used[0] += spec.cpus;
@@ -109,12 +108,11 @@
     /// are up haven't reported yet.
     fn may_rent(&self, now: Secs) -> bool {
         let cloud = &self.cloud_requests;
-        let early = now - cloud.leader_since < RENT_AFTER_S;
+        if cloud.is_renting() || cloud.types.is_empty() {
+            return false;
+        }
         let fleet_known = !self.machines.is_empty() || !cloud.booting.is_empty();
-        !(early && fleet_known)
-            && cloud.renting == 0
-            && cloud.rents_to_retry.is_empty()
-            && !cloud.types.is_empty()
+        now - cloud.leader_since >= RENT_AFTER_S || !fleet_known
     }
 
     fn service_shortages(
@@ -190,10 +188,7 @@
         if !self.cloud_requests.take_request() {
             return;
         }
-        self.cloud_requests.renting += 1;
-        self.cloud_requests.next_request += 1;
-        // Term and counter: no controller ever uses this name again.
-        let request = format!("r-{}-{}", self.term.0, self.cloud_requests.next_request);
+        let request = self.cloud_requests.new_request_name(self.term);
         let MachineOffer { machine_type: kind, zone, spot } = offer;
         self.log.push(|| {
             format!(
@@ -201,8 +196,7 @@
             )
         });
         let rent = Rent { request, kind, zone, spot, count: count.min(RENT_MAX) };
-        let op = out.cloud(CloudRequest::Rent(rent.clone()));
-        self.cloud_requests.pending.insert(op, Pending::Rent(rent));
+        self.cloud_requests.send_rent(rent, out);
     }
 }
 
--- a/crates/core/src/provision/offers.rs
+++ b/crates/core/src/provision/offers.rs
@@ -2,7 +2,7 @@
 
 use super::bin_packing::{Capacity, Location};
 use crate::cloud_requests::CloudRequests;
-use crate::consts::BOOT_SPREAD;
+use crate::consts::{AMOUNT_TOLERANCE, BOOT_SPREAD};
 use crate::event::Secs;
 use crate::leader::Leader;
 use crate::user_api::type_allows;
@@ -98,7 +98,7 @@
 /// How many such tasks a machine holds.
 fn tasks_per_machine(spec: &JobSpec, t: &MachineType) -> u32 {
     let by = |need: f64, have: f64| {
-        if need > 0.0 { (have / need + 1e-9).floor() } else { f64::MAX }
+        if need > 0.0 { (have / need + AMOUNT_TOLERANCE).floor() } else { f64::MAX }
     };
     let cpus = by(spec.cpus, t.cpus);
     let gpus = by(spec.gpus, t.gpus);
--- a/crates/core/src/provision/spot_replacement.rs
+++ b/crates/core/src/provision/spot_replacement.rs
@@ -28,12 +28,12 @@
     ) {
         let work = self.replaceable_work();
         let seen = &mut self.cloud_requests.replaceable_cpus;
-        seen.add(now, work.cpus, SWAP_AFTER_S);
-        let Some(spec) = work.largest.filter(|_| seen.covers(SWAP_AFTER_S)) else { return };
+        seen.add(now, work.cpus, SPOT_REPLACE_AFTER_S);
+        let Some(spec) = work.largest.filter(|_| seen.covers(SPOT_REPLACE_AFTER_S)) else { return };
         let steady = seen.least();
         let spot = capacity.iter().filter(|machine| machine.location.spot);
         let spot_free: f64 = spot.map(Capacity::free_cpus).sum();
-        let mut wanted = steady * SWAP_SHARE - spot_free;
+        let mut wanted = steady * SPOT_REPLACE_SHARE - spot_free;
         for _ in 0..PLAN_MAX {
             if wanted <= 0.0 {
                 return;
--- a/crates/core/src/reports/absence.rs
+++ b/crates/core/src/reports/absence.rs
@@ -3,7 +3,7 @@
 
 use crate::consts::{WORKER_DROPS_S, WORKER_MARGIN_S};
 use crate::event::Secs;
-use crate::jobs::{Live, Outcome, Phase};
+use crate::jobs::{Live, Outcome, Phase, live_attempt_mut};
 use crate::leader::Leader;
 use marblebarrow_proto::ids::{MachineId, TaskId};
 use std::collections::BTreeSet;
@@ -55,7 +55,7 @@
         let absent: Vec<TaskId> = m.tasks.difference(listed).cloned().collect();
         let mut start_missed = false;
         for task in absent {
-            let live = self.jobs.get_mut(&task.job).and_then(|j| j.live.get_mut(&task.index));
+            let live = live_attempt_mut(&mut self.jobs, &task);
             let Some(live) = live else { continue };
             match Absence::of(live, direct_under_way, now) {
                 Absence::Inconclusive => {}
--- a/crates/core/src/reports/mod.rs
+++ b/crates/core/src/reports/mod.rs
@@ -11,6 +11,7 @@
 use crate::consts::*;
 use crate::event::{Answer, Secs};
 use crate::fleet::Machine;
+use crate::jobs::live_attempt_mut;
 use crate::leader::Leader;
 use crate::replica::Replica;
 use marblebarrow_proto::ids::{MachineId, TaskId};
@@ -73,7 +74,7 @@
     /// What becomes free is filled at once, in the same answer if the start is recorded
     /// already.
     fn fill_machine(&mut self, now: Secs, id: &MachineId) -> Option<()> {
-        if self.backlog && self.machines.get(id)?.free()[0] + 1e-9 >= self.least_cpus {
+        if self.backlog && self.machines.get(id)?.free()[0] + AMOUNT_TOLERANCE >= self.least_cpus {
             self.place(now, Some(id));
         }
         Some(())
@@ -88,7 +89,7 @@
         }
         let (commands, starts) = self.compose(id);
         for (task, _) in starts {
-            let live = self.jobs.get_mut(&task.job).and_then(|j| j.live.get_mut(&task.index));
+            let live = live_attempt_mut(&mut self.jobs, &task);
             if let Some(live) = live {
                 live.sent = Some(now);
             }
--- a/crates/core/src/reports/outcomes.rs
+++ b/crates/core/src/reports/outcomes.rs
@@ -2,7 +2,7 @@
 
 use crate::consts::SLOW_FACTOR;
 use crate::event::Secs;
-use crate::jobs::{Job, Outcome};
+use crate::jobs::{Job, Outcome, live_attempt_mut};
 use crate::leader::Leader;
 use marblebarrow_proto::ids::{JobId, MachineId, TaskId};
 use marblebarrow_proto::job::Kind;
@@ -103,7 +103,7 @@
 
     /// The result is here; the other attempt is of no more use.
     fn stop_duplicate(&mut self, task: &TaskId) {
-        let live = self.jobs.get_mut(&task.job).and_then(|job| job.live.get_mut(&task.index));
+        let live = live_attempt_mut(&mut self.jobs, task);
         let Some(live) = live else { return };
         live.stop = Some(0.0);
         if let Some(machine) = self.machines.get_mut(&live.machine) {
@@ -140,7 +140,7 @@
     /// placed again when all are gone.
     fn stop_gang(&mut self, id: &JobId, lost: u32) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let grace = job.record.spec.save_s * 2.0;
+        let grace = job.eviction_grace();
         for (_, live) in job.live.iter_mut().filter(|(n, l)| **n != lost && l.stop.is_none()) {
             live.stop = Some(grace);
             if let Some(machine) = self.machines.get_mut(&live.machine) {
--- a/crates/core/src/reports/tasks.rs
+++ b/crates/core/src/reports/tasks.rs
@@ -23,12 +23,12 @@
         let Some(m) = self.machines.get_mut(id) else { return };
         let key = (task.clone(), entry.attempt);
         m.start_doubts.note_listed(&key);
-        let exited = entry.state == TaskState::Exited;
+        let exit = exit_reason(entry);
         let job = self.jobs.get(&task.job).filter(|job| task.index < job.spec().tasks);
         let Some(job) = job else {
             // Over and closed, or never ours.
-            if exited {
-                m.exited.insert(key, exit_reason(entry));
+            if let Some(why) = exit {
+                m.exited.insert(key, why);
             } else {
                 m.strangers.insert(key);
             }
@@ -36,21 +36,19 @@
         };
         let is_booked = |live: &Live| live.machine == *id && live.attempt == entry.attempt;
         let booked = job.live.get(&task.index).is_some_and(is_booked);
-        if exited {
+        if let Some(why) = exit {
             if booked {
                 m.reached = Some(now);
             }
-            m.exited.insert(key, exit_reason(entry));
-            self.task_ended(now, id, &task, exit_reason(entry), booked);
+            m.exited.insert(key, why);
+            self.task_ended(now, id, &task, why, booked);
         } else if booked {
             self.confirm_attempt(now, id, &task, entry.state);
             listed.insert(task);
-        } else if self.is_newer_attempt(&task, entry.attempt) {
-            if self.adopt_attempt(now, id, &task, entry).is_some() {
-                listed.insert(task);
-            }
-        } else {
+        } else if !self.is_newer_attempt(&task, entry.attempt) {
             self.note_stranger(id, task, entry.attempt);
+        } else if self.adopt_attempt(now, id, &task, entry).is_some() {
+            listed.insert(task);
         }
     }
 
@@ -147,8 +145,9 @@
     }
 }
 
-fn exit_reason(entry: &ReportTask) -> Why {
-    entry.why.unwrap_or(Why::Other)
+/// Why the task ended, if it did.
+fn exit_reason(entry: &ReportTask) -> Option<Why> {
+    (entry.state == TaskState::Exited).then(|| entry.why.unwrap_or(Why::Other))
 }
 
 /// An attempt that an earlier leader started, as a report lists it.
--- a/crates/core/src/revocation.rs
+++ b/crates/core/src/revocation.rs
@@ -11,7 +11,7 @@
 use crate::event::{ActionSink, OpId, Secs, StoreResult};
 use crate::fencing::RaiseOutcome;
 use crate::fleet::Machine;
-use crate::jobs::Phase;
+use crate::jobs::{Phase, live_attempt, live_attempt_mut};
 use crate::leader::{Leader, WriteOutcome};
 use crate::start_doubts::StartDoubt;
 use marblebarrow_proto::ids::{JobId, MachineId};
@@ -96,7 +96,7 @@
             return;
         }
         for (task, attempt) in &revoked {
-            let live = self.jobs.get_mut(&task.job).and_then(|j| j.live.get_mut(&task.index));
+            let live = live_attempt_mut(&mut self.jobs, task);
             if let Some(live) = live.filter(|l| l.machine == *id && l.attempt == *attempt) {
                 live.doubt = false;
             }
@@ -170,7 +170,7 @@
             if doubt.dangerous_since().is_some() {
                 return Some((Urgency::Cancellation, doubt.token));
             }
-            let live = self.jobs.get(&task.job).and_then(|j| j.live.get(&task.index));
+            let live = live_attempt(&self.jobs, task);
             let wanted = live.is_some_and(|l| l.attempt == *attempt && l.stop.is_none());
             (!wanted).then_some((Urgency::Room, doubt.token))
         });
--- a/crates/core/src/tests/jobs.rs
+++ b/crates/core/src/tests/jobs.rs
@@ -116,7 +116,7 @@
     assert!(!j.keeps(7.0), "one of the two may go");
     j.over(1, Outcome::Lost, 8.0);
     assert!(j.keeps(9.0));
-    j.ran_for(GATHER_AGE_S + 1.0);
+    j.ran_for(CONSOLIDATE_AGE_S + 1.0);
     assert!(!j.keeps(40.0));
     j.aimed = true;
     assert!(!j.spare());
