--- a/src/cells.rs
+++ b/src/cells.rs
@@ -1,8 +1,8 @@
 //! The link to other cells: gRPC, its runtime on one thread at the edge. It keeps no state of
 //! transfers: every request may be lost or repeated.
 
+use crate::event_queue::{CellAnswer, Inbox, Message};
 use crate::limits::*;
-use crate::owner::{CellAnswer, Inbox, Message};
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest, OfferReply};
 use marblebarrow_cells::rpc::{error_of, lost_cell_in};
 use marblebarrow_cells::settings::{CellsSettings, OtherCell};
@@ -47,7 +47,7 @@
             lines.push((other.clone(), rx));
         }
         let (inbox, message_bytes) = (inbox.clone(), settings.message_bytes);
-        crate::links::spawn("cells", move || {
+        crate::thread::spawn("cells", move || {
             runtime.block_on(async move {
                 for (other, rx) in lines {
                     tokio::spawn(speak(other, rx, inbox.clone(), message_bytes));
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -220,7 +220,7 @@
         .with_target(false)
         .without_time()
         .init();
-    match crate::serve(settings) {
+    match crate::controller::serve(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => bad(&format!("can't serve: {e}")),
     }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,7 +1,7 @@
 //! The other controllers: gRPC, its runtime on one thread at the edge.
 
+use crate::event_queue::{Inbox, Message};
 use crate::limits::*;
-use crate::owner::{Inbox, Message};
 use crate::settings::Other;
 use marblebarrow_core::event::{Event, JobCounts, PeerNews, PledgeAnswer, Secs, TaskCounts};
 use marblebarrow_core::membership::Announcement;
@@ -47,7 +47,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let listener = std::net::TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
-        crate::links::spawn("peers", move || {
+        crate::thread::spawn("peers", move || {
             runtime.block_on(async move {
                 let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
                     return;
--- a/src/server.rs
+++ b/src/server.rs
@@ -12,9 +12,9 @@
 //! leader's processor time.)
 
 use crate::authority::Authority;
+use crate::event_queue::{Ask, Inbox};
 use crate::http::{Conn, ReadError, Request, response};
 use crate::limits::*;
-use crate::owner::{Ask, Inbox};
 use crate::pool::Pool;
 use marblebarrow_core::consts::{RETRY_FULL_S, RETRY_STORE_S};
 use marblebarrow_core::event::{Answer, UserRequest};
--- a/src/tests/links.rs
+++ b/src/tests/links.rs
@@ -1,7 +1,8 @@
 use super::*;
-use crate::owner::Message;
+use crate::event_queue::Message;
 use std::io::{Read as _, Write as _};
 use std::net::TcpListener;
+use std::thread;
 use std::time::Duration;
 
 /// A state service that knows no key.
--- a/src/tests/watch.rs
+++ b/src/tests/watch.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::owner::{Message, Outbox};
+use crate::event_queue::{Message, Outbox};
 use marblebarrow_proto::records::cancel_key;
 use marblebarrow_proto::wire::{ItemPage, WatchEvent};
 use std::io::{Read as _, Write as _};
--- /dev/null
+++ b/src/thread.rs
@@ -0,0 +1,9 @@
+//! Threads with small stacks, as memory limits are tight.
+
+use crate::limits::STACK;
+use std::thread;
+
+/// Starts a thread with a small stack.
+pub fn spawn(name: &str, f: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
+    thread::Builder::new().name(name.into()).stack_size(STACK).spawn(f).map(|_| ())
+}
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -1,10 +1,11 @@
 //! The watch of the state service: keeps this controller's copy of the watched keys
 //! current, and proves how current it is.
 
+use crate::clock::Clock;
+use crate::event_queue::Inbox;
 use crate::http::{CallError, Client};
 use crate::limits::*;
-use crate::links::store_call;
-use crate::owner::{Clock, Inbox};
+use crate::store_client::store_call;
 use marblebarrow_core::event::*;
 use marblebarrow_core::facts::WatchTiming;
 use marblebarrow_proto::cbor;
