--- a/src/cli.rs
+++ b/src/cli.rs
@@ -239,11 +239,11 @@
 }
 
 fn call(server: SocketAddr, method: &str, path: &str, body: &[u8]) -> ExitCode {
-    let Ok((status, body)) = Client::new(server).call(method, path, body, PATIENCE) else {
+    let Ok(response) = Client::new(server).call(method, path, body, PATIENCE) else {
         eprintln!("marblebarrow: no answer from {server}");
         return ExitCode::FAILURE;
     };
-    let text = match marblebarrow_proto::cbor::decode::<Value>(&body) {
+    let text = match marblebarrow_proto::cbor::decode::<Value>(&response.body) {
         Ok(Value::Map(fields)) => fields
             .iter()
             .map(|(k, v)| format!("{}={}", show(k), show(v)))
@@ -251,8 +251,8 @@
             .join(" "),
         _ => String::new(),
     };
-    println!("status={status} {text}");
-    if status < 300 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    println!("status={} {text}", response.status);
+    if response.status < 300 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// The answer to `GET /api/members`.
@@ -274,13 +274,13 @@
 
 fn members(server: SocketAddr) -> ExitCode {
     let answer = Client::new(server).call("GET", "/api/members", &[], PATIENCE);
-    let Ok((status, body)) = answer else {
+    let Ok(response) = answer else {
         return failed(&format!("no answer from {server}"));
     };
-    if status != 200 {
-        return failed(&format!("{server} answered {status}"));
+    if response.status != 200 {
+        return failed(&format!("{server} answered {}", response.status));
     }
-    let Ok(view) = marblebarrow_proto::cbor::decode::<MembershipView>(&body) else {
+    let Ok(view) = marblebarrow_proto::cbor::decode::<MembershipView>(&response.body) else {
         return failed(&format!("{server} answered what is no list of controllers"));
     };
     for m in view.controllers {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -21,7 +21,7 @@
     let links = links::Links {
         store: links::StoreLink::start(settings.state, &inbox, clock, watch_timing)?,
         cloud: links::CloudLink::start(settings.cloud, &inbox, &authority)?,
-        direct: links::DirectLink::new(&inbox, &authority, room.direct_threads),
+        workers: links::WorkerLink::new(&inbox, &authority, room.direct_threads),
         cells: match &settings.facts.cells {
             Some(settings) => Some(cells::CellLink::start(settings, &inbox)?),
             None => None,
--- /dev/null
+++ b/src/http/client.rs
@@ -0,0 +1,131 @@
+//! The client's side: calls over one connection that is kept between them.
+
+use super::connection::Connection;
+use super::error::{CallError, ReadError};
+use super::parse::parse_response;
+use crate::limits::{CONNECT_TIME, HEAD_MAX, RESPONSE_MAX, STALE_AFTER};
+use std::io::{self, Write as _};
+use std::net::{SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+
+/// Usual size of a request's head, bytes.
+const REQUEST_HEAD_LEN: usize = 160;
+
+/// A response as a client reads it.
+#[derive(Debug)]
+pub struct ClientResponse {
+    /// HTTP status.
+    pub status: u16,
+    /// Body.
+    pub body: Vec<u8>,
+    /// The server closes the connection.
+    close: bool,
+}
+
+/// A connection kept for the next call.
+#[derive(Debug)]
+struct KeptConnection {
+    connection: Connection,
+    last_used: Instant,
+}
+
+/// A client that keeps one connection to one address.
+#[derive(Debug)]
+pub struct Client {
+    addr: SocketAddr,
+    kept: Option<KeptConnection>,
+}
+
+impl Client {
+    /// A client of that address; connects when needed.
+    pub fn new(addr: SocketAddr) -> Self {
+        Self { addr, kept: None }
+    }
+
+    /// Connects, unless a connection is kept.
+    pub fn connect(&mut self) -> io::Result<()> {
+        if self.kept.is_none() {
+            let connection = self.open()?;
+            self.keep(connection);
+        }
+        Ok(())
+    }
+
+    /// Sends a request and waits at most `timeout` for the response.
+    pub fn call(
+        &mut self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+        timeout: Duration,
+    ) -> Result<ClientResponse, CallError> {
+        let mut connection = match self.take_usable() {
+            Some(connection) => connection,
+            None => self.open().map_err(|_| CallError::NotSent)?,
+        };
+        let request = self.encode_request(method, path, body);
+        connection.stream.write_all(&request).map_err(|_| CallError::Unknown)?;
+        let response = connection.read_response(Instant::now() + timeout);
+        let response = response.map_err(|error| match error {
+            ReadError::Malformed | ReadError::TooLarge => CallError::Unreadable,
+            _ => CallError::Unknown,
+        })?;
+        if !response.close {
+            self.keep(connection);
+        }
+        Ok(response)
+    }
+
+    fn open(&self) -> io::Result<Connection> {
+        TcpStream::connect_timeout(&self.addr, CONNECT_TIME).and_then(Connection::new)
+    }
+
+    fn keep(&mut self, connection: Connection) {
+        self.kept = Some(KeptConnection { connection, last_used: Instant::now() });
+    }
+
+    /// The kept connection, unless it was idle for long and is found closed.
+    fn take_usable(&mut self) -> Option<Connection> {
+        let KeptConnection { mut connection, last_used } = self.kept.take()?;
+        let usable = last_used.elapsed() < STALE_AFTER || !connection.is_stale();
+        usable.then_some(connection)
+    }
+
+    fn encode_request(&self, method: &str, path: &str, body: &[u8]) -> Vec<u8> {
+        let mut out = Vec::with_capacity(REQUEST_HEAD_LEN + body.len());
+        // Writing to memory can't fail.
+        let _ = write!(out, "{method} {path} HTTP/1.1\r\nHost: {}\r\n", self.addr);
+        let _ = write!(out, "Content-Type: application/cbor\r\n");
+        let _ = write!(out, "Content-Length: {}\r\n\r\n", body.len());
+        out.extend_from_slice(body);
+        out
+    }
+}
+
+impl Connection {
+    fn read_response(&mut self, deadline: Instant) -> Result<ClientResponse, ReadError> {
+        loop {
+            if let Some(head) = parse_response(&self.buffer)? {
+                if head.framing.body_len > RESPONSE_MAX {
+                    return Err(ReadError::TooLarge);
+                }
+                while !self.holds(&head.framing) {
+                    self.read_until(deadline)?;
+                }
+                let body = self.take_body(&head.framing);
+                return Ok(ClientResponse { status: head.status, body, close: head.framing.close });
+            }
+            if self.buffer.len() > HEAD_MAX {
+                return Err(ReadError::TooLarge);
+            }
+            self.read_until(deadline)?;
+        }
+    }
+
+    /// Whether the other side has closed, or sent something unasked.
+    fn is_stale(&mut self) -> bool {
+        let mut byte = [0u8; 1];
+        !matches!(self.peek_now(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+            || self.set_blocking(true).is_err()
+    }
+}
--- /dev/null
+++ b/src/http/connection.rs
@@ -0,0 +1,145 @@
+//! A connection: its socket, the bytes read but not consumed yet, and its blocking mode.
+
+use super::error::ReadError;
+use super::parse::Framing;
+use crate::limits::{BODY_MAX, BUFFER_KEPT, WRITE_TIME};
+use std::io::{self, Read, Write};
+use std::net::TcpStream;
+use std::os::fd::{AsRawFd as _, RawFd};
+use std::time::{Duration, Instant};
+
+/// Bytes read from a socket at once.
+const READ_CHUNK: usize = 4096;
+
+/// A connection with its unconsumed bytes.
+#[derive(Debug)]
+pub struct Connection {
+    pub(super) stream: TcpStream,
+    pub(super) buffer: Vec<u8>,
+    /// The socket's read timeout, if one was set.
+    pub(super) read_timeout: Option<Duration>,
+    blocking: bool,
+}
+
+impl Connection {
+    /// Wraps a connected stream.
+    pub fn new(stream: TcpStream) -> io::Result<Self> {
+        stream.set_nodelay(true)?;
+        stream.set_write_timeout(Some(WRITE_TIME))?;
+        Ok(Self { stream, buffer: Vec::new(), read_timeout: None, blocking: true })
+    }
+
+    /// The socket's descriptor, for the readiness poll.
+    pub fn fd(&self) -> RawFd {
+        self.stream.as_raw_fd()
+    }
+
+    /// Whether bytes were read that no message has consumed yet.
+    pub fn has_unread(&self) -> bool {
+        !self.buffer.is_empty()
+    }
+
+    /// Frees memory that an idle connection needn't hold.
+    pub fn shrink_idle_buffer(&mut self) {
+        if self.buffer.is_empty() && self.buffer.capacity() > BUFFER_KEPT {
+            self.buffer = Vec::new();
+        }
+    }
+
+    /// Sends as much as the socket takes at once; how many bytes that was.
+    pub fn try_send(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        self.set_blocking(false)?;
+        let mut sent = 0;
+        while sent < bytes.len() {
+            match self.stream.write(&bytes[sent..]) {
+                Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
+                Ok(n) => sent += n,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(e) => return Err(e),
+            }
+        }
+        Ok(sent)
+    }
+
+    /// Sends all of it, and blocks while the socket takes no more.
+    pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.set_blocking(true)?;
+        self.stream.write_all(bytes)
+    }
+
+    /// Discards what has arrived, without blocking.
+    pub fn drain(&mut self) {
+        if self.set_blocking(false).is_ok() {
+            let mut chunk = [0u8; READ_CHUNK];
+            let _ = self.stream.read(&mut chunk);
+        }
+    }
+
+    pub(super) fn set_blocking(&mut self, blocking: bool) -> io::Result<()> {
+        if self.blocking != blocking {
+            self.stream.set_nonblocking(!blocking)?;
+            self.blocking = blocking;
+        }
+        Ok(())
+    }
+
+    /// Looks at the next bytes without consuming them or blocking.
+    pub(super) fn peek_now(&mut self, into: &mut [u8]) -> io::Result<usize> {
+        self.set_blocking(false)?;
+        self.stream.peek(into)
+    }
+
+    /// Reads once into the buffer; [`ReadError::TooSlow`] if nothing came in time, which is at
+    /// once on a non-blocking socket.
+    pub(super) fn read_some(&mut self) -> Result<(), ReadError> {
+        let mut chunk = [0u8; READ_CHUNK];
+        match self.stream.read(&mut chunk) {
+            Ok(0) => Err(ReadError::Closed),
+            Ok(n) => {
+                self.buffer.extend_from_slice(&chunk[..n]);
+                Ok(())
+            }
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => Ok(()),
+            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
+                Err(ReadError::TooSlow)
+            }
+            Err(e) => Err(ReadError::Io(e)),
+        }
+    }
+
+    /// Reads once, until `deadline` at the latest.
+    pub(super) fn read_until(&mut self, deadline: Instant) -> Result<(), ReadError> {
+        let left = deadline.saturating_duration_since(Instant::now());
+        if left.is_zero() {
+            return Err(ReadError::TooSlow);
+        }
+        // Setting the timeout costs a system call; within a factor of two the old one will do.
+        if self.read_timeout.is_none_or(|set| set > left + left || set + set < left) {
+            self.set_read_timeout(left)?;
+        }
+        self.read_some()
+    }
+
+    pub(super) fn set_read_timeout(&mut self, timeout: Duration) -> Result<(), ReadError> {
+        self.stream.set_read_timeout(Some(timeout)).map_err(ReadError::Io)?;
+        self.read_timeout = Some(timeout);
+        Ok(())
+    }
+
+    /// Whether the whole message is in the buffer.
+    pub(super) fn holds(&self, framing: &Framing) -> bool {
+        self.buffer.len() >= framing.message_len()
+    }
+
+    /// Consumes a message that the buffer holds; its body.
+    pub(super) fn take_body(&mut self, framing: &Framing) -> Vec<u8> {
+        let end = framing.message_len();
+        let body = self.buffer[framing.head_len..end].to_vec();
+        self.buffer.drain(..end);
+        if self.buffer.capacity() > BODY_MAX {
+            self.buffer.shrink_to(BUFFER_KEPT);
+        }
+        body
+    }
+}
--- /dev/null
+++ b/src/http/mod.rs
@@ -0,0 +1,12 @@
+//! HTTP/1.1 over plain sockets: connections, message heads, the server's and the client's side.
+
+mod client;
+mod connection;
+mod error;
+mod parse;
+mod server;
+
+pub use client::{Client, ClientResponse};
+pub use connection::Connection;
+pub use error::{CallError, ReadError};
+pub use server::{Request, ResponseHead, encode_response};
--- /dev/null
+++ b/src/links/cloud.rs
@@ -0,0 +1,130 @@
+//! The link to the cloud.
+
+use super::request_queue::RequestQueue;
+use crate::authority::Authority;
+use crate::event_queue::Inbox;
+use crate::http::{CallError, Client, ClientResponse};
+use crate::limits::{CLOUD_QUEUE, CLOUD_THREADS, CLOUD_TIME};
+use crate::thread::spawn;
+use marblebarrow_core::event::{CloudRequest, CloudResult, Event, OpId};
+use marblebarrow_proto::cbor;
+use marblebarrow_proto::wire::{MachineNames, TypeList};
+use serde::Deserialize;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::mpsc::SyncSender;
+
+/// What the cloud's 503 says if no machine is available, rather than the cloud itself.
+const NO_CAPACITY: &str = "no capacity";
+/// Machines in a page of the list (protocol page).
+const LIST_LIMIT: usize = 500;
+
+/// A request of the cloud that the core made.
+struct CloudCall {
+    op: OpId,
+    request: CloudRequest,
+    /// The term it belongs to, if only a leader may make it.
+    leader_term: Option<u64>,
+}
+
+/// The body of an error.
+#[derive(Deserialize)]
+struct ErrorBody {
+    error: String,
+}
+
+/// The link to the cloud.
+pub struct CloudLink {
+    queue: SyncSender<CloudCall>,
+    authority: Authority,
+}
+
+impl CloudLink {
+    /// Starts its threads.
+    pub fn start(addr: SocketAddr, inbox: &Inbox, authority: &Authority) -> io::Result<Self> {
+        let (queue, calls) = RequestQueue::bounded(CLOUD_QUEUE);
+        for _ in 0..CLOUD_THREADS {
+            let (calls, inbox, authority) = (calls.clone(), inbox.clone(), authority.clone());
+            spawn("cloud", move || serve_calls(addr, &calls, &inbox, &authority))?;
+        }
+        Ok(Self { queue, authority: authority.clone() })
+    }
+
+    /// Hands over a request; the event is its answer if it can't be taken.
+    pub fn send(&self, op: OpId, request: CloudRequest) -> Option<Event> {
+        let refused = Some(Event::Cloud(op, CloudResult::Refused));
+        let leader_only = matches!(request, CloudRequest::Rent(_) | CloudRequest::Release(_));
+        let term = self.authority.term();
+        if leader_only && term.is_none() {
+            return refused;
+        }
+        let call = CloudCall { op, request, leader_term: term.filter(|_| leader_only) };
+        if self.queue.try_send(call).is_err() { refused } else { None }
+    }
+}
+
+fn serve_calls(
+    addr: SocketAddr,
+    calls: &RequestQueue<CloudCall>,
+    inbox: &Inbox,
+    authority: &Authority,
+) {
+    let mut client = Client::new(addr);
+    while let Some(CloudCall { op, request, leader_term }) = calls.next() {
+        // Decided before this process stood still, say: another may
+        // lead by now, and use what we would return.
+        let result = match leader_term {
+            Some(term) if !authority.holds(term) => CloudResult::Refused,
+            _ => call(&mut client, &request),
+        };
+        inbox.tell(Event::Cloud(op, result));
+    }
+}
+
+fn call(client: &mut Client, request: &CloudRequest) -> CloudResult {
+    match send(client, request) {
+        Ok(response) => read_response(request, &response),
+        Err(CallError::NotSent) => CloudResult::Refused,
+        Err(CallError::Unknown | CallError::Unreadable) => CloudResult::Unknown,
+    }
+}
+
+fn send(client: &mut Client, request: &CloudRequest) -> Result<ClientResponse, CallError> {
+    match request {
+        CloudRequest::Types => client.call("GET", "/flavors", &[], CLOUD_TIME),
+        CloudRequest::List { after } => {
+            let after = after.as_ref().map_or(String::new(), |name| format!("after={name}&"));
+            let path = format!("/hosts?{after}limit={LIST_LIMIT}");
+            client.call("GET", &path, &[], CLOUD_TIME)
+        }
+        CloudRequest::Rent(rent) => client.call("POST", "/hosts", &cbor::encode(rent), CLOUD_TIME),
+        CloudRequest::Release(names) => {
+            let body = cbor::encode(&MachineNames { machines: names.clone() });
+            client.call("POST", "/hosts/release", &body, CLOUD_TIME)
+        }
+    }
+}
+
+fn read_response(request: &CloudRequest, response: &ClientResponse) -> CloudResult {
+    let body = &response.body;
+    match (request, response.status) {
+        (CloudRequest::Types, 200) => cbor::decode::<TypeList>(body)
+            .map_or(CloudResult::Unknown, |list| CloudResult::Types(list.types)),
+        (CloudRequest::List { .. }, 200) => {
+            cbor::decode(body).map_or(CloudResult::Unknown, CloudResult::List)
+        }
+        (CloudRequest::Rent(_), 200) => cbor::decode::<MachineNames>(body)
+            .map_or(CloudResult::Unknown, |names| CloudResult::Rented(names.machines)),
+        // Two kinds of 503: no machine available, or an outage of the cloud.
+        (CloudRequest::Rent(_), 503) if says_no_capacity(body) => CloudResult::NoCapacity,
+        (CloudRequest::Release(_), 200) => CloudResult::Released,
+        (_, 429 | 503) => CloudResult::Refused,
+        // A rental that is refused as malformed rents nothing, now or later.
+        (CloudRequest::Rent(_), 400..=499) => CloudResult::NoCapacity,
+        _ => CloudResult::Unknown,
+    }
+}
+
+fn says_no_capacity(body: &[u8]) -> bool {
+    cbor::decode::<ErrorBody>(body).is_ok_and(|body| body.error == NO_CAPACITY)
+}
--- /dev/null
+++ b/src/links/worker.rs
@@ -0,0 +1,72 @@
+//! The link to the workers: a thread for each call under way, so that a silent worker
+//! holds up no other. Their number is the core's to bound; with a thread and a socket kept
+//! for every worker, a large fleet would take more of both than a controller has.
+
+use crate::authority::Authority;
+use crate::event_queue::Inbox;
+use crate::http::{CallError, Client};
+use crate::limits::DIRECT_TIME;
+use crate::pool::Pool;
+use marblebarrow_core::event::{DirectResult, Event, OpId};
+use marblebarrow_proto::cbor;
+use marblebarrow_proto::wire::{DirectCommands, Report};
+use std::net::SocketAddr;
+
+/// Commands for a worker and where it listens.
+struct WorkerCall {
+    op: OpId,
+    addr: SocketAddr,
+    commands: DirectCommands,
+}
+
+/// The link to the workers.
+pub struct WorkerLink(Pool<WorkerCall>);
+
+impl WorkerLink {
+    /// A link without threads yet.
+    pub fn new(inbox: &Inbox, authority: &Authority, threads: usize) -> Self {
+        let (inbox, authority) = (inbox.clone(), authority.clone());
+        Self(Pool::new("direct", threads, threads, move |worker_call: WorkerCall| {
+            let result = call(&worker_call, &authority);
+            inbox.tell(Event::Direct(worker_call.op, result));
+        }))
+    }
+
+    /// Hands over commands; the event is the answer if they can't be taken.
+    pub fn send(&self, op: OpId, addr: &str, commands: DirectCommands) -> Option<Event> {
+        let not_sent = Some(Event::Direct(op, DirectResult::NotSent));
+        let Ok(addr) = addr.parse::<SocketAddr>() else {
+            return not_sent;
+        };
+        let submitted = self.0.submit(WorkerCall { op, addr, commands });
+        if submitted.is_err() { not_sent } else { None }
+    }
+}
+
+fn call(worker_call: &WorkerCall, authority: &Authority) -> DirectResult {
+    let mut client = Client::new(worker_call.addr);
+    if client.connect().is_err() {
+        return DirectResult::NotSent;
+    }
+    // Checked last of all: connecting takes its time, and so may a process
+    // that stands still.
+    if !authority.holds(worker_call.commands.token) {
+        return DirectResult::NotSent;
+    }
+    let body = cbor::encode(&worker_call.commands);
+    match client.call("POST", "/do", &body, DIRECT_TIME) {
+        Ok(response) => read_response(response.status, &response.body),
+        Err(CallError::NotSent) => DirectResult::NotSent,
+        Err(CallError::Unknown | CallError::Unreadable) => DirectResult::Unknown,
+    }
+}
+
+fn read_response(status: u16, body: &[u8]) -> DirectResult {
+    match status {
+        200 | 409 => cbor::decode::<Report>(body).map_or(DirectResult::Unknown, |heartbeat| {
+            DirectResult::Report(status == 200, Box::new(heartbeat))
+        }),
+        400 => DirectResult::NotSent,
+        _ => DirectResult::Unknown,
+    }
+}
--- a/src/owner.rs
+++ b/src/owner.rs
@@ -9,6 +9,7 @@
 use marblebarrow_core::facts::Facts;
 use marblebarrow_core::log::{Level, LogLine};
 use marblebarrow_core::node::Node;
+use marblebarrow_proto::wire::DirectCommands;
 use std::collections::HashMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
@@ -134,7 +135,8 @@
                 }
             }
             Action::Direct { op, addr, token, session, commands } => {
-                if let Some(event) = self.links.direct.send(op, &addr, token, session, commands) {
+                let commands = DirectCommands { token, session, commands };
+                if let Some(event) = self.links.workers.send(op, &addr, commands) {
                     self.node.handle(now, 0, event);
                 }
             }
--- /dev/null
+++ b/src/server/mod.rs
@@ -0,0 +1,193 @@
+//! The HTTP server for users, workers and health checks.
+//!
+//! Idle connections wait in one readiness poll; a request that arrives is served
+//! by a thread of a small pool over blocking sockets. So a fleet's connections
+//! cost a socket and a few hundred bytes each, and no thread. Workers and
+//! health checks have a pool of their own, which users can't crowd; what finds
+//! its pool full is told so at once.
+//!
+//! A heartbeat or health check that has arrived whole, as nearly all do, needs no thread
+//! of the pool: the poll's thread reads it, the event loop's answers it, and neither waits
+//! for the socket. (Handing each from thread to thread and back once took half of a
+//! leader's processor time.)
+
+mod bounds;
+mod connection_table;
+mod handler;
+mod nonblocking;
+mod pending_request;
+mod response;
+mod user_routes;
+mod worker_routes;
+
+pub use bounds::Bounds;
+
+use crate::authority::Authority;
+use crate::event_queue::Inbox;
+use crate::http::Connection;
+use crate::limits::{ACCEPT_RETRY, FRONT_EVENTS, GUESTS, LISTENER, SWEEP_TIME};
+use crate::pool::Pool;
+use connection_table::{ClientKind, Ready};
+use handler::Handler;
+use marblebarrow_core::consts::RETRY_FULL_S;
+use mio::unix::SourceFd;
+use mio::{Events, Interest, Poll, Token};
+use nonblocking::serve_nonblocking;
+use pending_request::PendingRequest;
+use response::Response;
+use std::io;
+use std::net::{TcpListener, TcpStream};
+use std::os::fd::AsRawFd as _;
+use std::sync::Arc;
+use std::time::Instant;
+
+/// Waits for connections and their requests for ever.
+pub struct HttpServer {
+    poll: Poll,
+    listener: TcpListener,
+    handler: Arc<Handler>,
+    worker_pool: Arc<Pool<PendingRequest>>,
+    user_pool: Arc<Pool<PendingRequest>>,
+}
+
+impl HttpServer {
+    /// A server over a listener that is bound already.
+    pub fn new(
+        listener: TcpListener,
+        inbox: &Inbox,
+        authority: &Authority,
+        bounds: Bounds,
+    ) -> io::Result<Self> {
+        listener.set_nonblocking(true)?;
+        let poll = Poll::new()?;
+        let registry = poll.registry().try_clone()?;
+        registry.register(&mut SourceFd(&listener.as_raw_fd()), LISTENER, Interest::READABLE)?;
+        let handler = Arc::new(Handler::new(registry, inbox.clone(), authority.clone(), bounds));
+        let pool = |name, threads| {
+            let handler = handler.clone();
+            // A connection has one request at a time, so these are never more
+            // than there are connections.
+            Arc::new(Pool::new(name, threads, bounds.most, move |pending| handler.serve(pending)))
+        };
+        let worker_pool = pool("report", bounds.report_threads);
+        let user_pool = pool("user", bounds.user_threads);
+        Ok(Self { poll, listener, handler, worker_pool, user_pool })
+    }
+
+    /// Serves for ever.
+    pub fn run(mut self) {
+        let mut events = Events::with_capacity(FRONT_EVENTS);
+        let mut next_sweep = Instant::now() + SWEEP_TIME;
+        loop {
+            self.wait_for(&mut events);
+            self.serve_events(&events);
+            if Instant::now() >= next_sweep {
+                next_sweep = Instant::now() + SWEEP_TIME;
+                self.handler.connections().close_idle(self.handler.bounds.idle);
+                // The poll is edge-triggered: a listener that failed for want of
+                // sockets must be tried again.
+                self.accept_all();
+            }
+        }
+    }
+
+    fn wait_for(&mut self, events: &mut Events) {
+        let Err(error) = self.poll.poll(events, Some(SWEEP_TIME)) else { return };
+        if error.kind() != io::ErrorKind::Interrupted {
+            tracing::error!(%error, "event=poll_failed");
+            std::thread::sleep(ACCEPT_RETRY);
+        }
+    }
+
+    fn serve_events(&self, events: &Events) {
+        let mut listener_ready = false;
+        for event in events {
+            match event.token() {
+                LISTENER => listener_ready = true,
+                token => self.serve_ready(token),
+            }
+        }
+        if listener_ready {
+            self.accept_all();
+        }
+    }
+
+    fn accept_all(&self) {
+        loop {
+            match self.listener.accept() {
+                Ok((stream, _)) => self.admit(stream),
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return,
+            }
+        }
+    }
+
+    fn admit(&self, stream: TcpStream) {
+        let most = self.handler.bounds.most;
+        let open = self.handler.connections().open();
+        // A few more than the bound are let in, for one answer each: a worker is
+        // heard and let go, a user told to come back.
+        if open >= most && !self.handler.connections().evict_idle_user() && open >= most + GUESTS {
+            return;
+        }
+        let Ok(connection) = Connection::new(stream) else { return };
+        let fd = connection.fd();
+        let mut connections = self.handler.connections();
+        let slot = connections.insert(connection);
+        let token = connections.token(slot);
+        let registry = &self.handler.registry;
+        if registry.register(&mut SourceFd(&fd), token, Interest::READABLE).is_err() {
+            connections.remove(slot);
+        }
+    }
+
+    /// A connection has become readable.
+    fn serve_ready(&self, token: Token) {
+        let Some(ready) = self.handler.connections().take_ready(token) else { return };
+        let Some(pending) = self.classify(ready) else { return };
+        match pending.client {
+            ClientKind::Worker => {
+                let left = serve_nonblocking(&self.handler, &self.worker_pool, pending);
+                if let Some(pending) = left {
+                    self.submit(&self.worker_pool, pending);
+                }
+            }
+            ClientKind::User | ClientKind::Unknown => self.submit(&self.user_pool, pending),
+        }
+    }
+
+    /// Tells by its first request who is at the other end; nothing if it has closed.
+    fn classify(&self, ready: Ready) -> Option<PendingRequest> {
+        let Ready { slot, mut connection, mut client } = ready;
+        if client == ClientKind::Unknown {
+            client = match connection.peek_is_worker() {
+                Some(true) => ClientKind::Worker,
+                Some(false) => ClientKind::User,
+                None => {
+                    self.handler.connections().remove(slot);
+                    return None;
+                }
+            };
+        }
+        Some(PendingRequest::new(slot, connection, client))
+    }
+
+    fn submit(&self, pool: &Pool<PendingRequest>, pending: PendingRequest) {
+        if let Err(pending) = pool.submit(pending) {
+            refuse(pending.connection);
+            self.handler.connections().remove(pending.slot);
+        }
+    }
+}
+
+fn refuse(mut connection: Connection) {
+    let response = Response::retry_later(503, RETRY_FULL_S, "too many connections");
+    // What was sent already is read first: unread, it would have the system
+    // reset the connection before our answer is through.
+    connection.drain();
+    let _ = connection.respond(response.head(true), &response.body);
+}
+
+#[cfg(test)]
+#[path = "../tests/server.rs"]
+mod tests;
--- /dev/null
+++ b/src/server/nonblocking.rs
@@ -0,0 +1,78 @@
+//! Serves heartbeats and health checks that have arrived whole, without a pool's thread.
+
+use super::handler::Handler;
+use super::pending_request::{PendingRequest, UnsentResponse};
+use super::response::Response;
+use super::worker_routes;
+use crate::http::{ReadError, Request, encode_response};
+use crate::pool::Pool;
+use std::sync::Arc;
+use std::time::Instant;
+
+/// Serves a worker's request that has arrived whole, blocking nowhere; otherwise gives
+/// it back, for a thread to serve.
+pub fn serve_nonblocking(
+    handler: &Arc<Handler>,
+    pool: &Arc<Pool<PendingRequest>>,
+    mut pending: PendingRequest,
+) -> Option<PendingRequest> {
+    match pending.connection.try_read_request() {
+        Ok(Some(request)) => ask(handler, pool, pending, request),
+        // The poll's event was an old one.
+        Ok(None) if !pending.connection.has_unread() => {
+            handler.wait_for_next(pending);
+            None
+        }
+        Ok(None) | Err(ReadError::Malformed | ReadError::TooLarge) => Some(pending),
+        Err(_) => {
+            handler.connections().remove(pending.slot);
+            None
+        }
+    }
+}
+
+/// Asks what the request asks, if the core answers that at once; the event loop's
+/// thread sends the response.
+fn ask(
+    handler: &Arc<Handler>,
+    pool: &Arc<Pool<PendingRequest>>,
+    mut pending: PendingRequest,
+    request: Request,
+) -> Option<PendingRequest> {
+    let Some(Ok(question)) = worker_routes::route(&request, &request.path) else {
+        pending.request = Some(request);
+        return Some(pending);
+    };
+    let asked = Instant::now();
+    let inbox = handler.inbox.clone();
+    let (handler, pool) = (handler.clone(), pool.clone());
+    let then = move |answer| {
+        let response = handler.response(asked, answer);
+        let close = request.close || handler.closes_after_response(pending.client);
+        respond(&handler, &pool, pending, &response, close);
+    };
+    inbox.ask_then(question, Box::new(then));
+    None
+}
+
+/// Sends a response without blocking; what the socket doesn't take at once is left to a
+/// pool's thread.
+fn respond(
+    handler: &Handler,
+    pool: &Pool<PendingRequest>,
+    mut pending: PendingRequest,
+    response: &Response,
+    close: bool,
+) {
+    let mut bytes = encode_response(response.head(close), &response.body);
+    match pending.connection.try_send(&bytes) {
+        Ok(sent) if sent < bytes.len() => {
+            pending.unsent = Some(UnsentResponse { bytes: bytes.split_off(sent), close });
+            if let Err(pending) = pool.submit(pending) {
+                handler.connections().remove(pending.slot);
+            }
+        }
+        Ok(_) if !close => handler.wait_for_next(pending),
+        _ => handler.connections().remove(pending.slot),
+    }
+}
--- /dev/null
+++ b/src/server/response.rs
@@ -0,0 +1,71 @@
+//! Responses: the core's answers as HTTP status, headers and CBOR body.
+
+use crate::http::ResponseHead;
+use marblebarrow_core::event::Answer;
+use marblebarrow_proto::cbor;
+use marblebarrow_proto::ids::JobId;
+use marblebarrow_proto::wire::{Elsewhere, UnknownDependencies};
+use serde::Serialize;
+
+/// What goes back over HTTP.
+pub struct Response {
+    /// HTTP status.
+    pub status: u16,
+    /// Seconds after which to try again.
+    pub retry_after: Option<u32>,
+    /// CBOR body.
+    pub body: Vec<u8>,
+}
+
+#[derive(Serialize)]
+struct ErrorBody<'a> {
+    error: &'a str,
+}
+
+impl Response {
+    /// A status with an `error` that says why.
+    pub fn error(status: u16, reason: &str) -> Self {
+        Self::with_body(status, &ErrorBody { error: reason })
+    }
+
+    /// An error that passes: come back after so many seconds.
+    pub fn retry_later(status: u16, seconds: u32, reason: &str) -> Self {
+        Self { retry_after: Some(seconds), ..Self::error(status, reason) }
+    }
+
+    /// 421: the leader is that controller, if it is known.
+    pub fn misdirected(leader: Option<String>) -> Self {
+        Self::with_body(421, &Elsewhere { report_to: leader })
+    }
+
+    /// The core's answer.
+    pub fn from_answer(answer: Answer) -> Self {
+        match answer {
+            Answer::Job(status, job) => Self::with_body(status, &job),
+            Answer::Healthy => Self::error(200, "none"),
+            Answer::Members(members) => Self::with_body(200, &members),
+            Answer::Report(heartbeat) => Self::with_body(200, &heartbeat),
+            Answer::Elsewhere(node) => Self::misdirected(node.map(|n| n.to_string())),
+            Answer::NotFound => Self::error(404, "no such job"),
+            Answer::NeverRuns(reason) => Self::error(422, reason),
+            Answer::UnknownDependencies(waits_on) => Self::unknown_dependencies(waits_on),
+            Answer::Full(seconds) => Self::retry_later(429, seconds, "too much is asked"),
+            Answer::Unavailable(seconds) => Self::retry_later(503, seconds, "can't decide now"),
+        }
+    }
+
+    /// What goes into the head besides the body's length.
+    pub fn head(&self, close: bool) -> ResponseHead {
+        ResponseHead { status: self.status, retry_after: self.retry_after, close }
+    }
+
+    /// 422 naming the DAG dependencies that were never accepted.
+    fn unknown_dependencies(waits_on: Vec<JobId>) -> Self {
+        let error = "names jobs that were never accepted".to_owned();
+        Self::with_body(422, &UnknownDependencies { error, waits_on })
+    }
+
+    fn with_body(status: u16, body: &impl Serialize) -> Self {
+        Self { status, retry_after: None, body: cbor::encode(body) }
+    }
+}
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -1,23 +1,27 @@
-//! Requests of the state service over HTTP, and what their answers mean.
+//! Requests of the key-value store over HTTP, and what their answers mean.
 
-use crate::http::{CallError, Client};
+use crate::http::{CallError, Client, ClientResponse};
 use crate::limits::{STORE_TIME, TOUCH_TIME};
 use marblebarrow_core::consts::PAGE_LIMIT;
 use marblebarrow_core::event::{StoreRequest, StoreResult};
 use marblebarrow_proto::cbor;
 use marblebarrow_proto::wire::{GrantAsk, GrantGiven, TxnAnswer};
 
-/// Makes a request of the state service and reads its answer.
-pub fn store_call(client: &mut Client, req: &StoreRequest) -> StoreResult {
-    let answer = match req {
+/// Makes a request of the store and reads its answer.
+pub fn store_call(client: &mut Client, request: &StoreRequest) -> StoreResult {
+    match send(client, request) {
+        Ok(response) => read_response(request, &response),
+        Err(CallError::NotSent) => StoreResult::Refused,
+        Err(CallError::Unknown | CallError::Unreadable) => StoreResult::Unknown,
+    }
+}
+
+fn send(client: &mut Client, request: &StoreRequest) -> Result<ClientResponse, CallError> {
+    match request {
         StoreRequest::Commit(txn) => client.call("POST", "/commit", &cbor::encode(txn), STORE_TIME),
         StoreRequest::Get(key) => client.call("GET", &format!("/store/{key}"), &[], STORE_TIME),
         StoreRequest::Range { prefix, after } => {
-            let mut path = format!("/store?under={prefix}&limit={PAGE_LIMIT}");
-            if !after.is_empty() {
-                path += &format!("&after={after}");
-            }
-            client.call("GET", &path, &[], STORE_TIME)
+            client.call("GET", &range_path(prefix, after), &[], STORE_TIME)
         }
         StoreRequest::Grant(ttl_ms) => {
             let body = cbor::encode(&GrantAsk { ttl_ms: *ttl_ms });
@@ -29,27 +33,31 @@
         StoreRequest::Revoke(grant) => {
             client.call("DELETE", &format!("/grants/{grant}"), &[], TOUCH_TIME)
         }
-    };
-    let (status, body) = match answer {
-        Ok(a) => a,
-        Err(CallError::NotSent) => return StoreResult::Refused,
-        Err(CallError::Unknown | CallError::Unreadable) => return StoreResult::Unknown,
-    };
-    match (req, status) {
+    }
+}
+
+fn range_path(prefix: &str, after: &str) -> String {
+    let first_page = format!("/store?under={prefix}&limit={PAGE_LIMIT}");
+    if after.is_empty() { first_page } else { format!("{first_page}&after={after}") }
+}
+
+fn read_response(request: &StoreRequest, response: &ClientResponse) -> StoreResult {
+    let body = &response.body;
+    match (request, response.status) {
         (_, 429 | 503) => StoreResult::Refused,
-        (StoreRequest::Commit(_), 200) => cbor::decode::<TxnAnswer>(&body)
-            .map_or(StoreResult::Unknown, |a| StoreResult::Committed(a.revision)),
-        (StoreRequest::Commit(_), 409) => cbor::decode::<TxnAnswer>(&body)
-            .map_or(StoreResult::Unknown, |a| StoreResult::Conflict(a.failed)),
+        (StoreRequest::Commit(_), 200) => cbor::decode::<TxnAnswer>(body)
+            .map_or(StoreResult::Unknown, |answer| StoreResult::Committed(answer.revision)),
+        (StoreRequest::Commit(_), 409) => cbor::decode::<TxnAnswer>(body)
+            .map_or(StoreResult::Unknown, |answer| StoreResult::Conflict(answer.failed)),
         (StoreRequest::Get(_), 200) => {
-            cbor::decode(&body).map_or(StoreResult::Unknown, |i| StoreResult::Value(Some(i)))
+            cbor::decode(body).map_or(StoreResult::Unknown, |item| StoreResult::Value(Some(item)))
         }
         (StoreRequest::Get(_), 404) => StoreResult::Value(None),
         (StoreRequest::Range { .. }, 200) => {
-            cbor::decode(&body).map_or(StoreResult::Unknown, StoreResult::Page)
+            cbor::decode(body).map_or(StoreResult::Unknown, StoreResult::Page)
         }
-        (StoreRequest::Grant(_), 200) => cbor::decode::<GrantGiven>(&body)
-            .map_or(StoreResult::Unknown, |g| StoreResult::Granted(g.grant)),
+        (StoreRequest::Grant(_), 200) => cbor::decode::<GrantGiven>(body)
+            .map_or(StoreResult::Unknown, |given| StoreResult::Granted(given.grant)),
         (StoreRequest::Touch(_) | StoreRequest::Revoke(_), 404) => StoreResult::NoGrant,
         (StoreRequest::Touch(_) | StoreRequest::Revoke(_), 200..=299) => StoreResult::Touched,
         (_, 400..=499) => StoreResult::Rejected,
--- a/src/tests/server.rs
+++ b/src/tests/server.rs
@@ -1,6 +1,9 @@
 use super::*;
+use crate::event_queue::Ask;
+use marblebarrow_core::event::{Answer, UserRequest};
 use std::io::{Read as _, Write as _};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 // The owner's stand-in refuses all but health checks.
 fn front(most: usize) -> SocketAddr {
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -127,12 +127,12 @@
         let path = format!("/watch?under={WATCHED}&after={after}&block_ms={block_ms}");
         let sent = self.clock.now();
         match self.client.call("GET", &path, &[], block + self.timing.slack) {
-            Ok((200, body)) => {
+            Ok(response) if response.status == 200 => {
                 let answer: WatchAnswer =
-                    cbor::decode(&body).map_err(|_| WatchError::Unreadable)?;
+                    cbor::decode(&response.body).map_err(|_| WatchError::Unreadable)?;
                 self.take(sent, after, answer).map(Some)
             }
-            Ok((410, _)) => Ok(None),
+            Ok(response) if response.status == 410 => Ok(None),
             Err(CallError::Unreadable) => Err(WatchError::Unreadable),
             _ => Err(WatchError::NoAnswer),
         }
