--- a/src/cells.rs
+++ b/src/cells.rs
@@ -1,8 +1,11 @@
 //! The link to other cells: gRPC, its runtime on one thread at the edge. It keeps no state of
 //! transfers: every request may be lost or repeated.
 
-use crate::event_queue::{CellAnswer, Inbox, Message};
-use crate::limits::*;
+use crate::event_queue::{CellAnswer, EventSender, QueueMessage};
+use crate::limits::{
+    CELL_ANSWER_TIMEOUT, CELL_CALLS_MAX, CELL_FRAME_BYTES, CELL_QUEUE_LEN, CELL_TIMEOUT,
+    CONNECT_TIMEOUT,
+};
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest, OfferReply};
 use marblebarrow_cells::rpc::{error_of, lost_cell_in};
 use marblebarrow_cells::settings::{CellsSettings, OtherCell};
@@ -27,32 +30,32 @@
     request: CellRequest,
 }
 
-/// The way to the other cells.
+/// The link to the other cells.
 #[derive(Debug)]
 pub struct CellLink {
     cells: BTreeMap<CellName, mpsc::Sender<Outgoing>>,
 }
 
 impl CellLink {
-    /// Starts the thread that speaks with them.
-    pub fn start(settings: &CellsSettings, inbox: &Inbox) -> std::io::Result<Self> {
+    /// Starts the thread that serves them and calls them.
+    pub fn start(settings: &CellsSettings, events: &EventSender) -> std::io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let listener = std::net::TcpListener::bind(settings.listen)?;
         listener.set_nonblocking(true)?;
         let mut cells = BTreeMap::new();
-        let mut lines = Vec::new();
+        let mut queues = Vec::new();
         for other in &settings.others {
-            let (tx, rx) = mpsc::channel(CELL_QUEUE);
-            cells.insert(other.name.clone(), tx);
-            lines.push((other.clone(), rx));
+            let (sender, receiver) = mpsc::channel(CELL_QUEUE_LEN);
+            cells.insert(other.name.clone(), sender);
+            queues.push((other.clone(), receiver));
         }
-        let (inbox, message_bytes) = (inbox.clone(), settings.message_bytes);
+        let (events, message_bytes) = (events.clone(), settings.message_bytes);
         crate::thread::spawn("cells", move || {
             runtime.block_on(async move {
-                for (other, rx) in lines {
-                    tokio::spawn(speak(other, rx, inbox.clone(), message_bytes));
+                for (other, queue) in queues {
+                    tokio::spawn(call_cell(other, queue, events.clone(), message_bytes));
                 }
-                serve(listener, inbox, message_bytes).await;
+                serve(listener, events, message_bytes).await;
             });
         })?;
         Ok(Self { cells })
@@ -60,7 +63,7 @@
 
     /// Hands over a request; the event is its answer if it can't be taken.
     pub fn send(&self, op: OpId, cell: &CellName, request: CellRequest) -> Option<Event> {
-        let sent = self.cells.get(cell).map(|tx| tx.try_send(Outgoing { op, request }));
+        let sent = self.cells.get(cell).map(|queue| queue.try_send(Outgoing { op, request }));
         match sent {
             Some(Ok(())) => None,
             _ => Some(Event::CellAnswer(op, Err(CellError::NoAnswer))),
@@ -68,16 +71,16 @@
     }
 }
 
-async fn serve(listener: std::net::TcpListener, inbox: Inbox, message_bytes: usize) {
+async fn serve(listener: std::net::TcpListener, events: EventSender, message_bytes: usize) {
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-    let service = CellsServer::new(Service { inbox, malformed: Arc::default() })
+    let service = CellsServer::new(CellService { events, malformed: Arc::default() })
         .max_decoding_message_size(message_bytes)
         .max_encoding_message_size(message_bytes);
     let served = tonic::transport::Server::builder()
-        .timeout(CELL_ANSWER_TIME)
-        .concurrency_limit_per_connection(CELL_CALLS)
-        .max_concurrent_streams(Some(CELL_CALLS as u32))
-        .max_frame_size(Some(CELL_FRAME))
+        .timeout(CELL_ANSWER_TIMEOUT)
+        .concurrency_limit_per_connection(CELL_CALLS_MAX)
+        .max_concurrent_streams(Some(CELL_CALLS_MAX as u32))
+        .max_frame_size(Some(CELL_FRAME_BYTES))
         .add_service(service)
         .serve_with_incoming(tonic::transport::server::TcpIncoming::from(listener))
         .await;
@@ -88,10 +91,10 @@
 
 /// One cell's requests, several at once. A controller that isn't the leader, or doesn't
 /// answer, is left for the next.
-async fn speak(
+async fn call_cell(
     other: OtherCell,
     mut requests: mpsc::Receiver<Outgoing>,
-    inbox: Inbox,
+    events: EventSender,
     message_bytes: usize,
 ) {
     let clients: Vec<CellsClient<Channel>> =
@@ -100,25 +103,29 @@
         return;
     }
     let cell = other.name;
-    let at = Arc::new(AtomicU64::new(0));
-    let slots = Arc::new(tokio::sync::Semaphore::new(CELL_CALLS));
+    let next_controller = Arc::new(AtomicU64::new(0));
+    let permits = Arc::new(tokio::sync::Semaphore::new(CELL_CALLS_MAX));
     while let Some(Outgoing { op, request }) = requests.recv().await {
-        let Ok(slot) = slots.clone().acquire_owned().await else { return };
-        let turn = at.load(Ordering::Relaxed);
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
+        let turn = next_controller.load(Ordering::Relaxed);
         let client = clients[(turn % clients.len() as u64) as usize].clone();
-        let (at, inbox) = (at.clone(), inbox.clone());
+        let (next_controller, events) = (next_controller.clone(), events.clone());
         let span = tracing::debug_span!("cell_call", %cell, op = op.0);
         let call = async move {
             let answer = call(client, &request).await;
             if matches!(answer, Err(CellError::NotLeader | CellError::NoAnswer)) {
-                // Others may have moved on already.
-                let next = (turn, turn + 1);
-                let _ = at.compare_exchange(next.0, next.1, Ordering::Relaxed, Ordering::Relaxed);
+                // Fails if another call has moved on to the next controller already.
+                let _ = next_controller.compare_exchange(
+                    turn,
+                    turn + 1,
+                    Ordering::Relaxed,
+                    Ordering::Relaxed,
+                );
             }
             tracing::debug!(outcome = outcome(&answer), "event=cell_answered");
             let event = Event::CellAnswer(op, answer.map(Box::new));
-            inbox.offer(Message::Event(event));
-            drop(slot);
+            events.try_send(QueueMessage::Event(event));
+            drop(permit);
         };
         tokio::spawn(call.instrument(span));
     }
@@ -126,7 +133,7 @@
 
 fn client(addr: SocketAddr, message_bytes: usize) -> Option<CellsClient<Channel>> {
     let endpoint = Endpoint::from_shared(format!("http://{addr}")).ok()?;
-    let channel = endpoint.connect_timeout(CONNECT_TIME).timeout(CELL_TIME).connect_lazy();
+    let channel = endpoint.connect_timeout(CONNECT_TIMEOUT).timeout(CELL_TIMEOUT).connect_lazy();
     let client = CellsClient::new(channel);
     Some(client.max_decoding_message_size(message_bytes).max_encoding_message_size(message_bytes))
 }
@@ -159,19 +166,19 @@
     }
 }
 
-struct Service {
-    inbox: Inbox,
-    /// Requests refused before the owner saw them.
+struct CellService {
+    events: EventSender,
+    /// Requests refused before the event loop saw them.
     malformed: Arc<AtomicU64>,
 }
 
-impl Service {
+impl CellService {
     async fn ask(&self, request: Result<CellRequest, CellError>) -> Result<CellReply, Status> {
         let request = request.inspect_err(|_| {
             self.malformed.fetch_add(1, Ordering::Relaxed);
         })?;
         let (reply, answer) = oneshot::channel::<CellAnswer>();
-        if !self.inbox.offer(Message::Cell(Box::new(request), reply)) {
+        if !self.events.try_send(QueueMessage::CellRequest { request: Box::new(request), reply }) {
             return Err(CellError::Busy.into());
         }
         let answer = answer.await.unwrap_or(Err(CellError::Busy))?;
@@ -180,7 +187,7 @@
 }
 
 #[tonic::async_trait]
-impl Cells for Service {
+impl Cells for CellService {
     async fn exchange(
         &self,
         request: Request<ExchangeRequest>,
--- a/src/cells_cli.rs
+++ b/src/cells_cli.rs
@@ -1,6 +1,6 @@
 //! Operators' commands on cells: what a cell knows of the others, and a cell's loss.
 
-use crate::limits::{CELL_TIME, CONNECT_TIME};
+use crate::limits::{CELL_TIMEOUT, CONNECT_TIMEOUT};
 use marblebarrow_cells::wire::cells_client::CellsClient;
 use marblebarrow_cells::wire::*;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 async fn connect(server: SocketAddr) -> Result<CellsClient<Channel>, String> {
     let endpoint = Endpoint::from_shared(format!("http://{server}"));
     let endpoint = endpoint.map_err(|error| error.to_string())?;
-    let endpoint = endpoint.connect_timeout(CONNECT_TIME).timeout(CELL_TIME);
+    let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).timeout(CELL_TIMEOUT);
     let channel = endpoint.connect().await.map_err(|_| format!("no answer from {server}"))?;
     Ok(CellsClient::new(channel))
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,63 +1,85 @@
 //! A controller: builds its parts from the settings, connects them and runs them.
 
-use crate::limits::*;
+use crate::authority::Authority;
+use crate::cells::CellLink;
+use crate::clock::Clock;
+use crate::event_loop::EventLoop;
+use crate::event_queue::{self, EventSender};
+use crate::limits::{IDLE_HEARTBEATS, IDLE_TIMEOUT, LISTEN_BACKLOG, ResourceShares};
+use crate::links::{CloudLink, Links, StoreLink, WorkerLink};
+use crate::peers::Peers;
+use crate::server::{Bounds, HttpServer};
 use crate::settings::Settings;
-use crate::{authority, cells, clock, event_queue, limits, links, owner, peers, server, thread};
+use crate::thread;
 use socket2::{Domain, Socket, Type};
+use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
 /// Serves until killed.
-pub fn serve(mut settings: Settings) -> std::io::Result<()> {
-    let (inbox, rx) = event_queue::Inbox::channel();
-    let clock = clock::Clock::start();
-    let authority = authority::Authority::default();
+pub fn serve(mut settings: Settings) -> io::Result<()> {
+    let (events, event_receiver) = event_queue::channel();
+    let clock = Clock::start();
+    let authority = Authority::default();
     let listener = listen(settings.listen)?;
-    let room = limits::Room::of(settings.memory_mb, settings.max_sockets);
-    settings.facts.direct_most = room.direct_threads;
+    let shares = ResourceShares::of(settings.memory_mb, settings.max_sockets);
+    settings.facts.direct_most = shares.command_threads;
     settings.facts.log = tracing::enabled!(tracing::Level::DEBUG);
-    let idle = IDLE_TIME.max(Duration::from_secs_f64(settings.facts.report_s * IDLE_REPORTS));
-    let watch_timing = settings.facts.watch_timing();
-    let links = links::Links {
-        store: links::StoreLink::start(settings.state, &inbox, clock, watch_timing)?,
-        cloud: links::CloudLink::start(settings.cloud, &inbox, &authority)?,
-        workers: links::WorkerLink::new(&inbox, &authority, room.direct_threads),
-        cells: match &settings.facts.cells {
-            Some(settings) => Some(cells::CellLink::start(settings, &inbox)?),
-            None => None,
-        },
-        peers: peers::Peers::start(
-            settings.facts.node.clone(),
-            settings.peer_listen,
-            settings.others.clone(),
-            inbox.clone(),
-        )?,
-    };
-    let bounds = server::Bounds {
-        most: room.connections,
-        user_threads: room.user_threads,
-        report_threads: room.report_threads,
-        idle,
-    };
+    let links = start_links(&settings, &events, clock, &authority, shares)?;
+    let bounds = bounds(shares, settings.facts.report_s);
     tracing::info!(
         node = %settings.facts.node,
         listen = %settings.listen,
-        connections = bounds.most,
-        direct = room.direct_threads,
+        connections = bounds.connections,
+        direct = shares.command_threads,
         "event=start"
     );
-    let front = server::HttpServer::new(listener, &inbox, &authority, bounds)?;
-    thread::spawn("front", move || front.run())?;
-    owner::Owner::new(settings.facts, rx, links, authority, clock).run();
+    let server = HttpServer::new(listener, &events, &authority, bounds)?;
+    thread::spawn("front", move || server.run())?;
+    EventLoop::new(settings.facts, event_receiver, links, authority, clock).run();
     Ok(())
 }
 
+fn start_links(
+    settings: &Settings,
+    events: &EventSender,
+    clock: Clock,
+    authority: &Authority,
+    shares: ResourceShares,
+) -> io::Result<Links> {
+    let facts = &settings.facts;
+    let store = StoreLink::start(settings.state, events, clock, facts.watch_timing())?;
+    let cloud = CloudLink::start(settings.cloud, events, authority)?;
+    let workers = WorkerLink::new(events, authority, shares.command_threads);
+    let cells = match &facts.cells {
+        Some(cells) => Some(CellLink::start(cells, events)?),
+        None => None,
+    };
+    let peers = Peers::start(
+        facts.node.clone(),
+        settings.peer_listen,
+        settings.others.clone(),
+        events.clone(),
+    )?;
+    Ok(Links { store, cloud, workers, peers, cells })
+}
+
+fn bounds(shares: ResourceShares, heartbeat_s: f64) -> Bounds {
+    let heartbeats = Duration::from_secs_f64(heartbeat_s * IDLE_HEARTBEATS);
+    Bounds {
+        connections: shares.connections,
+        user_threads: shares.user_threads,
+        worker_threads: shares.worker_threads,
+        idle_timeout: IDLE_TIMEOUT.max(heartbeats),
+    }
+}
+
 /// Listens as the standard library does, with room for more to wait: a whole
 /// fleet may come at once.
-fn listen(addr: SocketAddr) -> std::io::Result<TcpListener> {
+fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
--- a/src/event_queue.rs
+++ b/src/event_queue.rs
@@ -1,214 +1,246 @@
-//! The bounded queue to the thread that owns all state: its sender, its receiver, and what
-//! travels in it.
+//! The bounded queue to the event loop: its sender, its receiver, and what travels in it.
 
-use crate::limits::*;
+use crate::limits::{
+    EVENT_BATCH, EVENT_QUEUE_LEN, PRIORITY_QUEUE_LEN, QUEUE_LEN_FOR_POLLS,
+    QUEUE_LEN_FOR_SUBMISSIONS,
+};
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest};
 use marblebarrow_core::consts::{RETRY_FULL_S, RETRY_STORE_S};
 use marblebarrow_core::event::{Answer, Event, PledgeAnswer, UserRequest};
 use marblebarrow_proto::ids::{JobId, NodeId};
 use marblebarrow_proto::wire::Report;
+use std::fmt;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError, sync_channel};
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A question from outside.
+/// A question from outside that the core answers.
 #[derive(Debug)]
-pub enum Ask {
-    /// A user's.
+pub enum Question {
+    /// A user's request.
     User(UserRequest),
-    /// A worker's report.
-    Report(Box<Report>),
-    /// An operator's: which controllers run what.
+    /// A worker's heartbeat (the wire's report).
+    Heartbeat(Box<Report>),
+    /// An operator's: which controllers run which version.
     Members,
 }
 
-/// Who waits for an answer.
-pub enum Asker {
-    /// A thread.
-    Thread(SyncSender<Answer>),
-    /// Nobody: the owner's thread does this with it, and must not be kept by it.
-    Then(Box<dyn FnOnce(Answer) + Send>),
+impl Question {
+    /// How many messages may wait already for this one to be taken: submissions are
+    /// refused first, heartbeats last.
+    fn queue_limit(&self) -> usize {
+        match self {
+            Self::Heartbeat(_) | Self::User(UserRequest::Health) | Self::Members => EVENT_QUEUE_LEN,
+            Self::User(UserRequest::Submit(_)) => QUEUE_LEN_FOR_SUBMISSIONS,
+            Self::User(UserRequest::Poll(_) | UserRequest::Cancel(_)) => QUEUE_LEN_FOR_POLLS,
+        }
+    }
+}
+
+/// What is called with an answer.
+pub type Callback = Box<dyn FnOnce(Answer) + Send>;
+
+/// Where the answer to a question goes.
+pub enum Responder {
+    /// To a thread that waits.
+    Channel(SyncSender<Answer>),
+    /// To a callback on the event loop's thread, which it must not block.
+    Callback(Callback),
 }
 
-impl Asker {
-    /// Hands over the answer; never waits.
-    pub fn tell(self, answer: Answer) {
+impl Responder {
+    /// Hands over the answer; never blocks.
+    pub fn respond(self, answer: Answer) {
         match self {
-            // The asker may have given up: then there is nobody to tell.
-            Self::Thread(tx) => {
-                let _ = tx.try_send(answer);
+            // The thread may have given up waiting: then nobody needs the answer.
+            Self::Channel(sender) => {
+                let _ = sender.try_send(answer);
             }
-            Self::Then(then) => then(answer),
+            Self::Callback(callback) => callback(answer),
         }
     }
 }
 
-impl std::fmt::Debug for Asker {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(if matches!(self, Self::Thread(_)) { "Thread" } else { "Then" })
+impl fmt::Debug for Responder {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(if matches!(self, Self::Channel(_)) { "Channel" } else { "Callback" })
     }
 }
 
 /// What another cell is answered.
 pub type CellAnswer = Result<Box<CellReply>, CellError>;
 
-/// What waits for the owner.
+/// What waits for the event loop.
 #[derive(Debug)]
-pub enum Message {
+pub enum QueueMessage {
     /// A question, and where its answer goes.
-    Ask(Ask, Asker),
+    Question {
+        /// The question.
+        question: Question,
+        /// Where the answer goes.
+        responder: Responder,
+    },
     /// A pledge request of another controller.
-    Pledge {
+    PledgeRequest {
         /// Who asks.
         from: NodeId,
         /// Its term.
         term: u64,
-        /// Its copy of the store is whole up to here.
+        /// Its copy of the store is complete up to this revision.
         revision: u64,
         /// It was told of jobs up to this one already.
         after: Option<JobId>,
         /// Where the answer goes.
         reply: oneshot::Sender<PledgeAnswer>,
     },
-    /// A request of another cell, or of an operator, and where its answer goes.
-    Cell(Box<CellRequest>, oneshot::Sender<CellAnswer>),
+    /// A request of another cell, or of an operator.
+    CellRequest {
+        /// The request.
+        request: Box<CellRequest>,
+        /// Where the answer goes.
+        reply: oneshot::Sender<CellAnswer>,
+    },
     /// Anything else.
     Event(Event),
-    /// Something urgent waits.
-    Wake,
+    /// A priority event waits in its own queue.
+    WakeUp,
 }
 
-/// The way to the owner.
+impl QueueMessage {
+    fn is_submission(&self) -> bool {
+        let Self::Question { question, .. } = self else { return false };
+        matches!(question, Question::User(UserRequest::Submit(_)))
+    }
+}
+
+/// What the event loop handles at once.
+#[derive(Debug)]
+pub struct Batch {
+    /// Events that go before all others.
+    pub priority: Vec<Event>,
+    /// The others as they came, submissions last.
+    pub messages: Vec<QueueMessage>,
+}
+
+/// The sending end.
 #[derive(Clone, Debug)]
-pub struct Inbox {
-    tx: SyncSender<Message>,
-    urgent: SyncSender<Event>,
+pub struct EventSender {
+    messages: SyncSender<QueueMessage>,
+    priority: SyncSender<Event>,
     depth: Arc<AtomicUsize>,
 }
 
-/// The owner's end of its queue.
+/// The event loop's end.
 #[derive(Debug)]
-pub struct Outbox {
-    rx: Receiver<Message>,
-    urgent: Receiver<Event>,
+pub struct EventReceiver {
+    messages: Receiver<QueueMessage>,
+    priority: Receiver<Event>,
     depth: Arc<AtomicUsize>,
 }
 
-impl Outbox {
-    /// Answers each question by itself, as a stand-in for the owner.
+/// A queue's two ends.
+pub fn channel() -> (EventSender, EventReceiver) {
+    let (messages_in, messages_out) = sync_channel(EVENT_QUEUE_LEN);
+    let (priority_in, priority_out) = sync_channel(PRIORITY_QUEUE_LEN);
+    let depth = Arc::new(AtomicUsize::new(0));
+    let sender = EventSender { messages: messages_in, priority: priority_in, depth: depth.clone() };
+    let receiver = EventReceiver { messages: messages_out, priority: priority_out, depth };
+    (sender, receiver)
+}
+
+impl EventReceiver {
+    /// Answers each question by itself, as a stand-in for the event loop.
     #[cfg(test)]
-    pub fn serve_each(self, answer: impl Fn(&Ask) -> Answer) {
-        while let Ok(m) = self.rx.recv() {
-            if let Message::Ask(ask, asker) = self.took(m) {
-                asker.tell(answer(&ask));
+    pub fn serve_each(self, answer: impl Fn(&Question) -> Answer) {
+        while let Ok(message) = self.messages.recv() {
+            if let QueueMessage::Question { question, responder } = self.received(message) {
+                responder.respond(answer(&question));
             }
         }
     }
 
-    /// What came, once something has or the time is over: what is urgent first, then
-    /// the rest as it came, with submissions last. `None`: nobody is left to tell.
-    pub fn batch(&self, wait: Duration) -> Option<(Vec<Event>, Vec<Message>)> {
-        let first = match self.rx.recv_timeout(wait) {
-            Ok(m) => Some(self.took(m)),
-            Err(RecvTimeoutError::Timeout) => None,
+    /// What has come, once something has or `timeout` is over. `None`: no sender is left.
+    pub fn next_batch(&self, timeout: Duration) -> Option<Batch> {
+        let mut messages = Vec::new();
+        match self.messages.recv_timeout(timeout) {
+            Ok(first) => messages.push(self.received(first)),
+            Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return None,
-        };
-        let mut batch: Vec<Message> = first.into_iter().collect();
-        while batch.len() < BATCH
-            && let Ok(m) = self.rx.try_recv()
+        }
+        while messages.len() < EVENT_BATCH
+            && let Ok(message) = self.messages.try_recv()
         {
-            batch.push(self.took(m));
+            messages.push(self.received(message));
         }
-        // Polls and reports outrank submissions.
-        let submission =
-            |m: &Message| matches!(m, Message::Ask(Ask::User(UserRequest::Submit(_)), _));
-        batch.sort_by_key(submission);
-        Some((self.urgent.try_iter().collect(), batch))
+        // Polls and heartbeats outrank submissions.
+        messages.sort_by_key(QueueMessage::is_submission);
+        Some(Batch { priority: self.priority.try_iter().collect(), messages })
     }
 
-    fn took(&self, m: Message) -> Message {
+    fn received(&self, message: QueueMessage) -> QueueMessage {
         self.depth.fetch_sub(1, Ordering::Relaxed);
-        m
+        message
     }
 }
 
-impl Inbox {
-    /// A queue and its two ends.
-    pub fn channel() -> (Self, Outbox) {
-        let (tx, rx) = sync_channel(QUEUE);
-        let (urgent, first) = sync_channel(QUEUE_URGENT);
-        let depth = Arc::new(AtomicUsize::new(0));
-        (Self { tx, urgent, depth: depth.clone() }, Outbox { rx, urgent: first, depth })
-    }
-
-    /// Asks and waits. Too full or too slow: says so at once. Room is kept for
-    /// those that outrank: submissions are refused first, reports last.
-    pub fn ask(&self, ask: Ask, wait: Duration) -> Answer {
-        let most = match &ask {
-            Ask::Report(_) | Ask::User(UserRequest::Health) | Ask::Members => QUEUE,
-            Ask::User(UserRequest::Submit(_)) => QUEUE_SUBMIT,
-            Ask::User(_) => QUEUE_POLL,
-        };
-        if self.depth.load(Ordering::Relaxed) >= most {
+impl EventSender {
+    /// Asks and blocks for the answer; says at once if the queue is too full, and after
+    /// `timeout` that there is none.
+    pub fn ask(&self, question: Question, timeout: Duration) -> Answer {
+        if self.depth.load(Ordering::Relaxed) >= question.queue_limit() {
             return Answer::Full(RETRY_FULL_S);
         }
-        let (tx, rx) = sync_channel(1);
-        self.depth.fetch_add(1, Ordering::Relaxed);
-        match self.tx.try_send(Message::Ask(ask, Asker::Thread(tx))) {
-            Ok(()) => rx.recv_timeout(wait).unwrap_or(Answer::Unavailable(RETRY_STORE_S)),
-            Err(e) => {
-                self.depth.fetch_sub(1, Ordering::Relaxed);
-                match e {
-                    TrySendError::Full(_) => Answer::Full(RETRY_FULL_S),
-                    TrySendError::Disconnected(_) => Answer::Unavailable(RETRY_STORE_S),
-                }
-            }
+        let (sender, answer) = sync_channel(1);
+        let responder = Responder::Channel(sender);
+        match self.push(QueueMessage::Question { question, responder }) {
+            Ok(()) => answer.recv_timeout(timeout).unwrap_or(Answer::Unavailable(RETRY_STORE_S)),
+            Err(TrySendError::Full(_)) => Answer::Full(RETRY_FULL_S),
+            Err(TrySendError::Disconnected(_)) => Answer::Unavailable(RETRY_STORE_S),
         }
     }
 
-    /// Asks without waiting: `then` gets the answer, here and now if there is no room.
+    /// Asks without blocking: `callback` gets the answer, here and now if there is no room.
     /// Only for what the core answers at once.
-    pub fn ask_then(&self, ask: Ask, then: Box<dyn FnOnce(Answer) + Send>) {
-        let asker = Asker::Then(then);
-        if self.depth.load(Ordering::Relaxed) >= QUEUE {
-            return asker.tell(Answer::Full(RETRY_FULL_S));
+    pub fn ask_with_callback(&self, question: Question, callback: Callback) {
+        let responder = Responder::Callback(callback);
+        if self.depth.load(Ordering::Relaxed) >= EVENT_QUEUE_LEN {
+            return responder.respond(Answer::Full(RETRY_FULL_S));
         }
-        self.depth.fetch_add(1, Ordering::Relaxed);
-        if let Err(e) = self.tx.try_send(Message::Ask(ask, asker)) {
-            self.depth.fetch_sub(1, Ordering::Relaxed);
-            let (TrySendError::Full(m) | TrySendError::Disconnected(m)) = e;
-            if let Message::Ask(_, asker) = m {
-                asker.tell(Answer::Full(RETRY_FULL_S));
-            }
+        let Err(error) = self.push(QueueMessage::Question { question, responder }) else { return };
+        let (TrySendError::Full(message) | TrySendError::Disconnected(message)) = error;
+        if let QueueMessage::Question { responder, .. } = message {
+            responder.respond(Answer::Full(RETRY_FULL_S));
         }
     }
 
-    /// Tells; waits for room in the queue.
-    pub fn tell(&self, event: Event) {
+    /// Sends an event; blocks while the queue is full.
+    pub fn send(&self, event: Event) {
         self.depth.fetch_add(1, Ordering::Relaxed);
-        if self.tx.send(Message::Event(event)).is_err() {
+        if self.messages.send(QueueMessage::Event(event)).is_err() {
             self.depth.fetch_sub(1, Ordering::Relaxed);
         }
     }
 
-    /// Tells what goes before all that waits already: a leader's grant once ran out
-    /// while the word that it lived on waited behind hundreds of reports.
-    pub fn tell_urgently(&self, event: Event) {
-        if self.urgent.send(event).is_ok() {
-            self.offer(Message::Wake);
+    /// Sends an event that goes before all that waits already: a leader's store lease once
+    /// ran out while the answer that renewed it waited behind hundreds of heartbeats.
+    pub fn send_priority(&self, event: Event) {
+        if self.priority.send(event).is_ok() {
+            self.try_send(QueueMessage::WakeUp);
         }
     }
 
-    /// Tells without waiting; false if there is no room.
-    pub fn offer(&self, message: Message) -> bool {
+    /// Sends without blocking; false if there is no room.
+    pub fn try_send(&self, message: QueueMessage) -> bool {
+        self.push(message).is_ok()
+    }
+
+    fn push(&self, message: QueueMessage) -> Result<(), TrySendError<QueueMessage>> {
         self.depth.fetch_add(1, Ordering::Relaxed);
-        let sent = self.tx.try_send(message).is_ok();
-        if !sent {
+        self.messages.try_send(message).inspect_err(|_| {
             self.depth.fetch_sub(1, Ordering::Relaxed);
-        }
-        sent
+        })
     }
 }
 
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::error::{CallError, ReadError};
 use super::parse::parse_response;
-use crate::limits::{CONNECT_TIME, HEAD_MAX, RESPONSE_MAX, STALE_AFTER};
+use crate::limits::{CONNECT_TIMEOUT, HEAD_MAX, RESPONSE_BODY_MAX, STALE_AFTER};
 use std::io::{self, Write as _};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -77,7 +77,7 @@
     }
 
     fn open(&self) -> io::Result<Connection> {
-        TcpStream::connect_timeout(&self.addr, CONNECT_TIME).and_then(Connection::new)
+        TcpStream::connect_timeout(&self.addr, CONNECT_TIMEOUT).and_then(Connection::new)
     }
 
     fn keep(&mut self, connection: Connection) {
@@ -106,7 +106,7 @@
     fn read_response(&mut self, deadline: Instant) -> Result<ClientResponse, ReadError> {
         loop {
             if let Some(head) = parse_response(&self.buffer)? {
-                if head.framing.body_len > RESPONSE_MAX {
+                if head.framing.body_len > RESPONSE_BODY_MAX {
                     return Err(ReadError::TooLarge);
                 }
                 while !self.holds(&head.framing) {
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -2,7 +2,7 @@
 
 use super::error::ReadError;
 use super::parse::Framing;
-use crate::limits::{BODY_MAX, BUFFER_KEPT, WRITE_TIME};
+use crate::limits::{IDLE_BUFFER_BYTES, REQUEST_BODY_MAX, WRITE_TIMEOUT};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 use std::os::fd::{AsRawFd as _, RawFd};
@@ -25,7 +25,7 @@
     /// Wraps a connected stream.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        stream.set_write_timeout(Some(WRITE_TIME))?;
+        stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         Ok(Self { stream, buffer: Vec::new(), read_timeout: None, blocking: true })
     }
 
@@ -41,7 +41,7 @@
 
     /// Frees memory that an idle connection needn't hold.
     pub fn shrink_idle_buffer(&mut self) {
-        if self.buffer.is_empty() && self.buffer.capacity() > BUFFER_KEPT {
+        if self.buffer.is_empty() && self.buffer.capacity() > IDLE_BUFFER_BYTES {
             self.buffer = Vec::new();
         }
     }
@@ -137,8 +137,8 @@
         let end = framing.message_len();
         let body = self.buffer[framing.head_len..end].to_vec();
         self.buffer.drain(..end);
-        if self.buffer.capacity() > BODY_MAX {
-            self.buffer.shrink_to(BUFFER_KEPT);
+        if self.buffer.capacity() > REQUEST_BODY_MAX {
+            self.buffer.shrink_to(IDLE_BUFFER_BYTES);
         }
         body
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::error::ReadError;
 use super::parse::{RequestHead, parse_request};
-use crate::limits::{BODY_MAX, HEAD_MAX, READ_SLICE, REQUEST_TIME};
+use crate::limits::{HEAD_MAX, READ_SLICE, REQUEST_BODY_MAX, REQUEST_TIMEOUT};
 use std::io::{self, Write as _};
 use std::time::Instant;
 
@@ -94,7 +94,7 @@
     fn request_head(&self) -> Result<Option<RequestHead>, ReadError> {
         let head = parse_request(&self.buffer)?;
         let too_large = match &head {
-            Some(head) => head.framing.body_len > BODY_MAX,
+            Some(head) => head.framing.body_len > REQUEST_BODY_MAX,
             None => self.buffer.len() > HEAD_MAX,
         };
         if too_large { Err(ReadError::TooLarge) } else { Ok(head) }
@@ -114,7 +114,7 @@
             }
             match self.read_some() {
                 Err(ReadError::TooSlow) if self.has_unread() => {
-                    if begun.elapsed() > REQUEST_TIME {
+                    if begun.elapsed() > REQUEST_TIMEOUT {
                         return Err(ReadError::TooSlow);
                     }
                 }
--- a/src/links/cloud.rs
+++ b/src/links/cloud.rs
@@ -2,9 +2,9 @@
 
 use super::request_queue::RequestQueue;
 use crate::authority::Authority;
-use crate::event_queue::Inbox;
+use crate::event_queue::EventSender;
 use crate::http::{CallError, Client, ClientResponse};
-use crate::limits::{CLOUD_QUEUE, CLOUD_THREADS, CLOUD_TIME};
+use crate::limits::{CLOUD_QUEUE_LEN, CLOUD_THREADS, CLOUD_TIMEOUT};
 use crate::thread::spawn;
 use marblebarrow_core::event::{CloudRequest, CloudResult, Event, OpId};
 use marblebarrow_proto::cbor;
@@ -41,11 +41,15 @@
 
 impl CloudLink {
     /// Starts its threads.
-    pub fn start(addr: SocketAddr, inbox: &Inbox, authority: &Authority) -> io::Result<Self> {
-        let (queue, calls) = RequestQueue::bounded(CLOUD_QUEUE);
+    pub fn start(
+        addr: SocketAddr,
+        events: &EventSender,
+        authority: &Authority,
+    ) -> io::Result<Self> {
+        let (queue, calls) = RequestQueue::bounded(CLOUD_QUEUE_LEN);
         for _ in 0..CLOUD_THREADS {
-            let (calls, inbox, authority) = (calls.clone(), inbox.clone(), authority.clone());
-            spawn("cloud", move || serve_calls(addr, &calls, &inbox, &authority))?;
+            let (calls, events, authority) = (calls.clone(), events.clone(), authority.clone());
+            spawn("cloud", move || serve_calls(addr, &calls, &events, &authority))?;
         }
         Ok(Self { queue, authority: authority.clone() })
     }
@@ -66,7 +70,7 @@
 fn serve_calls(
     addr: SocketAddr,
     calls: &RequestQueue<CloudCall>,
-    inbox: &Inbox,
+    events: &EventSender,
     authority: &Authority,
 ) {
     let mut client = Client::new(addr);
@@ -74,10 +78,10 @@
         // Decided before this process stood still, say: another may
         // lead by now, and use what we would return.
         let result = match leader_term {
-            Some(term) if !authority.holds(term) => CloudResult::Refused,
+            Some(term) if !authority.permits(term) => CloudResult::Refused,
             _ => call(&mut client, &request),
         };
-        inbox.tell(Event::Cloud(op, result));
+        events.send(Event::Cloud(op, result));
     }
 }
 
@@ -91,16 +95,18 @@
 
 fn send(client: &mut Client, request: &CloudRequest) -> Result<ClientResponse, CallError> {
     match request {
-        CloudRequest::Types => client.call("GET", "/flavors", &[], CLOUD_TIME),
+        CloudRequest::Types => client.call("GET", "/flavors", &[], CLOUD_TIMEOUT),
         CloudRequest::List { after } => {
             let after = after.as_ref().map_or(String::new(), |name| format!("after={name}&"));
             let path = format!("/hosts?{after}limit={LIST_LIMIT}");
-            client.call("GET", &path, &[], CLOUD_TIME)
+            client.call("GET", &path, &[], CLOUD_TIMEOUT)
+        }
+        CloudRequest::Rent(rent) => {
+            client.call("POST", "/hosts", &cbor::encode(rent), CLOUD_TIMEOUT)
         }
-        CloudRequest::Rent(rent) => client.call("POST", "/hosts", &cbor::encode(rent), CLOUD_TIME),
         CloudRequest::Release(names) => {
             let body = cbor::encode(&MachineNames { machines: names.clone() });
-            client.call("POST", "/hosts/release", &body, CLOUD_TIME)
+            client.call("POST", "/hosts/release", &body, CLOUD_TIMEOUT)
         }
     }
 }
--- a/src/links/worker.rs
+++ b/src/links/worker.rs
@@ -3,16 +3,17 @@
 //! for every worker, a large fleet would take more of both than a controller has.
 
 use crate::authority::Authority;
-use crate::event_queue::Inbox;
+use crate::event_queue::EventSender;
 use crate::http::{CallError, Client};
-use crate::limits::DIRECT_TIME;
+use crate::limits::WORKER_TIMEOUT;
 use crate::pool::Pool;
 use marblebarrow_core::event::{DirectResult, Event, OpId};
 use marblebarrow_proto::cbor;
 use marblebarrow_proto::wire::{DirectCommands, Report};
 use std::net::SocketAddr;
 
-/// Commands for a worker and where it listens.
+/// Commands for a worker, with fencing token and agent epoch (the wire's session), and where
+/// it listens.
 struct WorkerCall {
     op: OpId,
     addr: SocketAddr,
@@ -24,11 +25,11 @@
 
 impl WorkerLink {
     /// A link without threads yet.
-    pub fn new(inbox: &Inbox, authority: &Authority, threads: usize) -> Self {
-        let (inbox, authority) = (inbox.clone(), authority.clone());
+    pub fn new(events: &EventSender, authority: &Authority, threads: usize) -> Self {
+        let (events, authority) = (events.clone(), authority.clone());
         Self(Pool::new("direct", threads, threads, move |worker_call: WorkerCall| {
             let result = call(&worker_call, &authority);
-            inbox.tell(Event::Direct(worker_call.op, result));
+            events.send(Event::Direct(worker_call.op, result));
         }))
     }
 
@@ -50,11 +51,11 @@
     }
     // Checked last of all: connecting takes its time, and so may a process
     // that stands still.
-    if !authority.holds(worker_call.commands.token) {
+    if !authority.permits(worker_call.commands.token) {
         return DirectResult::NotSent;
     }
     let body = cbor::encode(&worker_call.commands);
-    match client.call("POST", "/do", &body, DIRECT_TIME) {
+    match client.call("POST", "/do", &body, WORKER_TIMEOUT) {
         Ok(response) => read_response(response.status, &response.body),
         Err(CallError::NotSent) => DirectResult::NotSent,
         Err(CallError::Unknown | CallError::Unreadable) => DirectResult::Unknown,
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,7 +1,7 @@
 //! The other controllers: gRPC, its runtime on one thread at the edge.
 
-use crate::event_queue::{Inbox, Message};
-use crate::limits::*;
+use crate::event_queue::{EventSender, QueueMessage};
+use crate::limits::{PEER_QUEUE_LEN, PEER_TIMEOUT};
 use crate::settings::Other;
 use marblebarrow_core::event::{Event, JobCounts, PeerNews, PledgeAnswer, Secs, TaskCounts};
 use marblebarrow_core::membership::Announcement;
@@ -16,34 +16,43 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Request, Response, Status};
 
+/// Messages that may wait for one peer.
+const QUEUE_PER_PEER: usize = 4;
+/// Frames between controllers, bytes.
+const PEER_FRAME_BYTES: u32 = 16 * 1024;
+
+/// A message to every other controller.
 #[derive(Debug, Clone)]
 enum PeerMessage {
-    Heartbeat(bool, bool),
-    Pledge { term: u64, revision: u64, sent: Secs },
+    Heartbeat { store_ok: bool, leading: bool },
+    AskPledge { term: u64, revision: u64, sent: Secs },
     Progress(Vec<JobProgress>),
 }
 
-/// The way to the other controllers.
+/// The link to the other controllers.
 pub struct Peers {
-    tx: mpsc::Sender<PeerMessage>,
+    messages: mpsc::Sender<PeerMessage>,
     store_ok: Arc<AtomicBool>,
     leading: Arc<AtomicBool>,
 }
 
 impl Peers {
-    /// Starts the thread that speaks with them.
+    /// Starts the thread that serves them and calls them.
     pub fn start(
         node: NodeId,
         listen: SocketAddr,
         others: Vec<Other>,
-        inbox: Inbox,
+        events: EventSender,
     ) -> std::io::Result<Self> {
-        let (tx, rx) = mpsc::channel(PEER_QUEUE);
+        let (messages, received) = mpsc::channel(PEER_QUEUE_LEN);
         let store_ok = Arc::new(AtomicBool::new(false));
-        // Until the owner has spoken, nobody may conclude that we don't lead.
+        // Until the event loop has said so, nobody may conclude that we don't lead.
         let leading = Arc::new(AtomicBool::new(true));
-        let service =
-            Service { inbox: inbox.clone(), store_ok: store_ok.clone(), leading: leading.clone() };
+        let service = PeerService {
+            events: events.clone(),
+            store_ok: store_ok.clone(),
+            leading: leading.clone(),
+        };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let listener = std::net::TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
@@ -55,32 +64,32 @@
                 let incoming = tonic::transport::server::TcpIncoming::from(listener);
                 tokio::spawn(
                     tonic::transport::Server::builder()
-                        .timeout(PEER_TIME)
-                        .max_frame_size(Some(16 * 1024))
+                        .timeout(PEER_TIMEOUT)
+                        .max_frame_size(Some(PEER_FRAME_BYTES))
                         .add_service(PeerServer::new(service))
                         .serve_with_incoming(incoming),
                 );
-                speak(node, others, rx, inbox).await;
+                broadcast(node, others, received, events).await;
             });
         })?;
-        Ok(Self { tx, store_ok, leading })
+        Ok(Self { messages, store_ok, leading })
     }
 
-    // A word that finds the queue full is dropped: all are said again.
-    fn say(&self, word: PeerMessage) {
-        let _ = self.tx.try_send(word);
+    // A message that finds the queue full is dropped: all are sent again.
+    fn enqueue(&self, message: PeerMessage) {
+        let _ = self.messages.try_send(message);
     }
 
     /// Tells whether the store serves us and whether we lead.
-    pub fn beat(&self, store_ok: bool, leading: bool) {
+    pub fn send_heartbeat(&self, store_ok: bool, leading: bool) {
         self.store_ok.store(store_ok, Ordering::Relaxed);
         self.leading.store(leading, Ordering::Relaxed);
-        self.say(PeerMessage::Heartbeat(store_ok, leading));
+        self.enqueue(PeerMessage::Heartbeat { store_ok, leading });
     }
 
     /// Asks for pledges; `sent` is when.
     pub fn ask_pledges(&self, term: u64, revision: u64, sent: Secs) {
-        self.say(PeerMessage::Pledge { term, revision, sent });
+        self.enqueue(PeerMessage::AskPledge { term, revision, sent });
     }
 
     /// Shows progress.
@@ -93,62 +102,65 @@
                 running: update.counts.running,
             })
             .collect();
-        self.say(PeerMessage::Progress(jobs));
+        self.enqueue(PeerMessage::Progress(jobs));
     }
 }
 
-async fn speak(
+/// Hands each message to every peer's task.
+async fn broadcast(
     node: NodeId,
     others: Vec<Other>,
-    mut rx: mpsc::Receiver<PeerMessage>,
-    inbox: Inbox,
+    mut messages: mpsc::Receiver<PeerMessage>,
+    events: EventSender,
 ) {
-    let mut lines = Vec::new();
+    let mut peers = Vec::new();
     for other in others {
         let Ok(endpoint) = Endpoint::from_shared(format!("http://{}", other.endpoint)) else {
             continue;
         };
-        let channel = endpoint.connect_timeout(PEER_TIME).timeout(PEER_TIME).connect_lazy();
+        let channel = endpoint.connect_timeout(PEER_TIMEOUT).timeout(PEER_TIMEOUT).connect_lazy();
         // A small queue each: a silent peer holds up no other.
-        let (tx, rx) = mpsc::channel(4);
-        tokio::spawn(line(node.clone(), NodeId::new(&other.node), channel, rx, inbox.clone()));
-        lines.push(tx);
+        let (sender, queue) = mpsc::channel(QUEUE_PER_PEER);
+        let peer = NodeId::new(&other.node);
+        tokio::spawn(send_to_peer(node.clone(), peer, channel, queue, events.clone()));
+        peers.push(sender);
     }
-    while let Some(word) = rx.recv().await {
-        for tx in &lines {
-            let _ = tx.try_send(word.clone());
+    while let Some(message) = messages.recv().await {
+        for peer in &peers {
+            let _ = peer.try_send(message.clone());
         }
     }
 }
 
-async fn line(
+/// Makes one peer's calls, one at a time.
+async fn send_to_peer(
     me: NodeId,
     peer: NodeId,
     channel: Channel,
-    mut rx: mpsc::Receiver<PeerMessage>,
-    inbox: Inbox,
+    mut queue: mpsc::Receiver<PeerMessage>,
+    events: EventSender,
 ) {
     let mut client = PeerClient::new(channel);
-    while let Some(word) = rx.recv().await {
-        match word {
-            PeerMessage::Heartbeat(store_ok, leading) => {
+    while let Some(message) = queue.recv().await {
+        match message {
+            PeerMessage::Heartbeat { store_ok, leading } => {
                 let (version, format) = own_announcement();
                 let req = BeatRequest { node: me.to_string(), store_ok, leading, version, format };
                 if let Ok(reply) = client.beat(req).await {
                     let reply = reply.into_inner();
-                    announced(&inbox, &peer, &reply.version, reply.format);
+                    publish_announcement(&events, &peer, &reply.version, reply.format);
                     let news = PeerNews::Heartbeat {
                         node: peer.clone(),
                         store_ok: reply.store_ok,
                         leading: Some(reply.leading),
                     };
-                    inbox.offer(Message::Event(Event::Peer(news)));
+                    events.try_send(QueueMessage::Event(Event::Peer(news)));
                 }
             }
-            PeerMessage::Pledge { term, revision, sent } => {
+            PeerMessage::AskPledge { term, revision, sent } => {
                 let node = me.to_string();
                 let first = PledgeRequest { node, term, revision, after: String::new() };
-                ask_pledge(&mut client, &peer, first, sent, &inbox).await;
+                ask_pledge(&mut client, &peer, first, sent, &events).await;
             }
             PeerMessage::Progress(jobs) => {
                 let _ = client.progress(ProgressRequest { term: 0, jobs }).await;
@@ -158,14 +170,14 @@
 }
 
 // A pledge, and the cancellations that come with it, in as many replies as they take.
-// If one gets lost, here or on the way to the owner, the last never arrives, and
+// If one gets lost, here or on the way to the event loop, the last never arrives, and
 // nothing counts.
 async fn ask_pledge(
     client: &mut PeerClient<Channel>,
     peer: &NodeId,
     mut ask: PledgeRequest,
     sent: Secs,
-    inbox: &Inbox,
+    events: &EventSender,
 ) {
     let mut whole = true;
     loop {
@@ -178,7 +190,7 @@
         let more = reply.more && last.is_some();
         let answer = PledgeAnswer { granted: reply.granted, whole, cancelled, more };
         let news = PeerNews::Pledged { node: peer.clone(), sent, answer };
-        if !inbox.offer(Message::Event(Event::Peer(news))) || !reply.granted {
+        if !events.try_send(QueueMessage::Event(Event::Peer(news))) || !reply.granted {
             return;
         }
         match last.filter(|_| more) {
@@ -188,26 +200,30 @@
     }
 }
 
-// What this process runs, as the beats carry it.
+// What this process runs, as heartbeats carry it.
 fn own_announcement() -> (String, u32) {
     let own = Announcement::own();
     (own.version.unwrap_or_default(), own.format)
 }
 
-// Tells the owner what a peer runs; the production version leaves both fields empty.
-fn announced(inbox: &Inbox, node: &NodeId, version: &str, format: u32) {
+// Tells the event loop what a peer runs; the production version leaves both fields empty.
+fn publish_announcement(events: &EventSender, node: &NodeId, version: &str, format: u32) {
     let runs = Announcement::from_wire(version, format);
-    inbox.offer(Message::Event(Event::Peer(PeerNews::Announced { node: node.clone(), runs })));
+    events.try_send(QueueMessage::Event(Event::Peer(PeerNews::Announced {
+        node: node.clone(),
+        runs,
+    })));
 }
 
-struct Service {
-    inbox: Inbox,
+/// What this controller answers its peers.
+struct PeerService {
+    events: EventSender,
     store_ok: Arc<AtomicBool>,
     leading: Arc<AtomicBool>,
 }
 
 #[tonic::async_trait]
-impl Peer for Service {
+impl Peer for PeerService {
     async fn beat(&self, req: Request<BeatRequest>) -> Result<Response<BeatReply>, Status> {
         let req = req.into_inner();
         let news = PeerNews::Heartbeat {
@@ -215,8 +231,8 @@
             store_ok: req.store_ok,
             leading: None,
         };
-        self.inbox.offer(Message::Event(Event::Peer(news)));
-        announced(&self.inbox, &NodeId::new(&req.node), &req.version, req.format);
+        self.events.try_send(QueueMessage::Event(Event::Peer(news)));
+        publish_announcement(&self.events, &NodeId::new(&req.node), &req.version, req.format);
         let (version, format) = own_announcement();
         Ok(Response::new(BeatReply {
             store_ok: self.store_ok.load(Ordering::Relaxed),
@@ -231,8 +247,8 @@
         let (reply, answer) = tokio::sync::oneshot::channel();
         let after = (!req.after.is_empty()).then(|| JobId::new(&req.after));
         let (from, revision) = (NodeId::new(&req.node), req.revision);
-        let message = Message::Pledge { from, term: req.term, revision, after, reply };
-        if !self.inbox.offer(message) {
+        let message = QueueMessage::PledgeRequest { from, term: req.term, revision, after, reply };
+        if !self.events.try_send(message) {
             return Err(Status::resource_exhausted("busy"));
         }
         let PledgeAnswer { granted, whole, cancelled, more } = answer.await.unwrap_or_default();
@@ -257,7 +273,7 @@
                 counts: TaskCounts { done: j.done, running: j.running },
             })
             .collect();
-        self.inbox.offer(Message::Event(Event::Peer(PeerNews::Progress(jobs))));
+        self.events.try_send(QueueMessage::Event(Event::Peer(PeerNews::Progress(jobs))));
         Ok(Response::new(ProgressReply {}))
     }
 }
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -2,7 +2,7 @@
 //! there is none. Work beyond its threads waits in a small queue; what finds
 //! that full is handed back at once.
 
-use crate::limits::{POOL_IDLE, STACK};
+use crate::limits::{POOL_IDLE, THREAD_STACK_BYTES};
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
@@ -68,7 +68,12 @@
         drop(state);
         let shared = self.shared.clone();
         let run = move || run(&shared);
-        if thread::Builder::new().name(self.name.into()).stack_size(STACK).spawn(run).is_err() {
+        if thread::Builder::new()
+            .name(self.name.into())
+            .stack_size(THREAD_STACK_BYTES)
+            .spawn(run)
+            .is_err()
+        {
             // The threads there are take it, if there are any.
             let mut state = self.shared.lock();
             state.threads -= 1;
--- a/src/server/bounds.rs
+++ b/src/server/bounds.rs
@@ -6,11 +6,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Connections at most.
-    pub most: usize,
+    pub connections: usize,
     /// Threads for users' requests.
     pub user_threads: usize,
     /// Threads for workers' heartbeats and health checks.
-    pub report_threads: usize,
+    pub worker_threads: usize,
     /// An idle connection is closed after this.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
--- a/src/server/connection_table.rs
+++ b/src/server/connection_table.rs
@@ -1,7 +1,7 @@
 //! All open connections, in slots that are reused.
 
 use crate::http::Connection;
-use crate::limits::{COUNT_MASK, PLACE_BITS, PLACE_MASK};
+use crate::limits::{GENERATION_MASK, SLOT_BITS, SLOT_MASK};
 use mio::Token;
 use std::time::{Duration, Instant};
 
@@ -64,7 +64,7 @@
 
     /// The name of a slot's connection in the readiness poll.
     pub fn token(&self, slot: usize) -> Token {
-        Token((self.slots[slot].generation as usize) << PLACE_BITS | slot)
+        Token((self.slots[slot].generation as usize) << SLOT_BITS | slot)
     }
 
     /// Takes in a new connection, idle; its slot.
@@ -82,7 +82,7 @@
     pub fn remove(&mut self, slot: usize) {
         let freed = &mut self.slots[slot];
         // Events still in hand for this connection must not reach the slot's next.
-        freed.generation = freed.generation.wrapping_add(1) & COUNT_MASK;
+        freed.generation = freed.generation.wrapping_add(1) & GENERATION_MASK;
         freed.state = State::Free;
         self.free.push(slot);
         self.open -= 1;
@@ -90,7 +90,7 @@
 
     /// Takes the connection that the poll announced as readable, if it is idle.
     pub fn take_ready(&mut self, token: Token) -> Option<Ready> {
-        let slot = token.0 & PLACE_MASK;
+        let slot = token.0 & SLOT_MASK;
         if slot >= self.slots.len() || self.token(slot) != token {
             return None;
         }
--- a/src/server/handler.rs
+++ b/src/server/handler.rs
@@ -7,9 +7,9 @@
 use super::user_routes;
 use super::worker_routes;
 use crate::authority::Authority;
-use crate::event_queue::{Ask, Inbox};
+use crate::event_queue::{EventSender, Question};
 use crate::http::{ReadError, Request};
-use crate::limits::{ANSWER_FRESH, ANSWER_TIME, CROWDED_SHARE, FULL_SHARE, QUEUED_MOST};
+use crate::limits::{ANSWER_MAX_AGE, ANSWER_TIMEOUT, CROWDED_SHARE, FULL_SHARE, QUEUED_MAX_AGE};
 use marblebarrow_core::consts::{RETRY_FULL_S, RETRY_STORE_S};
 use marblebarrow_core::event::Answer;
 use mio::unix::SourceFd;
@@ -30,8 +30,8 @@
 pub struct Handler {
     /// Where connections are registered for readiness.
     pub registry: Registry,
-    /// Where questions go.
-    pub inbox: Inbox,
+    /// The way to the event loop.
+    pub events: EventSender,
     /// The server's bounds.
     pub bounds: Bounds,
     connections: Mutex<ConnectionTable>,
@@ -40,8 +40,13 @@
 
 impl Handler {
     /// A handler without connections.
-    pub fn new(registry: Registry, inbox: Inbox, authority: Authority, bounds: Bounds) -> Self {
-        Self { registry, inbox, bounds, connections: Mutex::default(), authority }
+    pub fn new(
+        registry: Registry,
+        events: EventSender,
+        authority: Authority,
+        bounds: Bounds,
+    ) -> Self {
+        Self { registry, events, bounds, connections: Mutex::default(), authority }
     }
 
     /// The open connections, locked.
@@ -85,19 +90,19 @@
     /// as every worker needs one; then workers' too.
     pub fn closes_after_response(&self, client: ClientKind) -> bool {
         let share = if client == ClientKind::Worker { FULL_SHARE } else { CROWDED_SHARE };
-        self.connections().open() as f64 > self.bounds.most as f64 * share
+        self.connections().open() as f64 > self.bounds.connections as f64 * share
     }
 
     /// The response to a question asked at `asked` that has that answer.
     pub fn response(&self, asked: Instant, answer: Answer) -> Response {
         // This process may have stood still since the answer was found: then
         // another controller may have given a newer one meanwhile.
-        if asked.elapsed() > ANSWER_FRESH {
+        if asked.elapsed() > ANSWER_MAX_AGE {
             return Response::retry_later(503, RETRY_STORE_S, "can't decide now");
         }
         // Nor may a worker be held by a leader whose time ran out.
         if let Answer::Report(heartbeat) = &answer
-            && !self.authority.holds(heartbeat.token)
+            && !self.authority.permits(heartbeat.token)
         {
             return Response::misdirected(None);
         }
@@ -111,7 +116,7 @@
         let request = pending.request.take().map_or_else(|| connection.read_request(), Ok);
         let (response, close) = match request {
             Ok(request) => {
-                let refused = waited > QUEUED_MOST || self.over_bound(pending.client);
+                let refused = waited > QUEUED_MAX_AGE || self.over_bound(pending.client);
                 let response = if refused { too_much() } else { self.respond_to(&request) };
                 (response, request.close || self.closes_after_response(pending.client))
             }
@@ -127,7 +132,7 @@
 
     /// Whether there are too many connections to serve this user.
     fn over_bound(&self, client: ClientKind) -> bool {
-        client == ClientKind::User && self.connections().open() > self.bounds.most
+        client == ClientKind::User && self.connections().open() > self.bounds.connections
     }
 
     fn respond_to(&self, request: &Request) -> Response {
@@ -142,9 +147,9 @@
         }
     }
 
-    fn ask(&self, question: Ask) -> Response {
+    fn ask(&self, question: Question) -> Response {
         let asked = Instant::now();
-        let answer = self.inbox.ask(question, ANSWER_TIME);
+        let answer = self.events.ask(question, ANSWER_TIMEOUT);
         self.response(asked, answer)
     }
 }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -23,9 +23,11 @@
 pub use bounds::Bounds;
 
 use crate::authority::Authority;
-use crate::event_queue::Inbox;
+use crate::event_queue::EventSender;
 use crate::http::Connection;
-use crate::limits::{ACCEPT_RETRY, FRONT_EVENTS, GUESTS, LISTENER, SWEEP_TIME};
+use crate::limits::{
+    EXTRA_CONNECTIONS, IDLE_CHECK_INTERVAL, LISTENER_TOKEN, POLL_EVENTS, POLL_RETRY_DELAY,
+};
 use crate::pool::Pool;
 use connection_table::{ClientKind, Ready};
 use handler::Handler;
@@ -54,36 +56,42 @@
     /// A server over a listener that is bound already.
     pub fn new(
         listener: TcpListener,
-        inbox: &Inbox,
+        events: &EventSender,
         authority: &Authority,
         bounds: Bounds,
     ) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         let poll = Poll::new()?;
         let registry = poll.registry().try_clone()?;
-        registry.register(&mut SourceFd(&listener.as_raw_fd()), LISTENER, Interest::READABLE)?;
-        let handler = Arc::new(Handler::new(registry, inbox.clone(), authority.clone(), bounds));
+        registry.register(
+            &mut SourceFd(&listener.as_raw_fd()),
+            LISTENER_TOKEN,
+            Interest::READABLE,
+        )?;
+        let handler = Arc::new(Handler::new(registry, events.clone(), authority.clone(), bounds));
         let pool = |name, threads| {
             let handler = handler.clone();
             // A connection has one request at a time, so these are never more
             // than there are connections.
-            Arc::new(Pool::new(name, threads, bounds.most, move |pending| handler.serve(pending)))
+            Arc::new(Pool::new(name, threads, bounds.connections, move |pending| {
+                handler.serve(pending)
+            }))
         };
-        let worker_pool = pool("report", bounds.report_threads);
+        let worker_pool = pool("report", bounds.worker_threads);
         let user_pool = pool("user", bounds.user_threads);
         Ok(Self { poll, listener, handler, worker_pool, user_pool })
     }
 
     /// Serves for ever.
     pub fn run(mut self) {
-        let mut events = Events::with_capacity(FRONT_EVENTS);
-        let mut next_sweep = Instant::now() + SWEEP_TIME;
+        let mut ready = Events::with_capacity(POLL_EVENTS);
+        let mut next_sweep = Instant::now() + IDLE_CHECK_INTERVAL;
         loop {
-            self.wait_for(&mut events);
-            self.serve_events(&events);
+            self.wait_until_ready(&mut ready);
+            self.serve_all(&ready);
             if Instant::now() >= next_sweep {
-                next_sweep = Instant::now() + SWEEP_TIME;
-                self.handler.connections().close_idle(self.handler.bounds.idle);
+                next_sweep = Instant::now() + IDLE_CHECK_INTERVAL;
+                self.handler.connections().close_idle(self.handler.bounds.idle_timeout);
                 // The poll is edge-triggered: a listener that failed for want of
                 // sockets must be tried again.
                 self.accept_all();
@@ -91,19 +99,19 @@
         }
     }
 
-    fn wait_for(&mut self, events: &mut Events) {
-        let Err(error) = self.poll.poll(events, Some(SWEEP_TIME)) else { return };
+    fn wait_until_ready(&mut self, ready: &mut Events) {
+        let Err(error) = self.poll.poll(ready, Some(IDLE_CHECK_INTERVAL)) else { return };
         if error.kind() != io::ErrorKind::Interrupted {
             tracing::error!(%error, "event=poll_failed");
-            std::thread::sleep(ACCEPT_RETRY);
+            std::thread::sleep(POLL_RETRY_DELAY);
         }
     }
 
-    fn serve_events(&self, events: &Events) {
+    fn serve_all(&self, ready: &Events) {
         let mut listener_ready = false;
-        for event in events {
+        for event in ready {
             match event.token() {
-                LISTENER => listener_ready = true,
+                LISTENER_TOKEN => listener_ready = true,
                 token => self.serve_ready(token),
             }
         }
@@ -123,11 +131,14 @@
     }
 
     fn admit(&self, stream: TcpStream) {
-        let most = self.handler.bounds.most;
+        let most = self.handler.bounds.connections;
         let open = self.handler.connections().open();
         // A few more than the bound are let in, for one answer each: a worker is
         // heard and let go, a user told to come back.
-        if open >= most && !self.handler.connections().evict_idle_user() && open >= most + GUESTS {
+        if open >= most
+            && !self.handler.connections().evict_idle_user()
+            && open >= most + EXTRA_CONNECTIONS
+        {
             return;
         }
         let Ok(connection) = Connection::new(stream) else { return };
--- a/src/server/nonblocking.rs
+++ b/src/server/nonblocking.rs
@@ -44,14 +44,14 @@
         return Some(pending);
     };
     let asked = Instant::now();
-    let inbox = handler.inbox.clone();
+    let events = handler.events.clone();
     let (handler, pool) = (handler.clone(), pool.clone());
-    let then = move |answer| {
+    let send_response = move |answer| {
         let response = handler.response(asked, answer);
         let close = request.close || handler.closes_after_response(pending.client);
         respond(&handler, &pool, pending, &response, close);
     };
-    inbox.ask_then(question, Box::new(then));
+    events.ask_with_callback(question, Box::new(send_response));
     None
 }
 
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -1,7 +1,7 @@
 //! Requests of the key-value store over HTTP, and what their answers mean.
 
 use crate::http::{CallError, Client, ClientResponse};
-use crate::limits::{STORE_TIME, TOUCH_TIME};
+use crate::limits::{STORE_LEASE_TIMEOUT, STORE_TIMEOUT};
 use marblebarrow_core::consts::PAGE_LIMIT;
 use marblebarrow_core::event::{StoreRequest, StoreResult};
 use marblebarrow_proto::cbor;
@@ -18,20 +18,22 @@
 
 fn send(client: &mut Client, request: &StoreRequest) -> Result<ClientResponse, CallError> {
     match request {
-        StoreRequest::Commit(txn) => client.call("POST", "/commit", &cbor::encode(txn), STORE_TIME),
-        StoreRequest::Get(key) => client.call("GET", &format!("/store/{key}"), &[], STORE_TIME),
+        StoreRequest::Commit(txn) => {
+            client.call("POST", "/commit", &cbor::encode(txn), STORE_TIMEOUT)
+        }
+        StoreRequest::Get(key) => client.call("GET", &format!("/store/{key}"), &[], STORE_TIMEOUT),
         StoreRequest::Range { prefix, after } => {
-            client.call("GET", &range_path(prefix, after), &[], STORE_TIME)
+            client.call("GET", &range_path(prefix, after), &[], STORE_TIMEOUT)
         }
         StoreRequest::Grant(ttl_ms) => {
             let body = cbor::encode(&GrantAsk { ttl_ms: *ttl_ms });
-            client.call("POST", "/grants", &body, TOUCH_TIME)
+            client.call("POST", "/grants", &body, STORE_LEASE_TIMEOUT)
         }
         StoreRequest::Touch(grant) => {
-            client.call("POST", &format!("/grants/{grant}/touch"), &[], TOUCH_TIME)
+            client.call("POST", &format!("/grants/{grant}/touch"), &[], STORE_LEASE_TIMEOUT)
         }
         StoreRequest::Revoke(grant) => {
-            client.call("DELETE", &format!("/grants/{grant}"), &[], TOUCH_TIME)
+            client.call("DELETE", &format!("/grants/{grant}"), &[], STORE_LEASE_TIMEOUT)
         }
     }
 }
--- a/src/tests/event_queue.rs
+++ b/src/tests/event_queue.rs
@@ -10,19 +10,24 @@
 /// submissions wait for reports and polls.
 #[test]
 fn what_is_urgent_goes_before_all_that_waits() {
-    let (inbox, outbox) = Inbox::channel();
+    let (events, receiver) = channel();
     let (tx, _rx) = sync_channel(1);
     let poll = UserRequest::Poll(JobId::new("req-000001"));
-    assert!(inbox.offer(Message::Ask(Ask::User(poll), Asker::Thread(tx))));
+    assert!(events.try_send(QueueMessage::Question {
+        question: Question::User(poll),
+        responder: Responder::Channel(tx)
+    }));
     for op in 0..100 {
-        inbox.tell(answered(op));
+        events.send(answered(op));
     }
-    inbox.tell_urgently(answered(1_000));
-    let (urgent, batch) = outbox.batch(Duration::ZERO).expect("somebody is left");
+    events.send_priority(answered(1_000));
+    let Batch { priority: urgent, messages: batch } =
+        receiver.next_batch(Duration::ZERO).expect("somebody is left");
     assert!(matches!(urgent[..], [Event::Store(OpId(1_000), _)]), "{urgent:?}");
-    assert!(matches!(batch[0], Message::Ask(..)));
-    assert_eq!(batch.len(), BATCH);
+    assert!(matches!(batch[0], QueueMessage::Question { .. }));
+    assert_eq!(batch.len(), EVENT_BATCH);
     // It is told of but once.
-    let (urgent, batch) = outbox.batch(Duration::ZERO).expect("somebody is left");
-    assert!(urgent.is_empty() && batch.len() < BATCH);
+    let Batch { priority: urgent, messages: batch } =
+        receiver.next_batch(Duration::ZERO).expect("somebody is left");
+    assert!(urgent.is_empty() && batch.len() < EVENT_BATCH);
 }
--- a/src/tests/server.rs
+++ b/src/tests/server.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::event_queue::Ask;
+use crate::event_queue::{self, Question};
 use marblebarrow_core::event::{Answer, UserRequest};
 use std::io::{Read as _, Write as _};
 use std::net::SocketAddr;
@@ -7,19 +7,23 @@
 
 // The owner's stand-in refuses all but health checks.
 fn front(most: usize) -> SocketAddr {
-    let (inbox, outbox) = Inbox::channel();
+    let (events, receiver) = event_queue::channel();
     std::thread::spawn(move || {
-        outbox.serve_each(|ask| match ask {
-            Ask::User(UserRequest::Health) => Answer::Healthy,
+        receiver.serve_each(|ask| match ask {
+            Question::User(UserRequest::Health) => Answer::Healthy,
             _ => Answer::Unavailable(1),
         });
     });
     let listener = TcpListener::bind("127.0.0.1:0").expect("port");
     let addr = listener.local_addr().expect("address");
-    let bounds =
-        Bounds { most, user_threads: 2, report_threads: 2, idle: Duration::from_secs(3_600) };
+    let bounds = Bounds {
+        connections: most,
+        user_threads: 2,
+        worker_threads: 2,
+        idle_timeout: Duration::from_secs(3_600),
+    };
     let front =
-        HttpServer::new(listener, &inbox, &Authority::default(), bounds).expect("front starts");
+        HttpServer::new(listener, &events, &Authority::default(), bounds).expect("front starts");
     std::thread::spawn(move || front.run());
     addr
 }
--- a/src/tests/store_link.rs
+++ b/src/tests/store_link.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::event_queue::Message;
+use crate::event_queue::{self, Batch, QueueMessage};
 use std::io::{Read as _, Write as _};
 use std::net::TcpListener;
 use std::thread;
@@ -29,19 +29,20 @@
 /// already doesn't wait once more behind the reports that came meanwhile.
 #[test]
 fn answers_of_the_store_go_before_what_waits() {
-    let (inbox, outbox) = Inbox::channel();
+    let (events, receiver) = event_queue::channel();
     let timing = WatchTiming { block: Duration::from_secs(1), slack: Duration::from_secs(1) };
-    let link = StoreLink::start(empty_store(), &inbox, Clock::start(), timing).expect("threads");
+    let link = StoreLink::start(empty_store(), &events, Clock::start(), timing).expect("threads");
     for _ in 0..200 {
-        assert!(inbox.offer(Message::Wake));
+        assert!(events.try_send(QueueMessage::WakeUp));
     }
     assert!(link.send(OpId(7), StoreRequest::Get("w/none".into())).is_none());
     // Without its answer, so many batches would only bring what waited before.
     let mut found = false;
     while !found {
-        let (urgent, batch) = outbox.batch(Duration::from_secs(60)).expect("open");
+        let Batch { priority: urgent, messages: batch } =
+            receiver.next_batch(Duration::from_secs(60)).expect("open");
         found = urgent.iter().any(|e| matches!(e, Event::Store(OpId(7), StoreResult::Value(None))));
-        let late = |m: &Message| matches!(m, Message::Event(Event::Store(OpId(7), _)));
+        let late = |m: &QueueMessage| matches!(m, QueueMessage::Event(Event::Store(OpId(7), _)));
         assert!(!batch.iter().any(late), "it waited with the others");
     }
 }
--- a/src/tests/watch.rs
+++ b/src/tests/watch.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::event_queue::{Message, Outbox};
+use crate::event_queue::{self, Batch, EventReceiver, QueueMessage};
+use crate::limits::RESPONSE_BODY_MAX;
 use marblebarrow_proto::records::cancel_key;
 use marblebarrow_proto::wire::{ItemPage, WatchEvent};
 use std::io::{Read as _, Write as _};
@@ -62,7 +63,7 @@
         }
         Step::Status(status) => stream.write_all(&head(status, 0)).expect("sent"),
         Step::TooLong => {
-            let _ = stream.write_all(&head(200, RESPONSE_MAX + 1));
+            let _ = stream.write_all(&head(200, RESPONSE_BODY_MAX + 1));
             return false;
         }
         Step::Closes => {
@@ -100,13 +101,13 @@
 }
 
 /// A watch of a stand-in that answers so: the paths it asks for, and what it tells.
-fn watching(steps: Vec<Step>) -> (Receiver<String>, Outbox) {
+fn watching(steps: Vec<Step>) -> (Receiver<String>, EventReceiver) {
     let (addr, asked) = stand_in(steps);
-    let (inbox, outbox) = Inbox::channel();
+    let (events, receiver) = event_queue::channel();
     let timing = WatchTiming { block: Duration::from_secs(20), slack: Duration::from_secs(20) };
-    let watch = Watch::new(addr, inbox, Clock::start(), timing);
+    let watch = Watch::new(addr, events, Clock::start(), timing);
     thread::spawn(move || watch.run());
-    (asked, outbox)
+    (asked, receiver)
 }
 
 /// What the next request asks for.
@@ -130,13 +131,14 @@
 }
 
 /// Waits for news that makes the copy whole up to that revision; how many changes came.
-fn told(outbox: &Outbox, revision: u64) -> usize {
+fn told(receiver: &EventReceiver, revision: u64) -> usize {
     let mut changes = 0;
     loop {
-        let (_, batch) = outbox.batch(Duration::from_secs(60)).expect("watches");
+        let Batch { messages: batch, .. } =
+            receiver.next_batch(Duration::from_secs(60)).expect("watches");
         assert!(!batch.is_empty(), "nothing is told");
         for message in batch {
-            let Message::Event(Event::Watch(news)) = message else { continue };
+            let QueueMessage::Event(Event::Watch(news)) = message else { continue };
             if let WatchContent::Events(events) = &news.content {
                 changes += events.len();
             }
@@ -153,7 +155,7 @@
 fn a_failed_watch_asks_again_at_once_and_misses_nothing() {
     let garbage = Step::Answer(b"\xff{\"ledger\":".to_vec());
     for bad in [Step::Status(503), Step::Status(500), garbage, Step::TooLong, Step::Closes] {
-        let (asked, outbox) = watching(vec![
+        let (asked, receiver) = watching(vec![
             all_keys(7),
             Step::Answer(nothing_new(8)),
             bad.clone(),
@@ -163,7 +165,7 @@
         assert_eq!(next(&asked), Asked::News(7, true), "{bad:?}");
         assert_eq!(next(&asked), Asked::News(8, true), "{bad:?}");
         assert_eq!(next(&asked), Asked::News(8, false), "{bad:?}");
-        assert_eq!(told(&outbox, 9), 1, "{bad:?}");
+        assert_eq!(told(&receiver, 9), 1, "{bad:?}");
         assert_eq!(next(&asked), Asked::News(9, true), "{bad:?}");
     }
 }
@@ -172,13 +174,13 @@
 /// being read anew; an old revision is told to nobody as if it were new.
 #[test]
 fn what_cannot_be_followed_is_read_anew() {
-    let unreadable = vec![Step::TooLong; WATCH_UNREADABLE_MOST as usize];
+    let unreadable = vec![Step::TooLong; WATCH_UNREADABLE_MAX as usize];
     for bad in [unreadable, vec![Step::Answer(nothing_new(5))], vec![Step::Status(410)]] {
         let count = bad.len();
         let mut steps = vec![all_keys(7), Step::Answer(nothing_new(8))];
         steps.extend(bad.clone());
         steps.extend([all_keys(12), Step::Answer(cancelled(13))]);
-        let (asked, outbox) = watching(steps);
+        let (asked, receiver) = watching(steps);
         assert_eq!(next(&asked), Asked::AllKeys);
         assert_eq!(next(&asked), Asked::News(7, true));
         for n in 0..count {
@@ -186,7 +188,7 @@
         }
         assert_eq!(next(&asked), Asked::AllKeys, "{bad:?}");
         assert!(matches!(next(&asked), Asked::News(12, _)), "{bad:?}");
-        assert_eq!(told(&outbox, 13), 1, "{bad:?}");
+        assert_eq!(told(&receiver, 13), 1, "{bad:?}");
     }
 }
 
@@ -195,12 +197,12 @@
 fn a_watch_that_ends_early_is_opened_again() {
     let mut steps = vec![all_keys(7)];
     steps.extend((8..12).map(|revision| Step::Answer(nothing_new(revision))));
-    let (asked, outbox) = watching(steps);
+    let (asked, receiver) = watching(steps);
     assert_eq!(next(&asked), Asked::AllKeys);
     for revision in 7..12 {
         assert_eq!(next(&asked), Asked::News(revision, true));
     }
-    assert_eq!(told(&outbox, 11), 0);
+    assert_eq!(told(&receiver, 11), 0);
 }
 
 /// Failures in a row are tried again after longer and longer pauses, within a bound.
@@ -209,7 +211,7 @@
     assert_eq!(retry_pause(1), WATCH_RETRY_FIRST);
     for failures in 1..40 {
         let (pause, longer) = (retry_pause(failures), retry_pause(failures + 1));
-        assert!(longer >= pause && longer <= WATCH_RETRY_MOST);
+        assert!(longer >= pause && longer <= WATCH_RETRY_MAX);
     }
-    assert_eq!(retry_pause(u32::MAX), WATCH_RETRY_MOST);
+    assert_eq!(retry_pause(u32::MAX), WATCH_RETRY_MAX);
 }
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -1,12 +1,12 @@
-//! The watch of the state service: keeps this controller's copy of the watched keys
+//! The watch of the key-value store: keeps this controller's copy of the watched keys
 //! current, and proves how current it is.
 
 use crate::clock::Clock;
-use crate::event_queue::Inbox;
+use crate::event_queue::EventSender;
 use crate::http::{CallError, Client};
-use crate::limits::*;
+use crate::limits::{WATCH_MIN_INTERVAL, WATCH_RETRY_FIRST, WATCH_RETRY_MAX, WATCH_UNREADABLE_MAX};
 use crate::store_client::store_call;
-use marblebarrow_core::event::*;
+use marblebarrow_core::event::{Event, Secs, StoreRequest, StoreResult, WatchContent, WatchNews};
 use marblebarrow_core::facts::WatchTiming;
 use marblebarrow_proto::cbor;
 use marblebarrow_proto::records::WATCHED;
@@ -18,13 +18,13 @@
 /// Why a watch, or the first read of the watched keys, brought nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum WatchError {
-    /// The state service refused it, or gave no answer in time.
+    /// The store refused it, or gave no answer in time.
     #[error("no answer")]
     NoAnswer,
     /// An answer came that can't be read.
     #[error("unreadable answer")]
     Unreadable,
-    /// The answer's revision is below one told before. The store can't have gone back: this
+    /// The answer's revision is below an earlier one. The store can't have gone back: this
     /// revision, or the one before, is wrong, and changes may have been missed.
     #[error("revision went back from {from} to {to}")]
     WentBack { from: u64, to: u64 },
@@ -33,7 +33,7 @@
 /// The thread's state.
 pub struct Watch {
     client: Client,
-    inbox: Inbox,
+    events: EventSender,
     clock: Clock,
     timing: WatchTiming,
     /// The copy holds all changes up to this revision; `None`: all keys must be read first.
@@ -45,30 +45,30 @@
 
 impl Watch {
     /// A watch that has read nothing yet.
-    pub fn new(addr: SocketAddr, inbox: Inbox, clock: Clock, timing: WatchTiming) -> Self {
+    pub fn new(addr: SocketAddr, events: EventSender, clock: Clock, timing: WatchTiming) -> Self {
         let client = Client::new(addr);
-        Self { client, inbox, clock, timing, revision: None, failures: 0, unreadable: 0 }
+        Self { client, events, clock, timing, revision: None, failures: 0, unreadable: 0 }
     }
 
     /// Watches for ever.
     pub fn run(mut self) {
         loop {
-            match self.step() {
-                Ok(revision) => self.succeeded(revision),
-                Err(error) => self.failed(error),
+            match self.fetch() {
+                Ok(revision) => self.on_success(revision),
+                Err(error) => self.on_failure(error),
             }
         }
     }
 
     /// One request, or the first read; the revision up to which the copy is whole then.
-    fn step(&mut self) -> Result<Option<u64>, WatchError> {
+    fn fetch(&mut self) -> Result<Option<u64>, WatchError> {
         match self.revision {
             None => self.read_all().map(Some),
             Some(after) => self.watch(after),
         }
     }
 
-    fn succeeded(&mut self, revision: Option<u64>) {
+    fn on_success(&mut self, revision: Option<u64>) {
         // Only a watch shows that all is well again: what was read anew may be as wrong.
         let watched = self.revision.is_some();
         self.revision = revision;
@@ -82,7 +82,7 @@
         self.unreadable = 0;
     }
 
-    fn failed(&mut self, error: WatchError) {
+    fn on_failure(&mut self, error: WatchError) {
         self.failures = self.failures.saturating_add(1);
         if self.failures == 1 {
             tracing::info!(why = %error, "event=watch_failed");
@@ -91,7 +91,7 @@
             self.unreadable += 1;
         }
         let went_back = matches!(error, WatchError::WentBack { .. });
-        if went_back || self.unreadable >= WATCH_UNREADABLE_MOST {
+        if went_back || self.unreadable >= WATCH_UNREADABLE_MAX {
             self.unreadable = 0;
             self.revision = None;
         }
@@ -113,7 +113,7 @@
             after = page.items.last().map_or_else(String::new, |i| i.key.clone());
             items.extend(page.items);
             if !page.more {
-                self.tell(sent, revision, WatchContent::Reset(items));
+                self.publish(sent, revision, WatchContent::Reset(items));
                 return Ok(revision);
             }
         }
@@ -130,7 +130,7 @@
             Ok(response) if response.status == 200 => {
                 let answer: WatchAnswer =
                     cbor::decode(&response.body).map_err(|_| WatchError::Unreadable)?;
-                self.take(sent, after, answer).map(Some)
+                self.accept(sent, after, answer).map(Some)
             }
             Ok(response) if response.status == 410 => Ok(None),
             Err(CallError::Unreadable) => Err(WatchError::Unreadable),
@@ -138,15 +138,15 @@
         }
     }
 
-    fn take(&mut self, sent: Secs, after: u64, answer: WatchAnswer) -> Result<u64, WatchError> {
+    fn accept(&mut self, sent: Secs, after: u64, answer: WatchAnswer) -> Result<u64, WatchError> {
         if answer.revision < after {
             return Err(WatchError::WentBack { from: after, to: answer.revision });
         }
         let changed = !answer.events.is_empty();
-        // That there is nothing new is news too.
-        self.tell(sent, answer.revision, WatchContent::Events(answer.events));
+        // An answer without changes proves the copy current too.
+        self.publish(sent, answer.revision, WatchContent::Events(answer.events));
         if changed {
-            thread::sleep(WATCH_PAUSE);
+            thread::sleep(WATCH_MIN_INTERVAL);
         } else if self.failures == 0 && self.ended_early(sent) {
             thread::sleep(WATCH_RETRY_FIRST);
         }
@@ -159,15 +159,15 @@
         self.clock.now() - sent < self.timing.block.as_secs_f64() / 2.0
     }
 
-    fn tell(&self, sent: Secs, revision: u64, content: WatchContent) {
-        self.inbox.tell(Event::Watch(WatchNews { sent, revision, content }));
+    fn publish(&self, sent: Secs, revision: u64, content: WatchContent) {
+        self.events.send(Event::Watch(WatchNews { sent, revision, content }));
     }
 }
 
 /// How long to wait after so many failures in a row.
 fn retry_pause(failures: u32) -> Duration {
     let doubled = 1 << failures.saturating_sub(1).min(8);
-    (WATCH_RETRY_FIRST * doubled).min(WATCH_RETRY_MOST)
+    (WATCH_RETRY_FIRST * doubled).min(WATCH_RETRY_MAX)
 }
 
 #[cfg(test)]
