--- a/src/cells_cli.rs
+++ b/src/cells_cli.rs
@@ -5,7 +5,30 @@
 use marblebarrow_cells::wire::*;
 use std::net::SocketAddr;
 use tonic::Status;
-use tonic::transport::{Channel, Endpoint};
+use tonic::transport::{self, Channel, Endpoint};
+
+/// Why a command on cells failed.
+#[derive(Debug, thiserror::Error)]
+pub enum CellsCommandError {
+    /// The gRPC runtime didn't start.
+    #[error(transparent)]
+    Runtime(#[from] std::io::Error),
+    /// The server's address can't be used.
+    #[error(transparent)]
+    Address(#[from] transport::Error),
+    /// No connection to the server.
+    #[error("no answer from {0}")]
+    NoAnswer(SocketAddr),
+    /// The server refused, and says why.
+    #[error("{0}")]
+    Refused(String),
+}
+
+impl From<Status> for CellsCommandError {
+    fn from(status: Status) -> Self {
+        Self::Refused(status.message().to_owned())
+    }
+}
 
 /// What the loss of a cell risks, told before it is declared.
 pub const LOSS_RISKS: &str = "jobs that are in a lost cell start again at home: if that cell, \
@@ -15,35 +38,34 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build()
 }
 
-async fn connect(server: SocketAddr) -> Result<CellsClient<Channel>, String> {
-    let endpoint = Endpoint::from_shared(format!("http://{server}"));
-    let endpoint = endpoint.map_err(|error| error.to_string())?;
+async fn connect(server: SocketAddr) -> Result<CellsClient<Channel>, CellsCommandError> {
+    let endpoint = Endpoint::from_shared(format!("http://{server}"))?;
     let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).timeout(CELL_TIMEOUT);
-    let channel = endpoint.connect().await.map_err(|_| format!("no answer from {server}"))?;
+    let channel = endpoint.connect().await.map_err(|_| CellsCommandError::NoAnswer(server))?;
     Ok(CellsClient::new(channel))
 }
 
-fn refused(status: Status) -> String {
-    status.message().to_owned()
-}
-
 /// The overview of the cell that a controller leads, a line each.
-pub fn overview(server: SocketAddr) -> Result<Vec<String>, String> {
-    let runtime = runtime().map_err(|error| error.to_string())?;
+pub fn overview(server: SocketAddr) -> Result<Vec<String>, CellsCommandError> {
+    let runtime = runtime()?;
     runtime.block_on(async {
         let mut client = connect(server).await?;
-        let reply = client.overview(OverviewRequest {}).await.map_err(refused)?;
+        let reply = client.overview(OverviewRequest {}).await?;
         Ok(lines(&reply.into_inner()))
     })
 }
 
 /// Declares a cell lost for good.
-pub fn declare_lost(server: SocketAddr, cell: &str, typed_name: &str) -> Result<(), String> {
-    let runtime = runtime().map_err(|error| error.to_string())?;
+pub fn declare_lost(
+    server: SocketAddr,
+    cell: &str,
+    typed_name: &str,
+) -> Result<(), CellsCommandError> {
+    let runtime = runtime()?;
     let request = DeclareLostRequest { cell: cell.to_owned(), typed_name: typed_name.to_owned() };
     runtime.block_on(async {
         let mut client = connect(server).await?;
-        client.declare_lost(request).await.map_err(refused)?;
+        client.declare_lost(request).await?;
         Ok(())
     })
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -2,21 +2,20 @@
 
 use crate::cells_cli;
 use crate::http::Client;
-use crate::settings::Settings;
-use ciborium::Value;
+use crate::job_cli::{PATIENCE, call, job_body};
+use crate::operator::OperatorFileError;
+use crate::settings::{Settings, SettingsError};
 use clap::{Parser, Subcommand};
-use marblebarrow_cells::settings::CellsSettings;
+use marblebarrow_cells::settings::{CellsSettings, CellsSettingsError};
 use marblebarrow_rehearsal::scenario::Scenario;
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
-use std::time::Duration;
 
 /// Exit code for settings or arguments that can't be used.
 const BAD_USE: u8 = 2;
-/// How long a user's command waits for an answer (protocol page: 5 s).
-const PATIENCE: Duration = Duration::from_secs(5);
 
 /// A cluster scheduler: leased leader, task-sampling queues, rented machines.
 #[derive(Debug, Parser)]
@@ -113,23 +112,11 @@
             }
             (Some(Cmd::Rehearse { name, seed }), _) => rehearse(name.as_deref(), seed),
             (Some(Cmd::Check { config }), _) => {
-                match load(&config, self.operator.as_deref(), self.cells.as_deref()) {
-                    Ok(s) => {
-                        println!(
-                            "{}: ok, controller {} of {}, {} teams",
-                            config.display(),
-                            s.facts.node,
-                            s.others.len() + 1,
-                            s.facts.teams.len()
-                        );
-                        ExitCode::SUCCESS
-                    }
-                    Err(e) => bad(&e),
-                }
+                check(&config, self.operator.as_deref(), self.cells.as_deref())
             }
             (Some(Cmd::Submit { server, file }), _) => match job_body(&file) {
                 Ok(body) => call(server, "POST", "/api/jobs", &body),
-                Err(e) => bad(&e),
+                Err(e) => bad(e),
             },
             (Some(Cmd::Status { server, job }), _) => {
                 call(server, "GET", &format!("/api/jobs/{job}"), &[])
@@ -143,7 +130,23 @@
     }
 }
 
-fn bad(line: &str) -> ExitCode {
+/// Checks settings and says what they mean.
+fn check(config: &Path, operator: Option<&Path>, cells: Option<&Path>) -> ExitCode {
+    let settings = match load(config, operator, cells) {
+        Ok(settings) => settings,
+        Err(error) => return bad(error),
+    };
+    println!(
+        "{}: ok, controller {} of {}, {} teams",
+        config.display(),
+        settings.facts.node,
+        settings.others.len() + 1,
+        settings.facts.teams.len()
+    );
+    ExitCode::SUCCESS
+}
+
+fn bad(line: impl Display) -> ExitCode {
     eprintln!("marblebarrow: {line}");
     ExitCode::from(BAD_USE)
 }
@@ -156,19 +159,19 @@
                 lines.iter().for_each(|line| println!("{line}"));
                 ExitCode::SUCCESS
             }
-            Err(why) => failed(&why),
+            Err(why) => failed(why),
         };
     };
     if typed_name != Some(lost) {
         let risks = cells_cli::LOSS_RISKS;
-        return bad(&format!("{risks}. To go on, add --typed-name {lost}"));
+        return bad(format!("{risks}. To go on, add --typed-name {lost}"));
     }
     match cells_cli::declare_lost(server, lost, lost) {
         Ok(()) => {
             println!("cell={lost} declared lost");
             ExitCode::SUCCESS
         }
-        Err(why) => failed(&why),
+        Err(why) => failed(why),
     }
 }
 
@@ -180,25 +183,40 @@
         return ExitCode::SUCCESS;
     };
     let Some(scenario) = Scenario::named(name) else {
-        return bad(&format!("no rehearsal `{name}`; there are {}", names.join(", ")));
+        return bad(format!("no rehearsal `{name}`; there are {}", names.join(", ")));
     };
     let verdict = scenario.run(seed);
     print!("{verdict}");
     if verdict.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn failed(why: &str) -> ExitCode {
+fn failed(why: impl Display) -> ExitCode {
     eprintln!("marblebarrow: {why}");
     ExitCode::FAILURE
 }
 
-fn load(config: &Path, operator: Option<&Path>, cells: Option<&Path>) -> Result<Settings, String> {
-    let mut settings = Settings::load(config).map_err(|e| e.to_string())?;
+/// Why the files of settings can't be used.
+#[derive(Debug, thiserror::Error)]
+enum LoadError {
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error(transparent)]
+    Operator(#[from] OperatorFileError),
+    #[error(transparent)]
+    Cells(#[from] CellsSettingsError),
+}
+
+fn load(
+    config: &Path,
+    operator: Option<&Path>,
+    cells: Option<&Path>,
+) -> Result<Settings, LoadError> {
+    let mut settings = Settings::load(config)?;
     if let Some(path) = operator {
         settings.facts.tuning = crate::operator::load(path)?;
     }
     if let Some(path) = cells {
-        let cells = CellsSettings::load(path).map_err(|error| error.to_string())?;
+        let cells = CellsSettings::load(path)?;
         settings.facts.cells = Some(Arc::new(cells));
     }
     Ok(settings)
@@ -207,7 +225,7 @@
 fn serve(config: &Path, operator: Option<&Path>, cells: Option<&Path>) -> ExitCode {
     let settings = match load(config, operator, cells) {
         Ok(s) => s,
-        Err(e) => return bad(&e),
+        Err(e) => return bad(e),
     };
     let level = std::env::var("LOG_LEVEL")
         .ok()
@@ -222,39 +240,10 @@
         .init();
     match crate::controller::serve(settings) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => bad(&format!("can't serve: {e}")),
+        Err(e) => bad(format!("can't serve: {e}")),
     }
 }
 
-/// The body of a submission: the TOML table as CBOR, field for field, so that
-/// `waits_on = ["req-000398"]` goes out as the list of DAG dependencies.
-fn job_body(file: &Path) -> Result<Vec<u8>, String> {
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let table: toml::Table =
-        toml::from_str(&text).map_err(|e| format!("{}: {}", file.display(), e.message()))?;
-    let body = marblebarrow_proto::cbor::encode(&table);
-    marblebarrow_proto::job::JobSpec::parse(&body)
-        .map_err(|e| format!("{}: {e}", file.display()))?;
-    Ok(body)
-}
-
-fn call(server: SocketAddr, method: &str, path: &str, body: &[u8]) -> ExitCode {
-    let Ok(response) = Client::new(server).call(method, path, body, PATIENCE) else {
-        eprintln!("marblebarrow: no answer from {server}");
-        return ExitCode::FAILURE;
-    };
-    let text = match marblebarrow_proto::cbor::decode::<Value>(&response.body) {
-        Ok(Value::Map(fields)) => fields
-            .iter()
-            .map(|(k, v)| format!("{}={}", show(k), show(v)))
-            .collect::<Vec<_>>()
-            .join(" "),
-        _ => String::new(),
-    };
-    println!("status={} {text}", response.status);
-    if response.status < 300 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
-}
-
 /// The answer to `GET /api/members`.
 #[derive(serde::Deserialize)]
 struct MembershipView {
@@ -275,13 +264,13 @@
 fn members(server: SocketAddr) -> ExitCode {
     let answer = Client::new(server).call("GET", "/api/members", &[], PATIENCE);
     let Ok(response) = answer else {
-        return failed(&format!("no answer from {server}"));
+        return failed(format!("no answer from {server}"));
     };
     if response.status != 200 {
-        return failed(&format!("{server} answered {}", response.status));
+        return failed(format!("{server} answered {}", response.status));
     }
     let Ok(view) = marblebarrow_proto::cbor::decode::<MembershipView>(&response.body) else {
-        return failed(&format!("{server} answered what is no list of controllers"));
+        return failed(format!("{server} answered what is no list of controllers"));
     };
     for m in view.controllers {
         let version = if m.version.is_empty() { "-" } else { &m.version };
@@ -292,16 +281,3 @@
     println!("dependencies_allowed={}", view.dependencies_allowed);
     ExitCode::SUCCESS
 }
-
-/// One field of an answer as text; a list, such as the DAG dependencies that a
-/// job still waits on (`waits_on`), as its items joined by commas.
-fn show(v: &Value) -> String {
-    match v {
-        Value::Text(t) => t.clone(),
-        Value::Array(items) => items.iter().map(show).collect::<Vec<_>>().join(","),
-        Value::Integer(i) => i128::from(*i).to_string(),
-        Value::Float(f) => f.to_string(),
-        Value::Bool(b) => b.to_string(),
-        _ => "-".into(),
-    }
-}
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,6 +10,7 @@
 mod event_loop;
 mod event_queue;
 mod http;
+mod job_cli;
 mod limits;
 mod links;
 mod operator;
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -145,17 +145,9 @@
         match message {
             PeerMessage::Heartbeat { store_ok, leading } => {
                 let (version, format) = own_announcement();
-                let req = BeatRequest { node: me.to_string(), store_ok, leading, version, format };
-                if let Ok(reply) = client.beat(req).await {
-                    let reply = reply.into_inner();
-                    publish_announcement(&events, &peer, &reply.version, reply.format);
-                    let news = PeerNews::Heartbeat {
-                        node: peer.clone(),
-                        store_ok: reply.store_ok,
-                        leading: Some(reply.leading),
-                    };
-                    events.try_send(QueueMessage::Event(Event::Peer(news)));
-                }
+                let node = me.to_string();
+                let request = BeatRequest { node, store_ok, leading, version, format };
+                exchange_heartbeats(&mut client, &peer, request, &events).await;
             }
             PeerMessage::AskPledge { term, revision, sent } => {
                 let node = me.to_string();
@@ -169,6 +161,24 @@
     }
 }
 
+// Our heartbeat, and what the peer's answer tells of it.
+async fn exchange_heartbeats(
+    client: &mut PeerClient<Channel>,
+    peer: &NodeId,
+    request: BeatRequest,
+    events: &EventSender,
+) {
+    let Ok(reply) = client.beat(request).await else { return };
+    let reply = reply.into_inner();
+    publish_announcement(events, peer, &reply.version, reply.format);
+    let news = PeerNews::Heartbeat {
+        node: peer.clone(),
+        store_ok: reply.store_ok,
+        leading: Some(reply.leading),
+    };
+    publish(events, news);
+}
+
 // A pledge, and the cancellations that come with it, in as many replies as they take.
 // If one gets lost, here or on the way to the event loop, the last never arrives, and
 // nothing counts.
@@ -190,7 +200,7 @@
         let more = reply.more && last.is_some();
         let answer = PledgeAnswer { granted: reply.granted, whole, cancelled, more };
         let news = PeerNews::Pledged { node: peer.clone(), sent, answer };
-        if !events.try_send(QueueMessage::Event(Event::Peer(news))) || !reply.granted {
+        if !publish(events, news) || !reply.granted {
             return;
         }
         match last.filter(|_| more) {
@@ -206,13 +216,15 @@
     (own.version.unwrap_or_default(), own.format)
 }
 
+// Tells the event loop something of a peer; false if its queue is full.
+fn publish(events: &EventSender, news: PeerNews) -> bool {
+    events.try_send(QueueMessage::Event(Event::Peer(news)))
+}
+
 // Tells the event loop what a peer runs; the production version leaves both fields empty.
 fn publish_announcement(events: &EventSender, node: &NodeId, version: &str, format: u32) {
     let runs = Announcement::from_wire(version, format);
-    events.try_send(QueueMessage::Event(Event::Peer(PeerNews::Announced {
-        node: node.clone(),
-        runs,
-    })));
+    publish(events, PeerNews::Announced { node: node.clone(), runs });
 }
 
 /// What this controller answers its peers.
@@ -231,7 +243,7 @@
             store_ok: req.store_ok,
             leading: None,
         };
-        self.events.try_send(QueueMessage::Event(Event::Peer(news)));
+        publish(&self.events, news);
         publish_announcement(&self.events, &NodeId::new(&req.node), &req.version, req.format);
         let (version, format) = own_announcement();
         Ok(Response::new(BeatReply {
@@ -273,7 +285,7 @@
                 counts: TaskCounts { done: j.done, running: j.running },
             })
             .collect();
-        self.events.try_send(QueueMessage::Event(Event::Peer(PeerNews::Progress(jobs))));
+        publish(&self.events, PeerNews::Progress(jobs));
         Ok(Response::new(ProgressReply {}))
     }
 }
