--- a/src/limits.rs
+++ b/src/limits.rs
@@ -117,7 +117,7 @@
 pub const STORE_LEASE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause between two watches: changes that come together are taken together,
 /// and each opened watch counts as a request of the key-value store.
-pub const WATCH_MIN_INTERVAL: Duration = Duration::from_millis(20);
+pub const WATCH_PAUSE: Duration = Duration::from_millis(20);
 /// Wait before a failed watch is tried again for the first time: short, since a leader's
 /// copy grows old meanwhile.
 pub const WATCH_RETRY_FIRST: Duration = Duration::from_millis(150);
--- a/src/links/store.rs
+++ b/src/links/store.rs
@@ -38,8 +38,8 @@
         for _ in 0..STORE_THREADS {
             spawn_client("store", addr, &data_queue, events)?;
         }
-        // Store leases (renewals, elections; the wire's grants) have a thread of their own: the leader's right
-        // to act must not wait behind a user's request.
+        // Store leases (the wire's grants: elections, renewals) have a thread of their own:
+        // the leader's right to act must not wait behind a user's request.
         let (leases, lease_queue) = RequestQueue::bounded(STORE_QUEUE_LEN);
         spawn_client("touch", addr, &lease_queue, events)?;
         let watch = Watch::new(addr, events.clone(), clock, watch_timing);
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::event_queue::EventSender;
 use crate::http::{CallError, Client};
-use crate::limits::{WATCH_MIN_INTERVAL, WATCH_RETRY_FIRST, WATCH_RETRY_MAX, WATCH_UNREADABLE_MAX};
+use crate::limits::{WATCH_PAUSE, WATCH_RETRY_FIRST, WATCH_RETRY_MAX, WATCH_UNREADABLE_MAX};
 use crate::store_client::store_call;
 use marblebarrow_core::event::{Event, Secs, StoreRequest, StoreResult, WatchContent, WatchNews};
 use marblebarrow_core::facts::WatchTiming;
@@ -146,7 +146,7 @@
         // An answer without changes proves the copy current too.
         self.publish(sent, answer.revision, WatchContent::Events(answer.events));
         if changed {
-            thread::sleep(WATCH_MIN_INTERVAL);
+            thread::sleep(WATCH_PAUSE);
         } else if self.failures == 0 && self.ended_early(sent) {
             thread::sleep(WATCH_RETRY_FIRST);
         }
