--- /dev/null
+++ b/src/store_client.rs
@@ -0,0 +1,68 @@
+//! Requests of the key-value store over HTTP, and what their answers mean.
+
+use crate::http::{CallError, Client, ClientResponse};
+use crate::limits::{STORE_LEASE_TIMEOUT, STORE_TIMEOUT};
+use marblebarrow_core::consts::PAGE_LIMIT;
+use marblebarrow_core::event::{StoreRequest, StoreResult};
+use marblebarrow_proto::cbor;
+use marblebarrow_proto::wire::{GrantAsk, GrantGiven, TxnAnswer};
+
+/// Makes a request of the store and reads its answer.
+pub fn store_call(client: &mut Client, request: &StoreRequest) -> StoreResult {
+    match send(client, request) {
+        Ok(response) => read_response(request, &response),
+        Err(CallError::NotSent) => StoreResult::Refused,
+        Err(CallError::Unknown | CallError::Unreadable) => StoreResult::Unknown,
+    }
+}
+
+fn send(client: &mut Client, request: &StoreRequest) -> Result<ClientResponse, CallError> {
+    match request {
+        StoreRequest::Commit(txn) => {
+            client.call("POST", "/commit", &cbor::encode(txn), STORE_TIMEOUT)
+        }
+        StoreRequest::Get(key) => client.call("GET", &format!("/store/{key}"), &[], STORE_TIMEOUT),
+        StoreRequest::Range { prefix, after } => {
+            client.call("GET", &range_path(prefix, after), &[], STORE_TIMEOUT)
+        }
+        StoreRequest::Grant(ttl_ms) => {
+            let body = cbor::encode(&GrantAsk { ttl_ms: *ttl_ms });
+            client.call("POST", "/grants", &body, STORE_LEASE_TIMEOUT)
+        }
+        StoreRequest::Touch(grant) => {
+            client.call("POST", &format!("/grants/{grant}/touch"), &[], STORE_LEASE_TIMEOUT)
+        }
+        StoreRequest::Revoke(grant) => {
+            client.call("DELETE", &format!("/grants/{grant}"), &[], STORE_LEASE_TIMEOUT)
+        }
+    }
+}
+
+fn range_path(prefix: &str, after: &str) -> String {
+    let first_page = format!("/store?under={prefix}&limit={PAGE_LIMIT}");
+    if after.is_empty() { first_page } else { format!("{first_page}&after={after}") }
+}
+
+fn read_response(request: &StoreRequest, response: &ClientResponse) -> StoreResult {
+    let body = &response.body;
+    match (request, response.status) {
+        (_, 429 | 503) => StoreResult::Refused,
+        (StoreRequest::Commit(_), 200) => cbor::decode::<TxnAnswer>(body)
+            .map_or(StoreResult::Unknown, |answer| StoreResult::Committed(answer.revision)),
+        (StoreRequest::Commit(_), 409) => cbor::decode::<TxnAnswer>(body)
+            .map_or(StoreResult::Unknown, |answer| StoreResult::Conflict(answer.failed)),
+        (StoreRequest::Get(_), 200) => {
+            cbor::decode(body).map_or(StoreResult::Unknown, |item| StoreResult::Value(Some(item)))
+        }
+        (StoreRequest::Get(_), 404) => StoreResult::Value(None),
+        (StoreRequest::Range { .. }, 200) => {
+            cbor::decode(body).map_or(StoreResult::Unknown, StoreResult::Page)
+        }
+        (StoreRequest::Grant(_), 200) => cbor::decode::<GrantGiven>(body)
+            .map_or(StoreResult::Unknown, |given| StoreResult::Granted(given.grant)),
+        (StoreRequest::Touch(_) | StoreRequest::Revoke(_), 404) => StoreResult::NoGrant,
+        (StoreRequest::Touch(_) | StoreRequest::Revoke(_), 200..=299) => StoreResult::Touched,
+        (_, 400..=499) => StoreResult::Rejected,
+        _ => StoreResult::Unknown,
+    }
+}
