--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -88,6 +88,8 @@
     pub(crate) start_lag: Secs,
     next_step: Secs,
     next_sweep: Secs,
+    /// When it was elected.
+    elected_at: Secs,
     /// Since when this process has had the processor when it wanted it.
     pub(crate) prompt_since: Secs,
     pub(crate) next_push: Secs,
@@ -150,6 +152,7 @@
             start_lag: 0.0,
             next_step: 0.0,
             next_sweep: 0.0,
+            elected_at: now,
             prompt_since: now,
             next_push: 0.0,
             recovering: true,
@@ -376,7 +379,10 @@
     /// so did the next, which had all the work of taking over besides.)
     pub fn workers_unreachable(&self, now: Secs) -> bool {
         let silence = self.facts.report_s * WORKERS_SILENT_REPORTS + WORKERS_SILENT_MARGIN_S;
-        if !self.prompt_for(now, silence) {
+        // Answers to the direct commands of a new leader count as heard, and then workers may
+        // wait for their last leader until they give it up. (One that resigned after 3.5 s
+        // left them to their leases.)
+        if !self.prompt_for(now, silence) || now - self.elected_at < GONE_AFTER_S {
             return false;
         }
         let mut silent = 0;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -239,8 +239,12 @@
         self.change_leadership(now, turn);
         if self.leader.as_ref().is_some_and(|l| l.workers_unreachable(now))
             && !self.facts.others.is_empty()
+            && !self.store_bad()
         {
-            // The store alone still hears us: someone else should lead.
+            // The store alone still hears us: someone else should lead. Where it refuses us
+            // too, resigning wins nothing: in an outage nobody can be elected (a leader of
+            // three machines that missed two heartbeats each once left them to their
+            // leases), and a leader refused alone loses its key by itself.
             self.resign(now, LossReason::WorkersUnreachable);
         }
         if self.out_of_date(now) {
--- a/crates/core/tests/cluster/main.rs
+++ b/crates/core/tests/cluster/main.rs
@@ -683,3 +683,4 @@
             .expect("round trip");
     assert_eq!(back, txn);
 }
+
