--- a/crates/core/tests/cluster/main.rs
+++ b/crates/core/tests/cluster/main.rs
@@ -683,4 +683,3 @@
             .expect("round trip");
     assert_eq!(back, txn);
 }
-
