--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -12,7 +12,7 @@
 use crate::cascaded_jobs::CascadedJobs;
 use crate::consts::{CASCADE_CHANGES, CASCADE_LISTS_PER_TXN, STORE_RETRY_S};
 use crate::event::{OpId, Secs, StoreResult};
-use marblebarrow_proto::cbor::to_value;
+use marblebarrow_proto::cbor::{json_text_len, to_value};
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::records::{CASCADE_GENERATION, CascadeRecord, LEADER, cascade_key};
 use marblebarrow_proto::wire::{Cond, Txn, Write};
@@ -20,10 +20,6 @@
 
 /// Bytes of `{"jobs":[]}`.
 const LIST_FRAME_BYTES: usize = 11;
-/// Bytes of the quotes and the comma of one id.
-const ID_FRAME_BYTES: usize = 3;
-/// Most bytes of one character in a JSON text (`\u0000`).
-const ESCAPE_BYTES: usize = 6;
 
 /// What an answer of the store meant for the lists.
 #[derive(Debug, PartialEq)]
@@ -278,7 +274,8 @@
     let mut lists: Vec<Vec<JobId>> = Vec::new();
     let mut room = 0;
     for job in jobs {
-        let bytes = json_bytes(job);
+        // With the comma after it.
+        let bytes = json_text_len(job.as_str()) + 1;
         if bytes > room || lists.is_empty() {
             lists.push(Vec::new());
             room = value_bytes.saturating_sub(LIST_FRAME_BYTES);
@@ -291,13 +288,6 @@
     lists
 }
 
-/// Bytes of an id in a JSON list, at most.
-fn json_bytes(job: &JobId) -> usize {
-    let plain = |c: &char| c.is_ascii_graphic() && *c != '"' && *c != '\\';
-    let of = |c: char| if plain(&c) { 1 } else { ESCAPE_BYTES.max(c.len_utf8()) };
-    job.as_str().chars().map(of).sum::<usize>() + ID_FRAME_BYTES
-}
-
 #[cfg(test)]
 #[path = "tests/cascade.rs"]
 mod tests;
--- a/crates/core/src/record_shape.rs
+++ b/crates/core/src/record_shape.rs
@@ -6,11 +6,11 @@
     VALUE_FILL,
 };
 use crate::facts::Facts;
-use marblebarrow_proto::cbor::{json_len, to_value};
+use marblebarrow_proto::cbor::{json_len, json_text_len, to_value};
 use marblebarrow_proto::ids::MachineId;
 use marblebarrow_proto::intset::{IntSet, PackedSet};
 use marblebarrow_proto::records::{MachineBlock, MachineRecord, NumberSet, ProgressRecord};
-use marblebarrow_proto::wire::{Txn, Write};
+use serde::Serialize;
 
 /// What the state service takes: as the settings say, or less where it rejected more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,24 +40,50 @@
     /// The state service rejected a transaction as malformed or too large: the next are
     /// smaller. It doesn't say which limit was passed, so fewer changes are tried first,
     /// then smaller values.
-    pub fn shrink(&mut self, rejected: &Txn) {
-        let changes = rejected.writes.len();
-        if changes > CHANGES_LEAST {
-            self.changes = self.changes.min((changes / 2).max(CHANGES_LEAST));
+    pub fn shrink(&mut self, rejected: TransactionShape) {
+        if rejected.changes > CHANGES_LEAST {
+            self.changes = self.changes.min((rejected.changes / 2).max(CHANGES_LEAST));
             return;
         }
-        let largest = largest_value(rejected);
-        self.value_bytes = self.value_bytes.min((largest / 2).max(VALUE_BYTES_LEAST));
+        let half = rejected.largest_value / 2;
+        self.value_bytes = self.value_bytes.min(half.max(VALUE_BYTES_LEAST));
     }
 }
 
-/// Bytes of the largest value that a transaction puts, as JSON.
-pub fn largest_value(txn: &Txn) -> usize {
-    let sizes = txn.writes.iter().map(|write| match write {
-        Write::Put { value, .. } => json_len(value),
-        Write::Delete { .. } => 0,
-    });
-    sizes.max().unwrap_or(0)
+/// What counts of a transaction for the limits.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TransactionShape {
+    /// Puts and deletes.
+    pub changes: usize,
+    /// Bytes of the largest value put, as JSON, at most.
+    pub largest_value: usize,
+}
+
+/// A record's value, and the bytes that it takes as JSON at most.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SizedValue {
+    /// What is stored.
+    pub value: ciborium::Value,
+    /// Its size.
+    pub bytes: usize,
+}
+
+impl SizedValue {
+    /// A small record, measured.
+    pub fn of(record: &impl Serialize) -> Self {
+        let value = to_value(record);
+        let bytes = json_len(&value);
+        Self { value, bytes }
+    }
+}
+
+/// A block of machine records that fits, and its size as JSON at most, bytes.
+#[derive(Debug, PartialEq)]
+pub struct SizedBlock {
+    /// The records.
+    pub block: MachineBlock,
+    /// Its size.
+    pub bytes: usize,
 }
 
 /// Machine records in as few blocks as their size allows, in order. Images that a
@@ -65,49 +91,48 @@
 pub fn split_block(
     machines: Vec<(MachineId, MachineRecord)>,
     limits: ShapeLimits,
-) -> Vec<MachineBlock> {
+) -> Vec<SizedBlock> {
     let most = limits.record_bytes();
-    let mut blocks: Vec<MachineBlock> = Vec::new();
-    let mut used = most;
+    let mut blocks: Vec<SizedBlock> = Vec::new();
     for (id, mut record) in machines {
         let bytes = trim_images(&id, &mut record, limits);
         match blocks.last_mut() {
-            Some(block) if used + bytes <= most => {
-                block.machines.push((id, record));
-                used += bytes;
+            Some(last) if last.bytes + bytes <= most => {
+                last.block.machines.push((id, record));
+                last.bytes += bytes;
             }
             _ => {
-                blocks.push(MachineBlock { machines: vec![(id, record)] });
-                used = empty_block_bytes() + bytes;
+                let block = MachineBlock { machines: vec![(id, record)] };
+                blocks.push(SizedBlock { block, bytes: BLOCK_FRAME_BYTES + bytes });
             }
         }
     }
     blocks
 }
 
-fn empty_block_bytes() -> usize {
-    json_len(&to_value(&MachineBlock::default()))
-}
+/// Bytes of `{"machines":[]}`.
+const BLOCK_FRAME_BYTES: usize = 15;
+/// Bytes of a machine's entry in a block besides its texts: field names, punctuation, the
+/// number and the flag.
+const ENTRY_FRAME_BYTES: usize = 90;
 
 /// Leaves out the images held longest ago until the record takes no more than its share
-/// of a value; returns the bytes that it takes, with the comma after it.
+/// of a value; returns the bytes that it takes at most, with the comma after it.
 fn trim_images(id: &MachineId, record: &mut MachineRecord, limits: ShapeLimits) -> usize {
     let most = (limits.record_bytes() as f64 * MACHINE_RECORD_SHARE) as usize;
-    loop {
-        let bytes = json_len(&to_value(&(id, &*record))) + 1;
-        if bytes <= most || record.images.is_empty() {
-            return bytes;
-        }
-        // Recent ones come last. A few at a time: machines hold dozens.
-        let excess = (bytes - most).div_ceil(IMAGE_BYTES_MOST);
-        record.images.drain(..excess.min(record.images.len()));
-    }
+    let texts = [id.as_str(), &record.kind, &record.zone, &record.addr];
+    let base = ENTRY_FRAME_BYTES + texts.map(json_text_len).iter().sum::<usize>();
+    let mut bytes = base;
+    // Recent ones come last.
+    let fitting = record.images.iter().rev().take_while(|image| {
+        bytes += json_text_len(image) + 1;
+        bytes <= most
+    });
+    let kept = fitting.count();
+    record.images.drain(..record.images.len() - kept);
+    base + record.images.iter().map(|image| json_text_len(image) + 1).sum::<usize>()
 }
 
-/// An image's name, with quotes and comma, is thought to take no more, bytes; where it
-/// does take less, more than needed stay and the record is trimmed again.
-const IMAGE_BYTES_MOST: usize = 64;
-
 /// The sets of a job that one part of its progress holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProgressSets {
@@ -149,11 +174,17 @@
     (start, len): (u32, u32),
     rest: &ProgressRecord,
     limits: ShapeLimits,
-) -> (ProgressRecord, ProgressSets) {
+) -> (SizedValue, ProgressSets) {
     let most = limits.record_bytes();
     let record = sets.packed(start, len, rest);
-    if json_len(&to_value(&record)) <= most {
-        return (record, sets);
+    // Mostly small, and then known to fit without being measured.
+    let bytes = progress_bytes_at_most(&record);
+    if bytes <= most {
+        return (SizedValue { value: to_value(&record), bytes }, sets);
+    }
+    let sized = SizedValue::of(&record);
+    if sized.bytes <= most {
+        return (sized, sets);
     }
     let inside = ProgressSets {
         started: sets.started.within(start, len),
@@ -163,14 +194,25 @@
     let mut ranges = most / RANGE_BYTES;
     loop {
         let coarse = inside.coarsened(ranges.max(1));
-        let record = coarse.packed(start, len, rest);
-        if ranges <= 1 || json_len(&to_value(&record)) <= most {
-            return (record, coarse);
+        let sized = SizedValue::of(&coarse.packed(start, len, rest));
+        if ranges <= 1 || sized.bytes <= most {
+            return (sized, coarse);
         }
         ranges = ranges * 3 / 4;
     }
 }
 
+fn progress_bytes_at_most(record: &ProgressRecord) -> usize {
+    let sets = [&record.started, &record.finished, &record.machines.set];
+    let numbers: usize = sets.iter().map(|set| set.r.len() + set.b.len()).sum();
+    PROGRESS_FRAME_BYTES + numbers * NUMBER_BYTES
+}
+
+/// Bytes of a progress record besides the numbers of its sets, at most.
+const PROGRESS_FRAME_BYTES: usize = 200;
+/// Bytes of a `u32` and its comma, at most.
+const NUMBER_BYTES: usize = 11;
+
 /// What a range takes in each of the three sets at least, bytes: two one-digit numbers
 /// and their commas. The first try; narrower ones follow.
 const RANGE_BYTES: usize = 3 * 4;
--- a/crates/core/src/tests/record_shape.rs
+++ b/crates/core/src/tests/record_shape.rs
@@ -17,9 +17,8 @@
     (MachineId::new(&format!("n-{number:06}")), record)
 }
 
-fn put(bytes: usize) -> Write {
-    let value = ciborium::Value::Text("x".repeat(bytes - 2));
-    Write::Put { key: "k".into(), value, grant: None }
+fn shape(changes: usize, largest_value: usize) -> TransactionShape {
+    TransactionShape { changes, largest_value }
 }
 
 #[test]
@@ -27,11 +26,11 @@
     let machines: Vec<_> = (0..BLOCK_MACHINES as u32).map(|n| machine(n, 40)).collect();
     let blocks = split_block(machines.clone(), TWO_KIB);
     assert!(blocks.len() > 1 && blocks.len() <= TWO_KIB.changes, "{} blocks", blocks.len());
-    for block in &blocks {
-        let bytes = json_len(&to_value(block));
-        assert!(bytes <= TWO_KIB.record_bytes(), "{bytes} bytes");
+    for SizedBlock { block, bytes } in &blocks {
+        assert!(json_len(&to_value(block)) <= *bytes, "no more than it is thought to take");
+        assert!(*bytes <= TWO_KIB.record_bytes(), "{bytes} bytes");
     }
-    let kept: Vec<_> = blocks.iter().flat_map(|b| &b.machines).collect();
+    let kept: Vec<_> = blocks.iter().flat_map(|b| &b.block.machines).collect();
     assert_eq!(kept.len(), machines.len());
     for ((id, record), (id_before, before)) in kept.into_iter().zip(&machines) {
         assert_eq!(id, id_before);
@@ -43,19 +42,21 @@
 #[test]
 fn a_block_that_fits_is_left_as_it_is() {
     let machines: Vec<_> = (0..6).map(|n| machine(n, 4)).collect();
-    assert_eq!(split_block(machines.clone(), TWO_KIB), vec![MachineBlock { machines }]);
+    let blocks = split_block(machines.clone(), TWO_KIB);
+    assert_eq!(blocks.len(), 1);
+    assert_eq!(blocks[0].block, MachineBlock { machines });
 }
 
 #[test]
 fn rejections_shrink_transactions_first_and_then_values() {
     let mut limits = ShapeLimits { value_bytes: 16 * 1024, changes: 16 };
-    limits.shrink(&Txn { conds: Vec::new(), writes: (0..12).map(|_| put(900)).collect() });
+    limits.shrink(shape(12, 900));
     assert_eq!(limits, ShapeLimits { value_bytes: 16 * 1024, changes: 6 });
-    limits.shrink(&Txn { conds: Vec::new(), writes: vec![put(6_000), put(100)] });
+    limits.shrink(shape(2, 6_000));
     assert_eq!(limits, ShapeLimits { value_bytes: 3_000, changes: 6 });
     for _ in 0..9 {
-        limits.shrink(&Txn { conds: Vec::new(), writes: vec![put(100)] });
-        limits.shrink(&Txn { conds: Vec::new(), writes: (0..5).map(|_| put(9)).collect() });
+        limits.shrink(shape(1, 100));
+        limits.shrink(shape(5, 9));
     }
     let floor = ShapeLimits { value_bytes: VALUE_BYTES_LEAST, changes: CHANGES_LEAST };
     assert_eq!(limits, floor, "never below what a job's end and a split block take");
@@ -92,9 +93,10 @@
         };
         let rest = ProgressRecord { mean_ms: 31_000, queue: Some(3), ..Default::default() };
         let (record, held) = fit_progress(sets.clone(), (0, 8_192), &rest, limits);
-        prop_assert!(json_len(&to_value(&record)) <= limits.record_bytes());
+        prop_assert!(json_len(&record.value) <= record.bytes);
+        prop_assert!(record.bytes <= limits.record_bytes());
         // What is thought to be stored is what a new leader reads.
-        let read: ProgressRecord = from_value(&to_value(&record)).expect("readable");
+        let read: ProgressRecord = from_value(&record.value).expect("readable");
         let (mut read_started, mut read_finished) = (IntSet::new(), IntSet::new());
         read.started.unpack(0, 8_192, &mut read_started);
         read.finished.unpack(0, 8_192, &mut read_finished);
--- a/crates/core/src/writer/answers.rs
+++ b/crates/core/src/writer/answers.rs
@@ -5,12 +5,11 @@
 use crate::event::{ActionSink, OpId, Secs, StoreResult};
 use crate::jobs::{Job, Outcome, Phase};
 use crate::leader::Leader;
-use crate::record_shape::largest_value;
+use crate::record_shape::TransactionShape;
 use marblebarrow_proto::cbor::from_value;
 use marblebarrow_proto::ids::{Attempt, JobId, MachineId, TaskId};
 use marblebarrow_proto::intset::{IntSet, PackedSet};
 use marblebarrow_proto::records::{self, *};
-use marblebarrow_proto::wire::Txn;
 
 impl Leader {
     /// A transaction or a read of ours was answered. False: we don't lead.
@@ -35,7 +34,7 @@
             return true;
         }
         let running = self.writer.running.take_if(|running| running.op == op);
-        let Some(Running { txn, entries, .. }) = running else {
+        let Some(Running { shape, entries, .. }) = running else {
             return true;
         };
         let refused = matches!(result, StoreResult::Refused);
@@ -57,7 +56,7 @@
             }
             StoreResult::Rejected => {
                 self.writer.next = now + STORE_RETRY_S;
-                self.rejected(now, &txn);
+                self.rejected(now, shape);
                 entries.into_iter().for_each(|e| self.entry_again(now, e));
             }
             // Perhaps executed, or a version wasn't what we thought: read each.
@@ -81,10 +80,10 @@
     }
 
     /// The state service takes less than we thought: the limits may fall at any time.
-    fn rejected(&mut self, now: Secs, txn: &Txn) {
-        self.writer.limits.shrink(txn);
+    fn rejected(&mut self, now: Secs, shape: TransactionShape) {
+        self.writer.limits.shrink(shape);
         let limits = self.writer.limits;
-        let (changes, largest) = (txn.writes.len(), largest_value(txn));
+        let TransactionShape { changes, largest_value: largest } = shape;
         self.log.info(now, || {
             format!(
                 "event=write_rejected changes={changes} largest_value={largest} \
--- a/crates/core/src/writer/batch.rs
+++ b/crates/core/src/writer/batch.rs
@@ -5,9 +5,11 @@
 use crate::event::{ActionSink, Secs, StoreRequest};
 use crate::jobs::Job;
 use crate::leader::Leader;
-use crate::record_shape::{ProgressSets, ShapeLimits, fit_progress, split_block};
+use crate::record_shape::{
+    ProgressSets, ShapeLimits, SizedBlock, SizedValue, TransactionShape, fit_progress, split_block,
+};
 use crate::replica::Replica;
-use marblebarrow_proto::cbor::{json_len, to_value};
+use marblebarrow_proto::cbor::to_value;
 use marblebarrow_proto::ids::{JobId, MachineId};
 use marblebarrow_proto::intset::IntSet;
 use marblebarrow_proto::job::Kind;
@@ -19,7 +21,9 @@
     txn: Txn,
     entries: Vec<Entry>,
     room: usize,
+    /// Bytes of the values as JSON, at most, and of the largest one.
     bytes: usize,
+    largest_value: usize,
 }
 
 impl Batch {
@@ -30,8 +34,9 @@
     fn free(&self) -> usize {
         self.room.saturating_sub(self.txn.writes.len())
     }
-    fn put(&mut self, key: String, version: u64, value: ciborium::Value) {
-        self.bytes += json_len(&value);
+    fn put(&mut self, key: String, version: u64, SizedValue { value, bytes }: SizedValue) {
+        self.bytes += bytes;
+        self.largest_value = self.largest_value.max(bytes);
         self.txn.conds.push(Cond { key: key.clone(), version });
         self.txn.writes.push(Write::Put { key, value, grant: None });
     }
@@ -53,15 +58,16 @@
             w.reading = Some(out.store(StoreRequest::Get(key.clone())));
             return;
         }
-        let Batch { txn, entries, .. } = self.batch(now, replica);
+        let Batch { txn, entries, largest_value, .. } = self.batch(now, replica);
         if txn.writes.is_empty() {
             return;
         }
         let w = &mut self.writer;
         w.budget -= txn.writes.len() as f64;
         w.next = now + FLUSH_EVERY_S;
-        let op = out.store(StoreRequest::Commit(txn.clone()));
-        w.running = Some(Running { op, txn, entries });
+        let shape = TransactionShape { changes: txn.writes.len(), largest_value };
+        let op = out.store(StoreRequest::Commit(txn));
+        w.running = Some(Running { op, shape, entries });
     }
 
     // What others wait for goes first: jobs whose end is overdue, machines and
@@ -76,6 +82,7 @@
             entries: Vec::new(),
             room: self.writer.changes_allowed(),
             bytes: 0,
+            largest_value: 0,
         };
         if b.room == 0 {
             return b;
@@ -167,12 +174,14 @@
         true
     }
 
-    fn put_block(&mut self, number: u32, part: &MachineBlock, b: &mut Batch) {
-        let names: Vec<MachineId> = part.machines.iter().map(|(id, _)| id.clone()).collect();
+    fn put_block(&mut self, number: u32, part: &SizedBlock, b: &mut Batch) {
+        let SizedBlock { block: records, bytes } = part;
+        let names: Vec<MachineId> = records.machines.iter().map(|(id, _)| id.clone()).collect();
         let block = self.writer.blocks.entry(number).or_default();
         block.mark = None;
         block.members = names.iter().cloned().collect();
-        b.put(block_key(number), block.version, to_value(part));
+        let value = SizedValue { value: to_value(records), bytes: *bytes };
+        b.put(block_key(number), block.version, value);
         for id in &names {
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.block = Some(number);
@@ -207,7 +216,7 @@
             }
             let Some(job) = self.jobs.get(&id) else { continue };
             let (record, sets) = progress_part(job, part, self.writer.limits);
-            b.put(progress_key(&id, part), job.parts[part as usize], to_value(&record));
+            b.put(progress_key(&id, part), job.parts[part as usize], record);
             b.entries.push(Entry::Part { job: id.clone(), part, sets });
             self.writer.parts.remove(&(id, part));
         }
@@ -246,7 +255,7 @@
             let spec = &job.record.spec;
             if !cancelled {
                 let end = EndRecord { cancelled: false, tasks: spec.tasks };
-                b.put(end_key(&id), 0, to_value(&end));
+                b.put(end_key(&id), 0, SizedValue::of(&end));
             } else {
                 b.txn.writes.push(Write::Delete { key: cancel_key(&id) });
             }
@@ -270,8 +279,8 @@
         if replica.types.as_ref().is_some_and(|t| t.len() == self.cloud_requests.types.len()) {
             return;
         }
-        let types = to_value(&self.cloud_requests.types);
-        if json_len(&types) > self.writer.limits.record_bytes() {
+        let types = SizedValue::of(&self.cloud_requests.types);
+        if types.bytes > self.writer.limits.record_bytes() {
             // Too many types for one value: controllers then wait for the cloud.
             return;
         }
@@ -289,13 +298,13 @@
         }
         self.writer.format_sent = format;
         let version = replica.common_format.as_ref().map_or(0, |(_, version)| *version);
-        b.put(COMMON_FORMAT.into(), version, to_value(&FormatRecord { format }));
+        b.put(COMMON_FORMAT.into(), version, SizedValue::of(&FormatRecord { format }));
         b.entries.push(Entry::Format(format));
     }
 }
 
 /// A part's record, and the sets that it holds.
-fn progress_part(job: &Job, part: u32, limits: ShapeLimits) -> (ProgressRecord, ProgressSets) {
+fn progress_part(job: &Job, part: u32, limits: ShapeLimits) -> (SizedValue, ProgressSets) {
     let first = part == 0;
     let rest = ProgressRecord {
         mean_ms: if first { job.mean_run().map_or(0, |m| (m * 1e3) as u64) } else { 0 },
--- a/crates/core/src/writer/mod.rs
+++ b/crates/core/src/writer/mod.rs
@@ -9,10 +9,9 @@
 use crate::event::{OpId, Secs};
 use crate::facts::Facts;
 use crate::fleet::Machine;
-use crate::record_shape::{ProgressSets, ShapeLimits};
+use crate::record_shape::{ProgressSets, ShapeLimits, TransactionShape};
 use marblebarrow_proto::ids::{JobId, MachineId};
 use marblebarrow_proto::records::PART_TASKS;
-use marblebarrow_proto::wire::Txn;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// One record of a transaction.
@@ -109,8 +108,8 @@
 #[derive(Debug)]
 struct Running {
     op: OpId,
-    /// As it was sent, for the case that it is rejected.
-    txn: Txn,
+    /// For the case that it is rejected.
+    shape: TransactionShape,
     entries: Vec<Entry>,
 }
 
--- a/crates/proto/src/cbor.rs
+++ b/crates/proto/src/cbor.rs
@@ -51,6 +51,17 @@
     }
 }
 
+/// Length of a text written as JSON with its quotes, bytes, at most: no shorter than
+/// [`json_len`] says, and found without writing it.
+pub fn json_text_len(text: &str) -> usize {
+    let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '\\';
+    let length = |c: char| if plain(c) { 1 } else { JSON_ESCAPE_LEN };
+    text.chars().map(length).sum::<usize>() + 2
+}
+
+/// Most bytes of a character of a JSON text, as `\u0000`.
+const JSON_ESCAPE_LEN: usize = 6;
+
 /// Counts the bytes written to it.
 struct ByteCounter(usize);
 
