--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -12,11 +12,11 @@
 #[derive(Debug)]
 pub(crate) struct DirectSent {
     pub machine: MachineId,
-    pub session: u64,
+    pub agent_epoch: u64,
     pub token: u64,
     /// When it was sent.
     pub at: Secs,
-    /// Session and number of the newest message known at sending.
+    /// Epoch and number of the newest message known at sending.
     pub known: (u64, u64),
     pub starts: Vec<AttemptKey>,
     /// The machine didn't answer the last.
@@ -52,7 +52,7 @@
         m.reached = Some(now);
         m.unreached = 0;
         m.probe_due = false;
-        if (report.session, report.seq) <= sent.known {
+        if (report.agent_epoch, report.seq) <= sent.known {
             return self.worker_began_anew(now, &sent.machine);
         }
         self.apply_report(now, report);
@@ -61,7 +61,7 @@
 
     /// The answer to a question of ours can't be a late copy, and yet it counts from below what
     /// we knew: the worker itself began anew. Its numbers no longer tell old from new, and
-    /// orders held back for the one before match its session, so nothing but its release
+    /// orders held back for the one before match its epoch, so nothing but its release
     /// proves what doesn't run there. (A copy of its former self's list once was believed, and
     /// a task ran twice.)
     fn worker_began_anew(&mut self, now: Secs, id: &MachineId) {
@@ -85,7 +85,7 @@
         m.direct_failed = Some(now);
         let again = if m.unreached < PROBES { PROBE_AGAIN_S } else { DIRECT_BACKOFF_S };
         m.direct_after = now + again;
-        if m.session != sent.session {
+        if m.agent_epoch != sent.agent_epoch {
             return;
         }
         for key in sent.starts {
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -145,7 +145,7 @@
 /// How direct commands went.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DirectResult {
-    /// Executed (true) or refused for token or session (false), with a report.
+    /// Executed (true) or refused for token or epoch (false), with a report.
     Report(bool, Box<Report>),
     /// The worker never got it.
     NotSent,
@@ -295,8 +295,8 @@
         addr: String,
         /// Our term.
         token: u64,
-        /// Session meant.
-        session: u64,
+        /// Agent epoch meant.
+        agent_epoch: u64,
         /// The commands.
         commands: Vec<Command>,
     },
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -24,9 +24,9 @@
     pub fetch_rate: f64,
     /// Image cache, GB.
     pub cache_gb: f64,
-    /// Its worker's session; 0: unknown.
-    pub session: u64,
-    /// Newest message's number within the session.
+    /// Its worker's agent epoch; 0: unknown.
+    pub agent_epoch: u64,
+    /// Newest message's number within the epoch.
     pub seq: u64,
     /// Highest token it was seen to hold.
     pub token: u64,
@@ -51,7 +51,7 @@
     pub direct_failed: Option<Secs>,
     /// All that it may run is known: it reported under this term.
     pub confirmed: bool,
-    /// Its tasks outlived their lease, in this session.
+    /// Its tasks outlived their lease, in this epoch.
     pub lapsed: Option<u64>,
     /// No new tasks.
     pub cordoned: bool,
@@ -113,7 +113,7 @@
             size: [0.0; 3],
             fetch_rate: 0.0,
             cache_gb: f64::INFINITY,
-            session: 0,
+            agent_epoch: 0,
             seq: 0,
             token: 0,
             heard: None,
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -130,7 +130,7 @@
             .filter(|(_, m)| {
                 m.direct.is_none()
                     && now >= m.direct_after
-                    && (m.push && m.session != 0 && m.lapsed.is_none() || m.probe_due)
+                    && (m.push && m.agent_epoch != 0 && m.lapsed.is_none() || m.probe_due)
             })
             .map(|(id, m)| WaitingOrder {
                 doubtful: m.unreached > 0,
@@ -146,17 +146,17 @@
             if self.directs.len() >= most || doubt && doubtful >= most_doubtful {
                 break;
             }
-            let Some((session, probe_due)) =
-                self.machines.get(&id).map(|m| (m.session, m.probe_due))
+            let Some((agent_epoch, probe_due)) =
+                self.machines.get(&id).map(|m| (m.agent_epoch, m.probe_due))
             else {
                 continue;
             };
             let (commands, starts) =
-                if session != 0 { self.compose(&id) } else { (Vec::new(), Vec::new()) };
+                if agent_epoch != 0 { self.compose(&id) } else { (Vec::new(), Vec::new()) };
             if probe_due || commands.iter().any(is_urgent) {
                 doubtful += usize::from(doubt);
-                // An unknown session is refused, with the report we want.
-                self.send_direct(now, &id, session.max(1), commands, starts, out);
+                // An unknown epoch is refused, with the report we want.
+                self.send_direct(now, &id, agent_epoch.max(1), commands, starts, out);
             }
         }
     }
@@ -165,7 +165,7 @@
         &mut self,
         now: Secs,
         id: &MachineId,
-        session: u64,
+        agent_epoch: u64,
         commands: Vec<Command>,
         starts: Vec<AttemptKey>,
         out: &mut ActionSink,
@@ -178,17 +178,17 @@
         };
         let op = out.op();
         m.direct = Some(op);
-        let known = (m.session, m.seq);
+        let known = (m.agent_epoch, m.seq);
         let doubtful = m.unreached > 0;
         out.actions.push(Action::Direct {
             op,
             addr: m.info.addr.clone(),
             token,
-            session,
+            agent_epoch,
             commands,
         });
         let machine = id.clone();
-        let sent = DirectSent { machine, session, token, at: now, known, starts, doubtful };
+        let sent = DirectSent { machine, agent_epoch, token, at: now, known, starts, doubtful };
         self.directs.insert(op, sent);
     }
 
@@ -219,7 +219,7 @@
             .collect();
         for id in lapsed {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.lapsed = Some(m.session);
+                m.lapsed = Some(m.agent_epoch);
                 m.probe_due = false;
                 m.confirmed = true;
             }
--- a/crates/core/src/reports/sessions.rs
+++ b/crates/core/src/reports/agent_epochs.rs
@@ -1,4 +1,4 @@
-//! A report's news of its worker: its session, and what that proves.
+//! A report's news of its worker: its epoch, and what that proves.
 
 use super::is_obsolete;
 use crate::event::Secs;
@@ -18,13 +18,13 @@
         let id = &report.machine;
         self.meet_machine(now, report);
         let Some(m) = self.machines.get(id) else { return };
-        if is_obsolete(report, m) || (report.session, report.seq) <= (m.session, m.seq) {
+        if is_obsolete(report, m) || (report.agent_epoch, report.seq) <= (m.agent_epoch, m.seq) {
             return;
         }
-        if m.session != 0 && report.session > m.session {
-            self.end_session(now, id);
+        if m.agent_epoch != 0 && report.agent_epoch > m.agent_epoch {
+            self.end_agent_epoch(now, id);
         }
-        self.take_session(now, report);
+        self.take_agent_epoch(now, report);
         self.take_reachability(now, report);
         self.revoke_shown(now, id);
         let mut listed = BTreeSet::new();
@@ -46,9 +46,9 @@
         }
     }
 
-    /// The worker has begun a new session: its lease ended though we heard it, or it was
+    /// The worker has begun a new epoch: its lease ended though we heard it, or it was
     /// silent. Either way its tasks are gone, and it must show anew that it hears us.
-    fn end_session(&mut self, now: Secs, id: &MachineId) {
+    fn end_agent_epoch(&mut self, now: Secs, id: &MachineId) {
         self.lose_tasks(id, now);
         let Some(m) = self.machines.get_mut(id) else { return };
         m.reached = None;
@@ -57,19 +57,19 @@
         m.withheld = false;
     }
 
-    fn take_session(&mut self, now: Secs, report: &Report) {
+    fn take_agent_epoch(&mut self, now: Secs, report: &Report) {
         let Some(m) = self.machines.get_mut(&report.machine) else { return };
-        if m.heard.is_none() || m.lapsed.is_some() || m.session != report.session {
+        if m.heard.is_none() || m.lapsed.is_some() || m.agent_epoch != report.agent_epoch {
             self.place_due = true;
         }
-        if m.session != report.session {
-            // Its lease counts from when the session began, which may be just now: counted
+        if m.agent_epoch != report.agent_epoch {
+            // Its lease counts from when the epoch began, which may be just now: counted
             // from our last answer to the one before, it once seemed to end while tasks ran
             // on.
             m.answered = now;
         }
         m.lapsed = None;
-        m.session = report.session;
+        m.agent_epoch = report.agent_epoch;
         m.seq = report.seq;
         m.token = m.token.max(report.token);
         m.heard = Some(now);
--- a/crates/core/src/reports/mod.rs
+++ b/crates/core/src/reports/mod.rs
@@ -1,11 +1,11 @@
 //! Heartbeats of workers: their reports, and the commands that the answers carry.
 //!
-//! [`sessions`] takes a report's news of its worker, [`tasks`] of each task listed, and
+//! [`agent_epochs`] takes a report's news of its worker, [`tasks`] of each task listed, and
 //! [`absence`] of the tasks that aren't; [`outcomes`] books tasks that ended.
 
 mod absence;
+mod agent_epochs;
 mod outcomes;
-mod sessions;
 mod tasks;
 
 use crate::consts::*;
@@ -113,15 +113,17 @@
 /// Whether a report is a copy that came late: its sender gave it up long ago, and an answer
 /// would only make a dead machine's lease seem alive.
 fn is_late_copy(report: &Report, m: &Machine) -> bool {
-    (report.session, report.seq) <= (m.session, m.reported)
-        || report.session < m.session
+    (report.agent_epoch, report.seq) <= (m.agent_epoch, m.reported)
+        || report.agent_epoch < m.agent_epoch
         || is_obsolete(report, m)
 }
 
-/// Whether a report comes from a session whose lease ended, or from before the worker began
+/// Whether a report comes from an epoch whose lease ended, or from before the worker began
 /// anew: the highest token seen never falls.
 fn is_obsolete(report: &Report, m: &Machine) -> bool {
-    report.token < m.token || m.reborn || m.lapsed.is_some_and(|lapsed| report.session <= lapsed)
+    report.token < m.token
+        || m.reborn
+        || m.lapsed.is_some_and(|lapsed| report.agent_epoch <= lapsed)
 }
 
 /// Commands that end what a report lists of jobs known to be cancelled.
--- a/crates/core/src/revocation.rs
+++ b/crates/core/src/revocation.rs
@@ -4,7 +4,7 @@
 //! the start carried. The worker takes it in with the same answer that renews its lease, so
 //! every renewal also ends the doubt. Until a higher token is there, its lease may be renewed
 //! only as long as it can still run out before the tasks of the cancelled job must be gone;
-//! then answers are withheld, and the end of the session takes the start back.
+//! then answers are withheld, and the end of the epoch takes the start back.
 
 use crate::consts::*;
 use crate::direct_results::DirectSent;
@@ -54,7 +54,7 @@
     /// take their token.
     pub(crate) fn doubt_starts(&mut self, now: Secs, sent: &DirectSent) {
         let Some(m) = self.machines.get_mut(&sent.machine) else { return };
-        let over = m.lapsed.is_some() || m.session != sent.session || m.token > sent.token;
+        let over = m.lapsed.is_some() || m.agent_epoch != sent.agent_epoch || m.token > sent.token;
         if over || sent.starts.is_empty() {
             return;
         }
@@ -73,11 +73,11 @@
             let doubt = StartDoubt { token: sent.token, since: sent.at, cancelled_at, listed };
             m.start_doubts.note(key.clone(), doubt);
             self.revocations.doubtful += 1;
-            let (machine, session, token) = (&sent.machine, sent.session, sent.token);
+            let (machine, agent_epoch, token) = (&sent.machine, sent.agent_epoch, sent.token);
             self.log.info(now, || {
                 format!(
                     "event=start_in_doubt task={task} attempt={} machine={machine} \
-                     session={session} token={token}",
+                     session={agent_epoch} token={token}",
                     attempt.0
                 )
             });
--- a/crates/core/src/start_doubts.rs
+++ b/crates/core/src/start_doubts.rs
@@ -1,8 +1,8 @@
 //! Starts on a machine whose fate is unknown: a direct command that carried them went
-//! unanswered, and may be carried out as long as token and session still match.
+//! unanswered, and may be carried out as long as token and epoch still match.
 //!
 //! Such a start is a right that was handed out. It ends when the worker has shown a higher
-//! token than the command carried, when its session is over, or when its machine is returned.
+//! token than the command carried, when its epoch is over, or when its machine is returned.
 //! (Nothing else ended it once, and a start was carried out 70 s after it was sent, its job
 //! long cancelled.)
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// The starts in doubt on one machine, in its present session.
+/// The starts in doubt on one machine, in its present agent epoch.
 #[derive(Debug, Default)]
 pub struct StartDoubts(BTreeMap<AttemptKey, StartDoubt>);
 
@@ -92,7 +92,7 @@
         self.0.is_empty()
     }
 
-    /// The session is over.
+    /// The agent epoch is over.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -269,7 +269,7 @@
         kind: "k".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         seq,
         token: 1,
         notice_s: None,
--- a/crates/core/tests/cluster/held_commands.rs
+++ b/crates/core/tests/cluster/held_commands.rs
@@ -33,9 +33,9 @@
     assert!(times >= 24, "they met {times} times");
 }
 
-/// The token that takes such starts back ends nobody's session.
+/// The token that takes such starts back ends nobody's epoch.
 #[test]
-fn raising_the_token_ends_no_session() {
+fn raising_the_token_ends_no_agent_epoch() {
     let raised = play(&[], |world| {
         assert_eq!(world.lapses, 0);
         told(world, "event=token_raised ")
@@ -91,7 +91,7 @@
     assert!(times >= 12, "they met {times} times");
 }
 
-/// The same with machines that report but hear nothing, or hang: their sessions end by
+/// The same with machines that report but hear nothing, or hang: their epochs end by
 /// themselves, or they hear the higher token as soon as they hear anything.
 #[test]
 fn held_starts_meet_deaf_and_hung_machines() {
--- a/crates/core/tests/cluster/main.rs
+++ b/crates/core/tests/cluster/main.rs
@@ -206,7 +206,7 @@
     meet(&[crash(160), crash(230), crash(300), crash(370), crash(440), crash(510)], changes, 60);
 }
 
-/// Old reports arrive after newer ones, also from earlier sessions and attempts.
+/// Old reports arrive after newer ones, also from earlier epochs and attempts.
 #[test]
 fn old_reports_arrive_after_newer_ones() {
     meet(
@@ -346,8 +346,8 @@
     }
 }
 
-/// A worker whose lease ran out while it heard nothing begins a new session,
-/// known from an answer to a direct order only: the session's lease counts from
+/// A worker whose lease ran out while it heard nothing begins a new epoch,
+/// known from an answer to a direct order only: the epoch's lease counts from
 /// then. It once counted from the last answer before, and tasks ran twice.
 #[test]
 fn a_new_session_has_its_lease_whole() {
--- a/crates/core/tests/log.rs
+++ b/crates/core/tests/log.rs
@@ -45,7 +45,7 @@
     assert!(count_of(&world, "event=leader node=") >= 4, "{:?}", world.info);
 }
 
-/// A start that went unanswered is told, with task, machine and session.
+/// A start that went unanswered is told, with task, machine and epoch.
 #[test]
 fn doubtful_starts_are_told() {
     let mut world = World::new(4, vec![(150, Trouble::MachineDeaf(0, 60))]);
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -144,7 +144,7 @@
             kind: "k".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
+            agent_epoch: 1,
             seq: 0,
             token: 0,
             notice_s: None,
--- a/crates/proto/src/wire/workers.rs
+++ b/crates/proto/src/wire/workers.rs
@@ -7,8 +7,8 @@
 //! | `build` | machine type (`kind`) |
 //! | `quarter` | zone |
 //! | `loaners` | spot |
-//! | `shift` | session: the agent's epoch, which rises as its lease runs out |
-//! | `tally` | sequence number within the session (`seq`) |
+//! | `shift` | the agent's epoch, which rises as its lease runs out |
+//! | `tally` | sequence number within the agent epoch (`seq`) |
 //! | `baton` | fencing token, which is the leader's term |
 //! | `warning_s` | notice before a spot machine is taken |
 //! | `pieces`, `piece` | tasks, task |
@@ -117,8 +117,8 @@
     pub spot: bool,
     /// Epoch of the worker: rises each time its lease runs out, as all its tasks are gone then.
     #[serde(rename = "shift")]
-    pub session: u64,
-    /// Order of messages within the session.
+    pub agent_epoch: u64,
+    /// Order of messages within the agent epoch.
     #[serde(rename = "tally")]
     pub seq: u64,
     /// Highest fencing token seen.
@@ -188,9 +188,9 @@
     /// Fencing token: the leader's term.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The session meant: in any other one nothing is executed.
+    /// The agent epoch meant: in any other one nothing is executed.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Commands, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/crates/rehearsal/src/held_commands.rs
+++ b/crates/rehearsal/src/held_commands.rs
@@ -23,7 +23,7 @@
     pub starts: u32,
     /// Direct commands that arrived after their sender had given them up.
     pub late_commands: u32,
-    /// Starts in such commands that arrived in their session after their job's tasks had to
+    /// Starts in such commands that arrived in their epoch after their job's tasks had to
     /// be gone.
     pub starts_past_cancellation: u32,
     /// Changes of leader.
@@ -32,14 +32,14 @@
     pub tokens_raised: u32,
     /// Machines whose reports went unanswered so that their lease ran out.
     pub machines_withheld: u32,
-    /// Sessions with tasks that ended as their lease ran out.
-    pub sessions_ended: u32,
+    /// Agent epochs with tasks that ended as their lease ran out.
+    pub epochs_ended: u32,
 }
 
 impl fmt::Display for HeldOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { starts, late_commands, starts_past_cancellation, .. } = self;
-        let Self { changes_of_leader, tokens_raised, machines_withheld, sessions_ended, .. } = self;
+        let Self { changes_of_leader, tokens_raised, machines_withheld, epochs_ended, .. } = self;
         writeln!(
             f,
             "starts={starts} late_commands={late_commands} \
@@ -48,7 +48,7 @@
         writeln!(
             f,
             "changes_of_leader={changes_of_leader} tokens_raised={tokens_raised} \
-             machines_withheld={machines_withheld} sessions_ended={sessions_ended}"
+             machines_withheld={machines_withheld} sessions_ended={epochs_ended}"
         )
     }
 }
@@ -130,6 +130,6 @@
         self.changes_of_leader += world.met.changes_of_leader.len() as u32;
         self.tokens_raised += told("event=token_raised ");
         self.machines_withheld += told("event=answers_withheld ");
-        self.sessions_ended += world.lapses;
+        self.epochs_ended += world.lapses;
     }
 }
--- a/crates/rehearsal/src/world/actions.rs
+++ b/crates/rehearsal/src/world/actions.rs
@@ -50,9 +50,9 @@
             Action::PledgeReply(to, answer) => self.send_pledge(n, to, answer),
             Action::Store(op, req) => self.send_store_request(n, boot, op, req),
             Action::Cloud(op, req) => self.send_cloud_request(n, boot, op, req),
-            Action::Direct { op, addr, token, session, commands } => {
+            Action::Direct { op, addr, token, agent_epoch, commands } => {
                 let machine = MachineId::new(&addr);
-                let cmd = DirectCommands { token, session, commands };
+                let cmd = DirectCommands { token, agent_epoch, commands };
                 self.send_direct(n, boot, op, machine, cmd);
             }
             Action::Heartbeat { store_ok, leading } => {
@@ -179,8 +179,8 @@
     /// Passes on a controller's answer to who asked.
     pub(super) fn reply(&mut self, n: usize, to: ReplyTo, answer: Answer) {
         match self.asked.remove(&(n, to)) {
-            Some(Asked::Report { machine, session, sent }) => {
-                self.after(0, Late::ReportAnswer { machine, session, sent, answer });
+            Some(Asked::Report { machine, agent_epoch, sent }) => {
+                self.after(0, Late::ReportAnswer { machine, agent_epoch, sent, answer });
             }
             Some(Asked::User { job, what, asked }) => self.user_told(n, &job, what, asked, &answer),
             Some(Asked::Cell(_)) | None => {}
--- a/crates/rehearsal/src/world/cloud.rs
+++ b/crates/rehearsal/src/world/cloud.rs
@@ -88,7 +88,7 @@
 }
 
 impl Worker {
-    /// The worker of a machine that is up, and begins its first session, at this time.
+    /// The worker of a machine that is up, and begins its first epoch, at this time.
     fn booting(rent: &Rent, up_at: f64) -> Self {
         Self {
             kind: rent.kind.clone(),
@@ -101,7 +101,7 @@
             mute_until: 0,
             hung_until: 0,
             slow_until: 0,
-            session: 1,
+            agent_epoch: 1,
             seq: 0,
             token: 0,
             leased_from: up_at,
--- a/crates/rehearsal/src/world/controllers.rs
+++ b/crates/rehearsal/src/world/controllers.rs
@@ -173,8 +173,8 @@
             Late::Event { node, boot, event } => self.event(node, boot, event),
             Late::Direct(direct) => self.deliver_direct(direct),
             Late::Report { node, report, sent } => self.deliver_heartbeat(node, report, sent),
-            Late::ReportAnswer { machine, session, sent, answer } => {
-                self.heartbeat_answered(&machine, session, sent, answer);
+            Late::ReportAnswer { machine, agent_epoch, sent, answer } => {
+                self.heartbeat_answered(&machine, agent_epoch, sent, answer);
             }
             Late::Cloud { node, boot, op, req, answer } => {
                 let result = self.cloud(&req);
@@ -195,11 +195,11 @@
     }
 
     fn deliver_heartbeat(&mut self, node: usize, report: Report, sent: f64) {
-        let (machine, session) = (report.machine.clone(), report.session);
+        let (machine, agent_epoch) = (report.machine.clone(), report.agent_epoch);
         if self.step < self.hosts[node].cut_until || self.parted(node, &machine) {
             return;
         }
-        self.ask(node, Asked::Report { machine, session, sent }, |to| {
+        self.ask(node, Asked::Report { machine, agent_epoch, sent }, |to| {
             Event::Report(to, Box::new(report))
         });
     }
--- a/crates/rehearsal/src/world/direct.rs
+++ b/crates/rehearsal/src/world/direct.rs
@@ -104,7 +104,7 @@
 
     fn note_late_commands(&mut self, machine: &MachineId, cmd: &DirectCommands) {
         self.met.late_commands += 1;
-        if self.machines.get(machine).is_none_or(|w| w.dead || w.session != cmd.session) {
+        if self.machines.get(machine).is_none_or(|w| w.dead || w.agent_epoch != cmd.agent_epoch) {
             return;
         }
         let past = |command: &&Command| {
--- a/crates/rehearsal/src/world/members.rs
+++ b/crates/rehearsal/src/world/members.rs
@@ -45,7 +45,7 @@
     pub(super) mute_until: u32,
     pub(super) hung_until: u32,
     pub(super) slow_until: u32,
-    pub(super) session: u64,
+    pub(super) agent_epoch: u64,
     pub(super) seq: u64,
     pub(super) token: u64,
     pub(super) leased_from: f64,
--- a/crates/rehearsal/src/world/messages.rs
+++ b/crates/rehearsal/src/world/messages.rs
@@ -36,7 +36,7 @@
     },
     ReportAnswer {
         machine: MachineId,
-        session: u64,
+        agent_epoch: u64,
         sent: f64,
         answer: Answer,
     },
@@ -53,7 +53,7 @@
 pub(super) enum Asked {
     Report {
         machine: MachineId,
-        session: u64,
+        agent_epoch: u64,
         sent: f64,
     },
     User {
--- a/crates/rehearsal/src/world/met.rs
+++ b/crates/rehearsal/src/world/met.rs
@@ -49,7 +49,7 @@
     pub cascaded: u32,
     /// Direct commands that arrived after their sender had given them up.
     pub late_commands: u32,
-    /// Starts in such commands that arrived in the session they were sent to, after their
+    /// Starts in such commands that arrived in the epoch they were sent to, after their
     /// job's tasks had to be gone: nothing but the token can keep them from being carried out.
     pub starts_past_cancellation: u32,
     /// Direct commands carried out whose answer came after their sender had given it up.
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -190,7 +190,7 @@
     pub rented: u32,
     /// No services at all.
     pub no_services: bool,
-    /// Sessions that ended as their lease ran out.
+    /// Agent epochs that ended as their lease ran out.
     pub lapses: u32,
     /// The job of this number is idle work, of so many tasks that run a minute each.
     pub idle: Option<(u32, u32)>,
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/troubles.rs
@@ -237,7 +237,7 @@
 
     /// A worker is back at once, empty and counting from the beginning.
     ///
-    /// Not while cut off: an order held back for its former self would match its session and
+    /// Not while cut off: an order held back for its former self would match its epoch and
     /// token, and nothing in the protocol could tell (see docs/questions.md).
     fn restart_worker(&mut self, place: usize) {
         let (now, step) = (self.now(), self.step);
@@ -245,7 +245,7 @@
         let machine = self.machines.iter_mut().nth(place).filter(|(_, w)| up(w));
         let Some((id, worker)) = machine else { return };
         worker.tasks.clear();
-        (worker.session, worker.seq, worker.token) = (1, 0, 0);
+        (worker.agent_epoch, worker.seq, worker.token) = (1, 0, 0);
         worker.leased_from = now;
         worker.next_report = now;
         worker.waiting = None;
--- a/crates/rehearsal/src/world/workers.rs
+++ b/crates/rehearsal/src/world/workers.rs
@@ -47,7 +47,7 @@
             kind: w.kind.clone(),
             zone: w.zone.clone(),
             spot: w.spot,
-            session: w.session,
+            agent_epoch: w.agent_epoch,
             seq: w.seq,
             token: w.token,
             notice_s: None,
@@ -84,7 +84,7 @@
         if now - w.leased_from > self.beat.1 {
             self.lapses += u32::from(!w.tasks.is_empty());
             w.tasks.clear();
-            w.session += 1;
+            w.agent_epoch += 1;
             w.seq = 0;
             w.leased_from = now;
         }
@@ -179,7 +179,7 @@
     pub(super) fn heartbeat_answered(
         &mut self,
         id: &MachineId,
-        session: u64,
+        agent_epoch: u64,
         sent: f64,
         answer: Answer,
     ) {
@@ -187,7 +187,7 @@
         let Some(w) = self.machines.get_mut(id) else { return };
         let unreachable = self.step < w.unreachable_until();
         self.met.unheard += u32::from(unreachable);
-        if w.dead || w.waiting != Some(sent) || w.session != session || unreachable {
+        if w.dead || w.waiting != Some(sent) || w.agent_epoch != agent_epoch || unreachable {
             return;
         }
         w.waiting = None;
@@ -219,7 +219,7 @@
         if w.dead || now < w.up_at {
             return None;
         }
-        let good = cmd.token >= w.token && cmd.session == w.session;
+        let good = cmd.token >= w.token && cmd.agent_epoch == w.agent_epoch;
         if good {
             self.met.mute_orders += u32::from(self.step < w.mute_until);
             w.token = cmd.token;
--- a/src/event_loop.rs
+++ b/src/event_loop.rs
@@ -127,8 +127,8 @@
         match action {
             Action::Store(op, request) => links.store.send(op, request),
             Action::Cloud(op, request) => links.cloud.send(op, request),
-            Action::Direct { op, addr, token, session, commands } => {
-                links.workers.send(op, &addr, DirectCommands { token, session, commands })
+            Action::Direct { op, addr, token, agent_epoch, commands } => {
+                links.workers.send(op, &addr, DirectCommands { token, agent_epoch, commands })
             }
             Action::CellCall { op, cell, request } => {
                 links.cells.as_ref().and_then(|cells| cells.send(op, &cell, *request))
--- a/src/links/worker.rs
+++ b/src/links/worker.rs
@@ -12,7 +12,7 @@
 use marblebarrow_proto::wire::{DirectCommands, Report};
 use std::net::SocketAddr;
 
-/// Commands for a worker, with fencing token and agent epoch (the wire's session), and where
+/// Commands for a worker, with fencing token and agent epoch, and where
 /// it listens.
 struct WorkerCall {
     op: OpId,
--- a/tests/stand_in/worker.rs
+++ b/tests/stand_in/worker.rs
@@ -20,7 +20,7 @@
 struct Worker {
     id: MachineId,
     addr: String,
-    session: u64,
+    agent_epoch: u64,
     seq: u64,
     token: u64,
     leased: Instant,
@@ -191,7 +191,7 @@
             for task in std::mem::take(&mut self.tasks).into_keys() {
                 self.live(&task, false);
             }
-            self.session += 1;
+            self.agent_epoch += 1;
             self.leased = now;
         }
         let ended: Vec<TaskId> = self
@@ -225,7 +225,7 @@
             kind: "k".into(),
             zone: "a".into(),
             spot: false,
-            session: self.session,
+            agent_epoch: self.agent_epoch,
             seq: self.seq,
             token: self.token,
             notice_s: None,
@@ -280,7 +280,7 @@
     let state = Arc::new(Mutex::new(Worker {
         id: id.clone(),
         addr: String::new(),
-        session: 1,
+        agent_epoch: 1,
         seq: 0,
         token: 0,
         leased: Instant::now(),
@@ -303,7 +303,7 @@
         if w.fleet.keep(&w.addr, &cmd) {
             return Reply::Close;
         }
-        let good = cmd.token >= w.token && cmd.session == w.session;
+        let good = cmd.token >= w.token && cmd.agent_epoch == w.agent_epoch;
         if good {
             w.token = cmd.token;
             w.execute(&cmd.commands);
@@ -321,7 +321,7 @@
         let answer = connection.ask(&nodes[at], "POST", "/hello", &body, wait);
         let mut w = state.lock().expect("worker");
         match answer {
-            Some((200, body)) if report.session == w.session => {
+            Some((200, body)) if report.agent_epoch == w.agent_epoch => {
                 let a: ReportAnswer = cbor::decode(&body).expect("answer");
                 if a.token >= w.token {
                     w.token = a.token;
