--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -32,7 +32,7 @@
         for n in unsent {
             self.over(id, n, Outcome::Lost, now);
         }
-        self.doubts_cancelled(now, id);
+        self.unconfirmed_starts_cancelled(now, id);
         self.writer.close(id, now);
         self.place_due = true;
         self.dependency_cancelled(now, id);
@@ -107,7 +107,7 @@
         };
         m.exited.clear();
         m.strangers.clear();
-        m.start_doubts.clear();
+        m.unconfirmed_starts.clear();
         for task in m.tasks.clone() {
             self.over(&task.job, task.index, Outcome::Lost, now);
         }
--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -78,8 +78,9 @@
 /// Wait after a failed attempt to stand, seconds.
 pub const STAND_RETRY_S: f64 = 0.4;
 
-/// Least time between two raises of the fencing token while a cancelled job's start is in
-/// doubt, seconds: one change of the store each, and all machines in doubt by then share it.
+/// Least time between two raises of the fencing token while a cancelled job's start is
+/// unconfirmed, seconds: one change of the store each, and all machines with unconfirmed starts by
+/// then share it.
 pub const RAISE_CANCELLED_EVERY_S: f64 = 1.0;
 /// The same where only booked room, or an entry that can't be cleared, waits for it, seconds.
 pub const RAISE_EVERY_S: f64 = 3.0;
@@ -87,13 +88,13 @@
 // --- log --------------------------------------------------------------------
 
 /// Info lines a second at most, in the mean: a zone of a thousand machines that is cut off
-/// makes as many starts doubtful at once, and a log of them all helps nobody. A line costs
+/// makes as many starts unconfirmed at once, and a log of them all helps nobody. A line costs
 /// some 10 us of a core, so this is 0.02%.
 pub const INFO_LINES_PER_S: f64 = 20.0;
 /// Info lines that may come at once.
 pub const INFO_LINES_BURST: f64 = 60.0;
-/// How often a leader tells its counters of doubtful starts, seconds.
-pub const DOUBT_LOG_S: f64 = 60.0;
+/// How often a leader tells its counters of unconfirmed starts, seconds.
+pub const UNCONFIRMED_LOG_S: f64 = 60.0;
 
 // --- state service --------------------------------------------------------
 
@@ -244,7 +245,7 @@
 pub const ZONE_CUT_SHARE: f64 = 0.5;
 /// Share of the direct commands under way that may be to machines which did not
 /// answer the last: a crowd of silent ones must not hold up the others.
-pub const DOUBTFUL_SHARE: f64 = 0.5;
+pub const UNREACHED_SHARE: f64 = 0.5;
 /// Least time between two rounds of direct commands, seconds: a round looks at
 /// all machines.
 pub const PUSH_EVERY_S: f64 = 0.02;
--- a/crates/core/src/deprovision/consolidation.rs
+++ b/crates/core/src/deprovision/consolidation.rs
@@ -37,7 +37,7 @@
     let spec = job.spec();
     let settled = |live: &Live| {
         let ran_long = live.ran_from.is_some_and(|from| now - from > CONSOLIDATE_AGE_S);
-        live.stop.is_none() && !live.doubt && ran_long
+        live.stop.is_none() && !live.unconfirmed && ran_long
     };
     spec.kind == Kind::Service
         && !spec.spread
--- a/crates/core/src/deprovision/health.rs
+++ b/crates/core/src/deprovision/health.rs
@@ -24,7 +24,7 @@
 /// Whether all that is left on a cordoned machine is unconfirmed starts that are to stop:
 /// its release proves them gone.
 pub(super) fn is_stuck(machine: &Machine, jobs: &Jobs) -> bool {
-    let stuck = |live: &Live| live.doubt && live.stop.is_some() && live.phase == Phase::Sent;
+    let stuck = |live: &Live| live.unconfirmed && live.stop.is_some() && live.phase == Phase::Sent;
     machine.cordoned
         && machine.direct.is_none()
         && !machine.releasing
@@ -47,7 +47,7 @@
 /// than that work is worth.
 fn runs_only_spare_work(machine: &Machine, jobs: &Jobs, now: Secs) -> bool {
     let evictable = |job: &Job, index: u32| {
-        let confirmed = job.live.get(&index).is_some_and(|live| !live.doubt);
+        let confirmed = job.live.get(&index).is_some_and(|live| !live.unconfirmed);
         job.cheap_only(now) && confirmed && !job.keeps(now)
     };
     !machine.info.spot
--- a/crates/core/src/deprovision/idle.rs
+++ b/crates/core/src/deprovision/idle.rs
@@ -48,7 +48,7 @@
 /// Whether nothing runs on the machine, and nothing is to be learnt or cleared there.
 pub(super) fn is_idle(machine: &Machine, now: Secs) -> bool {
     machine.tasks.is_empty()
-        && machine.exited.keys().all(|attempt| machine.start_doubts.contains(attempt))
+        && machine.exited.keys().all(|attempt| machine.unconfirmed_starts.contains(attempt))
         && machine.direct.is_none()
         && !machine.releasing
         && machine.confirmed
--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -4,7 +4,7 @@
 use crate::event::{DirectResult, OpId, Secs};
 use crate::jobs::{Phase, live_attempt_mut};
 use crate::leader::Leader;
-use crate::start_doubts::AttemptKey;
+use crate::unconfirmed_starts::AttemptKey;
 use marblebarrow_proto::ids::MachineId;
 use marblebarrow_proto::wire::Report;
 
@@ -20,7 +20,7 @@
     pub known: (u64, u64),
     pub starts: Vec<AttemptKey>,
     /// The machine didn't answer the last.
-    pub doubtful: bool,
+    pub unreached: bool,
 }
 
 impl Leader {
@@ -38,7 +38,7 @@
         match result {
             DirectResult::Report(_, report) => self.direct_answered(now, &sent, &report),
             DirectResult::Unknown => {
-                self.doubt_starts(now, &sent);
+                self.note_unconfirmed_starts(now, &sent);
                 self.direct_failed(now, sent);
             }
             DirectResult::NotSent => self.direct_failed(now, sent),
@@ -95,9 +95,9 @@
                 && live.machine == sent.machine
                 && live.attempt == *attempt
             {
-                // May still arrive, minutes later: it is in doubt until the worker has shown
+                // May still arrive, minutes later: it is unconfirmed until the worker has shown
                 // a higher token, and its attempt must not be cleared before.
-                live.doubt = m.start_doubts.contains(&key);
+                live.unconfirmed = m.unconfirmed_starts.contains(&key);
                 if live.phase == Phase::Sent {
                     live.phase = Phase::Ready;
                 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::consts::*;
 use crate::event::{OpId, Secs};
-use crate::start_doubts::StartDoubts;
+use crate::unconfirmed_starts::UnconfirmedStarts;
 use marblebarrow_proto::ids::{Attempt, MachineId, TaskId};
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::records::MachineRecord;
@@ -71,7 +71,7 @@
     pub direct_after: Secs,
     /// Starts that may yet be carried out. Their attempts must stay uncleared: a late start
     /// would run them again.
-    pub start_doubts: StartDoubts,
+    pub unconfirmed_starts: UnconfirmedStarts,
     /// The token for it, if it is higher than the term; else 0.
     pub raised_token: u64,
     /// Its reports aren't answered, so that its lease runs out.
@@ -134,7 +134,7 @@
             exited: BTreeMap::new(),
             direct: None,
             direct_after: 0.0,
-            start_doubts: StartDoubts::default(),
+            unconfirmed_starts: UnconfirmedStarts::default(),
             raised_token: 0,
             withheld: false,
             strangers: BTreeSet::new(),
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -41,7 +41,7 @@
     /// When it was first seen running.
     pub ran_from: Option<Secs>,
     /// A direct command to start it went unanswered and may yet arrive.
-    pub doubt: bool,
+    pub unconfirmed: bool,
     /// It is to stop, with this much time to save.
     pub stop: Option<f64>,
     /// When an answer to a report last carried its start.
@@ -57,7 +57,7 @@
     /// list once ran twice.)
     pub fn never_sent(&self, now: Secs) -> bool {
         matches!(self.phase, Phase::Placed | Phase::Ready)
-            && !self.doubt
+            && !self.unconfirmed
             && self.sent.is_none_or(|at| now > at + WORKER_DROPS_S + WORKER_MARGIN_S)
     }
 }
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Whether `n` may be started: not done, not running, not in doubt.
+    /// Whether `n` may be started: not done, not running, no unconfirmed start.
     fn startable(&self, n: u32) -> bool {
         !self.finished.contains(n)
             && !self.live.contains_key(&n)
@@ -354,7 +354,7 @@
         self.live.values().filter(|live| live.phase == Phase::Running).count() as u32
     }
 
-    /// Tasks that wait, backoffs and doubts included.
+    /// Tasks that wait, backoffs and unconfirmed starts included.
     pub fn waiting(&self) -> u32 {
         if self.cancelled || self.away || self.closing || self.waits_for_dependencies {
             return 0;
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -108,11 +108,11 @@
     /// The format that every controller was heard to run at least; 0 while one was not heard.
     pub common_format: u32,
     pub(crate) fencing: FencingToken,
-    /// Machines with starts in doubt.
-    pub(crate) doubtful_machines: BTreeSet<MachineId>,
+    /// Machines with unconfirmed starts.
+    pub(crate) machines_with_unconfirmed_starts: BTreeSet<MachineId>,
     /// What came of them.
     pub revocations: RevocationCounters,
-    pub(crate) next_doubt_log: Secs,
+    pub(crate) next_unconfirmed_log: Secs,
     /// Lines for the log: what was decided, and why.
     pub log: Log,
 }
@@ -165,9 +165,9 @@
             knowledge: Knowledge::default(),
             common_format: 0,
             fencing: FencingToken::new(term.0, version),
-            doubtful_machines: BTreeSet::new(),
+            machines_with_unconfirmed_starts: BTreeSet::new(),
             revocations: RevocationCounters::default(),
-            next_doubt_log: now + DOUBT_LOG_S,
+            next_unconfirmed_log: now + UNCONFIRMED_LOG_S,
             log,
         };
         leader.start_loading(out);
@@ -195,8 +195,8 @@
             self.drain_noticed(now);
             self.check_reach(now);
             self.unplace(now);
-            self.revoke_doubts(now, out);
-            self.log_doubts(now);
+            self.revoke_unconfirmed_starts(now, out);
+            self.log_unconfirmed_starts(now);
         }
         let pause = PLACE_EVERY_S.max(self.machines.len() as f64 * PLACE_PER_MACHINE_S);
         let placing = self.place_due && now >= self.placed_at + pause;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -32,6 +32,6 @@
 pub mod replica;
 mod reports;
 mod revocation;
-pub mod start_doubts;
+pub mod unconfirmed_starts;
 pub mod user_api;
 mod writer;
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -5,7 +5,7 @@
 use crate::event::{Action, ActionSink, Secs};
 use crate::jobs::{Job, Phase, live_attempt};
 use crate::leader::Leader;
-use crate::start_doubts::AttemptKey;
+use crate::unconfirmed_starts::AttemptKey;
 use marblebarrow_proto::ids::{MachineId, TaskId};
 use marblebarrow_proto::wire::{Command, Why};
 use std::cmp::Ordering;
@@ -13,7 +13,7 @@
 /// A machine that waits for a direct order.
 struct WaitingOrder {
     /// It didn't answer the last one.
-    doubtful: bool,
+    unreached: bool,
     /// Nothing is to be done there: it is only asked whether it hears us.
     only_probe: bool,
     /// Since when, at the longest.
@@ -27,8 +27,8 @@
     /// longest. (In order of names, the last machines of a fleet with few threads were
     /// never asked at all.)
     fn compare(&self, other: &Self) -> Ordering {
-        self.doubtful
-            .cmp(&other.doubtful)
+        self.unreached
+            .cmp(&other.unreached)
             .then(self.only_probe.cmp(&other.only_probe))
             .then(self.since.total_cmp(&other.since))
     }
@@ -69,7 +69,7 @@
                 None => true,
                 Some(j) => *why != Why::Done || j.stored_finished.contains(task.index),
             };
-            if safe && !m.start_doubts.contains(key) {
+            if safe && !m.unconfirmed_starts.contains(key) {
                 commands.push(Command::Forget { task: task.to_string(), attempt: *attempt });
             }
         }
@@ -133,17 +133,17 @@
                     && (m.push && m.agent_epoch != 0 && m.lapsed.is_none() || m.probe_due)
             })
             .map(|(id, m)| WaitingOrder {
-                doubtful: m.unreached > 0,
+                unreached: m.unreached > 0,
                 only_probe: !m.push,
                 since: m.waiting_since(),
                 machine: id.clone(),
             })
             .collect();
         ready.sort_by(WaitingOrder::compare);
-        let mut doubtful = self.directs.values().filter(|d| d.doubtful).count();
-        let most_doubtful = ((most as f64 * DOUBTFUL_SHARE) as usize).max(1);
-        for WaitingOrder { doubtful: doubt, machine: id, .. } in ready {
-            if self.directs.len() >= most || doubt && doubtful >= most_doubtful {
+        let mut unreached = self.directs.values().filter(|d| d.unreached).count();
+        let most_unreached = ((most as f64 * UNREACHED_SHARE) as usize).max(1);
+        for WaitingOrder { unreached: is_unreached, machine: id, .. } in ready {
+            if self.directs.len() >= most || is_unreached && unreached >= most_unreached {
                 break;
             }
             let Some((agent_epoch, probe_due)) =
@@ -154,7 +154,7 @@
             let (commands, starts) =
                 if agent_epoch != 0 { self.compose(&id) } else { (Vec::new(), Vec::new()) };
             if probe_due || commands.iter().any(is_urgent) {
-                doubtful += usize::from(doubt);
+                unreached += usize::from(is_unreached);
                 // An unknown epoch is refused, with the report we want.
                 self.send_direct(now, &id, agent_epoch.max(1), commands, starts, out);
             }
@@ -179,7 +179,7 @@
         let op = out.op();
         m.direct = Some(op);
         let known = (m.agent_epoch, m.seq);
-        let doubtful = m.unreached > 0;
+        let unreached = m.unreached > 0;
         out.actions.push(Action::Direct {
             op,
             addr: m.info.addr.clone(),
@@ -188,7 +188,7 @@
             commands,
         });
         let machine = id.clone();
-        let sent = DirectSent { machine, agent_epoch, token, at: now, known, starts, doubtful };
+        let sent = DirectSent { machine, agent_epoch, token, at: now, known, starts, unreached };
         self.directs.insert(op, sent);
     }
 
--- a/crates/core/src/place/assign.rs
+++ b/crates/core/src/place/assign.rs
@@ -137,7 +137,7 @@
         phase: Phase::Placed,
         since: now,
         ran_from: None,
-        doubt: false,
+        unconfirmed: false,
         stop: None,
         sent: None,
         adopted: false,
--- a/crates/core/src/preempt/victims.rs
+++ b/crates/core/src/preempt/victims.rs
@@ -34,7 +34,7 @@
 /// Whether an attempt can be stopped for another's sake and will surely be gone soon.
 pub(super) fn is_stoppable(live: &Live, now: Secs) -> bool {
     let confirmed = live.never_sent(now) || matches!(live.phase, Phase::Seen | Phase::Running);
-    live.stop.is_none() && !live.doubt && confirmed
+    live.stop.is_none() && !live.unconfirmed && confirmed
 }
 
 impl Leader {
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -172,7 +172,7 @@
         }
         // A job's tasks can only be on the machines that its record names, so
         // a silent machine holds up no others.
-        let doubtful: BTreeSet<u32> = self
+        let unaccounted: BTreeSet<u32> = self
             .machines
             .values()
             .filter(|m| m.recorded && !m.confirmed)
@@ -180,7 +180,8 @@
             .collect();
         let mut freed = 0;
         for (id, job) in &mut self.jobs {
-            if job.maybe_running.is_empty() || doubtful.iter().any(|m| job.machines.contains(*m)) {
+            if job.maybe_running.is_empty() || unaccounted.iter().any(|m| job.machines.contains(*m))
+            {
                 continue;
             }
             for n in std::mem::take(&mut job.maybe_running) {
@@ -195,7 +196,7 @@
             self.place_due = true;
             self.log.push(|| format!("event=freed term={} tasks={freed}", self.term.0));
         }
-        if doubtful.is_empty() {
+        if unaccounted.is_empty() {
             self.recovering = false;
             self.log.push(|| format!("event=recovered term={}", self.term.0));
         }
--- a/crates/core/src/reports/absence.rs
+++ b/crates/core/src/reports/absence.rs
@@ -28,14 +28,14 @@
             Phase::Placed | Phase::Ready => Self::of_unsent(live, now),
             Phase::Sent if direct_under_way => Self::Inconclusive,
             Phase::Sent if live.stop.is_none() => Self::NotStarted,
-            Phase::Sent if live.doubt || may_be_under_way(live, now) => Self::Inconclusive,
-            Phase::Sent | Phase::Seen | Phase::Running if live.doubt => Self::MayStartAgain,
+            Phase::Sent if live.unconfirmed || may_be_under_way(live, now) => Self::Inconclusive,
+            Phase::Sent | Phase::Seen | Phase::Running if live.unconfirmed => Self::MayStartAgain,
             Phase::Sent | Phase::Seen | Phase::Running => Self::Gone,
         }
     }
 
     fn of_unsent(live: &Live, now: Secs) -> Self {
-        let to_stop = live.stop.is_some() && !live.doubt;
+        let to_stop = live.stop.is_some() && !live.unconfirmed;
         if to_stop && live.never_sent(now) { Self::Gone } else { Self::Inconclusive }
     }
 }
--- a/crates/core/src/reports/tasks.rs
+++ b/crates/core/src/reports/tasks.rs
@@ -22,7 +22,7 @@
         let Some(task) = TaskId::parse(&entry.task) else { return };
         let Some(m) = self.machines.get_mut(id) else { return };
         let key = (task.clone(), entry.attempt);
-        m.start_doubts.note_listed(&key);
+        m.unconfirmed_starts.note_listed(&key);
         let exit = exit_reason(entry);
         let job = self.jobs.get(&task.job).filter(|job| task.index < job.spec().tasks);
         let Some(job) = job else {
@@ -159,7 +159,7 @@
         phase: if running { Phase::Running } else { Phase::Seen },
         since: now,
         ran_from: None,
-        doubt: false,
+        unconfirmed: false,
         stop: cancelled.then_some(0.0),
         sent: None,
         adopted: true,
--- a/crates/core/src/revocation.rs
+++ b/crates/core/src/revocation.rs
@@ -1,8 +1,8 @@
 //! Taking back starts whose fate is unknown, by raising the token of their machines.
 //!
-//! A machine with a start in doubt that is of no more use is answered with a token higher than
+//! A machine with an unconfirmed start that is of no more use is answered with a token higher than
 //! the start carried. The worker takes it in with the same answer that renews its lease, so
-//! every renewal also ends the doubt. Until a higher token is there, its lease may be renewed
+//! every renewal also revokes the start. Until a higher token is there, its lease may be renewed
 //! only as long as it can still run out before the tasks of the cancelled job must be gone;
 //! then answers are withheld, and the end of the epoch takes the start back.
 
@@ -13,14 +13,14 @@
 use crate::fleet::Machine;
 use crate::jobs::{Phase, live_attempt, live_attempt_mut};
 use crate::leader::{Leader, WriteOutcome};
-use crate::start_doubts::StartDoubt;
+use crate::unconfirmed_starts::UnconfirmedStart;
 use marblebarrow_proto::ids::{JobId, MachineId};
 
-/// Counters of starts in doubt since the leader took office.
+/// Counters of unconfirmed starts since the leader took office.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RevocationCounters {
-    /// Starts that became doubtful.
-    pub doubtful: u64,
+    /// Starts that became unconfirmed.
+    pub unconfirmed: u64,
     /// Tokens raised.
     pub raised: u64,
     /// Starts taken back, as their worker showed a higher token.
@@ -50,9 +50,9 @@
         self.fencing.highest()
     }
 
-    /// Direct commands went unanswered: their starts are in doubt while the worker may still
+    /// Direct commands went unanswered: their starts are unconfirmed while the worker may still
     /// take their token.
-    pub(crate) fn doubt_starts(&mut self, now: Secs, sent: &DirectSent) {
+    pub(crate) fn note_unconfirmed_starts(&mut self, now: Secs, sent: &DirectSent) {
         let Some(m) = self.machines.get_mut(&sent.machine) else { return };
         let over = m.lapsed.is_some() || m.agent_epoch != sent.agent_epoch || m.token > sent.token;
         if over || sent.starts.is_empty() {
@@ -70,9 +70,10 @@
                 || job.and_then(|j| j.live.get(&task.index)).is_some_and(|live| {
                     live.attempt == *attempt && matches!(live.phase, Phase::Seen | Phase::Running)
                 });
-            let doubt = StartDoubt { token: sent.token, since: sent.at, cancelled_at, listed };
-            m.start_doubts.note(key.clone(), doubt);
-            self.revocations.doubtful += 1;
+            let start =
+                UnconfirmedStart { token: sent.token, since: sent.at, cancelled_at, listed };
+            m.unconfirmed_starts.note(key.clone(), start);
+            self.revocations.unconfirmed += 1;
             let (machine, agent_epoch, token) = (&sent.machine, sent.agent_epoch, sent.token);
             self.log.info(now, || {
                 format!(
@@ -82,23 +83,23 @@
                 )
             });
         }
-        self.doubtful_machines.insert(sent.machine.clone());
+        self.machines_with_unconfirmed_starts.insert(sent.machine.clone());
     }
 
     /// A worker has shown a token: starts that carried a lower one are taken back.
     pub(crate) fn revoke_shown(&mut self, now: Secs, id: &MachineId) {
-        let Some(m) = self.machines.get_mut(id).filter(|m| !m.start_doubts.is_empty()) else {
+        let Some(m) = self.machines.get_mut(id).filter(|m| !m.unconfirmed_starts.is_empty()) else {
             return;
         };
         let shown = m.token;
-        let revoked = m.start_doubts.revoke(shown);
+        let revoked = m.unconfirmed_starts.revoke(shown);
         if revoked.is_empty() {
             return;
         }
         for (task, attempt) in &revoked {
             let live = live_attempt_mut(&mut self.jobs, task);
             if let Some(live) = live.filter(|l| l.machine == *id && l.attempt == *attempt) {
-                live.doubt = false;
+                live.unconfirmed = false;
             }
         }
         self.revocations.revoked += revoked.len() as u64;
@@ -108,12 +109,12 @@
     }
 
     /// Starts of a job that is cancelled now are to be taken back.
-    pub(crate) fn doubts_cancelled(&mut self, now: Secs, id: &JobId) {
+    pub(crate) fn unconfirmed_starts_cancelled(&mut self, now: Secs, id: &JobId) {
         let known_at = self.knowledge.known_at;
         let mut starts = 0;
-        for machine in &self.doubtful_machines {
+        for machine in &self.machines_with_unconfirmed_starts {
             if let Some(m) = self.machines.get_mut(machine) {
-                starts += m.start_doubts.cancel(id, known_at);
+                starts += m.unconfirmed_starts.cancel(id, known_at);
             }
         }
         if starts > 0 {
@@ -124,14 +125,14 @@
         }
     }
 
-    /// Gives machines a higher token where that ends a doubt, and asks for one if there is
-    /// none yet.
-    pub(crate) fn revoke_doubts(&mut self, now: Secs, out: &mut ActionSink) {
+    /// Gives machines a higher token where that revokes an unconfirmed start, and asks for one if
+    /// there is none yet.
+    pub(crate) fn revoke_unconfirmed_starts(&mut self, now: Secs, out: &mut ActionSink) {
         let mut wanted: Option<Urgency> = None;
-        for id in std::mem::take(&mut self.doubtful_machines) {
-            let Some((urgency, token)) = self.doubt_to_end(&id) else {
-                if self.machines.get(&id).is_some_and(|m| !m.start_doubts.is_empty()) {
-                    self.doubtful_machines.insert(id);
+        for id in std::mem::take(&mut self.machines_with_unconfirmed_starts) {
+            let Some((urgency, token)) = self.unconfirmed_start_to_revoke(&id) else {
+                if self.machines.get(&id).is_some_and(|m| !m.unconfirmed_starts.is_empty()) {
+                    self.machines_with_unconfirmed_starts.insert(id);
                 }
                 continue;
             };
@@ -145,7 +146,7 @@
                     wanted = wanted.max(Some(urgency));
                 }
             }
-            self.doubtful_machines.insert(id);
+            self.machines_with_unconfirmed_starts.insert(id);
         }
         let Some(urgency) = wanted else { return };
         let pause = match urgency {
@@ -156,23 +157,23 @@
         self.writer.charge(f64::from(changes));
     }
 
-    /// The most urgent doubt on a machine that its present token doesn't end, and the highest
-    /// token that a start of such carried.
-    fn doubt_to_end(&self, id: &MachineId) -> Option<(Urgency, u64)> {
+    /// The most urgent unconfirmed start on a machine that its present token doesn't revoke, and
+    /// the highest token that a start of such carried.
+    fn unconfirmed_start_to_revoke(&self, id: &MachineId) -> Option<(Urgency, u64)> {
         let m = self.machines.get(id)?;
         if m.lapsed.is_some() || m.releasing {
             return None;
         }
         let token = self.token_for(m);
-        let open = m.start_doubts.iter().filter(|(_, doubt)| doubt.token >= token);
+        let open = m.unconfirmed_starts.iter().filter(|(_, start)| start.token >= token);
 
-        let useless = open.filter_map(|((task, attempt), doubt)| {
-            if doubt.dangerous_since().is_some() {
-                return Some((Urgency::Cancellation, doubt.token));
+        let useless = open.filter_map(|((task, attempt), start)| {
+            if start.dangerous_since().is_some() {
+                return Some((Urgency::Cancellation, start.token));
             }
             let live = live_attempt(&self.jobs, task);
             let wanted = live.is_some_and(|l| l.attempt == *attempt && l.stop.is_none());
-            (!wanted).then_some((Urgency::Room, doubt.token))
+            (!wanted).then_some((Urgency::Room, start.token))
         });
         useless.reduce(|a, b| (a.0.max(b.0), a.1.max(b.1)))
     }
@@ -191,34 +192,34 @@
             RaiseOutcome::NotLeading => WriteOutcome::NotLeading,
             RaiseOutcome::Raised(token) => {
                 self.revocations.raised += 1;
-                let machines = self.doubtful_machines.len();
+                let machines = self.machines_with_unconfirmed_starts.len();
                 self.log.info(now, || {
                     format!(
                         "event=token_raised token={token} term={} doubtful_machines={machines}",
                         self.term.0
                     )
                 });
-                self.revoke_doubts(now, out);
+                self.revoke_unconfirmed_starts(now, out);
                 WriteOutcome::Ours
             }
         }
     }
 
-    /// Whether an answer may renew a machine's lease: it ends every doubtful start of a
+    /// Whether an answer may renew a machine's lease: it ends every unconfirmed start of a
     /// cancelled job there, or the lease can still run out in time. Starts on their way count
-    /// as doubtful, as their answer may never come.
+    /// as unconfirmed, as their answer may never come.
     pub(crate) fn may_renew(&mut self, now: Secs, id: &MachineId) -> bool {
         let Some(m) = self.machines.get(id) else { return true };
-        if m.start_doubts.is_empty() && m.direct.is_none() {
+        if m.unconfirmed_starts.is_empty() && m.direct.is_none() {
             return true;
         }
         let token = self.token_for(m);
-        let doubts = m.start_doubts.iter().filter(|(_, doubt)| doubt.token >= token);
-        let doubted = doubts.filter_map(|(_, doubt)| doubt.dangerous_since());
+        let unconfirmed = m.unconfirmed_starts.iter().filter(|(_, start)| start.token >= token);
+        let cancelled = unconfirmed.filter_map(|(_, start)| start.dangerous_since());
         let sent = m.direct.and_then(|op| self.directs.get(&op)).filter(|s| s.token >= token);
         let sent = sent.into_iter().flat_map(|sent| &sent.starts);
         let under_way = sent.filter_map(|(task, _)| self.jobs.get(&task.job)?.cancelled_at);
-        let Some(cancelled_at) = doubted.chain(under_way).reduce(f64::min) else { return true };
+        let Some(cancelled_at) = cancelled.chain(under_way).reduce(f64::min) else { return true };
         let until = cancelled_at + self.facts.cancel_room();
         if now <= until {
             return true;
@@ -240,29 +241,30 @@
         });
     }
 
-    /// Logs the counters of starts in doubt.
-    pub(crate) fn log_doubts(&mut self, now: Secs) {
-        if now < self.next_doubt_log {
+    /// Logs the counters of unconfirmed starts.
+    pub(crate) fn log_unconfirmed_starts(&mut self, now: Secs) {
+        if now < self.next_unconfirmed_log {
             return;
         }
-        self.next_doubt_log = now + DOUBT_LOG_S;
-        let in_doubt = || {
-            let machines = self.doubtful_machines.iter().filter_map(|id| self.machines.get(id));
-            machines.flat_map(|m| m.start_doubts.iter())
+        self.next_unconfirmed_log = now + UNCONFIRMED_LOG_S;
+        let unconfirmed_starts = || {
+            let machines =
+                self.machines_with_unconfirmed_starts.iter().filter_map(|id| self.machines.get(id));
+            machines.flat_map(|m| m.unconfirmed_starts.iter())
         };
-        let starts = in_doubt().count();
-        let oldest = in_doubt().map(|(_, doubt)| now - doubt.since).fold(0.0, f64::max);
-        let cancelled = || in_doubt().filter_map(|(_, doubt)| doubt.dangerous_since());
+        let starts = unconfirmed_starts().count();
+        let oldest = unconfirmed_starts().map(|(_, start)| now - start.since).fold(0.0, f64::max);
+        let cancelled = || unconfirmed_starts().filter_map(|(_, start)| start.dangerous_since());
         let open = cancelled().count();
         let earliest = cancelled().reduce(f64::min);
         let least_left =
             earliest.map_or("-".into(), |at| format!("{:.1}", at + self.facts.cancel_s - now));
-        let RevocationCounters { doubtful, raised, revoked, withheld } = self.revocations;
+        let RevocationCounters { unconfirmed, raised, revoked, withheld } = self.revocations;
         let (term, suppressed) = (self.term.0, self.log.suppressed());
         self.log.info(now, || {
             format!(
                 "event=doubts starts={starts} oldest_s={oldest:.1} cancelled_starts={open} \
-                 least_left_s={least_left} became_doubtful={doubtful} tokens_raised={raised} \
+                 least_left_s={least_left} became_doubtful={unconfirmed} tokens_raised={raised} \
                  revoked={revoked} answers_withheld={withheld} suppressed_lines={suppressed} \
                  term={term}"
             )
--- a/crates/core/src/tests/jobs.rs
+++ b/crates/core/src/tests/jobs.rs
@@ -38,7 +38,7 @@
         phase: Phase::Running,
         since: now,
         ran_from: Some(now),
-        doubt: false,
+        unconfirmed: false,
         stop: None,
         sent: None,
         adopted: false,
--- a/crates/core/src/tests/provision.rs
+++ b/crates/core/src/tests/provision.rs
@@ -87,7 +87,7 @@
                 phase: Phase::Running,
                 since: began,
                 ran_from: Some(began),
-                doubt: false,
+                unconfirmed: false,
                 stop: None,
                 sent: None,
                 adopted,
--- a/crates/core/src/start_doubts.rs
+++ b/crates/core/src/unconfirmed_starts.rs
@@ -15,7 +15,7 @@
 
 /// A start that may yet be carried out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StartDoubt {
+pub struct UnconfirmedStart {
     /// The token that the command carried.
     pub token: u64,
     /// When it was sent, seconds.
@@ -23,40 +23,40 @@
     /// Its job was cancelled, and no user was told so before then, seconds.
     pub cancelled_at: Option<Secs>,
     /// The worker has listed the attempt: as long as it isn't cleared, another start of it
-    /// does nothing, and what is in doubt isn't cleared.
+    /// does nothing, and what is unconfirmed isn't cleared.
     pub listed: bool,
 }
 
-impl StartDoubt {
+impl UnconfirmedStart {
     /// When its job was cancelled, if it may start a task of it all the same.
     pub fn dangerous_since(&self) -> Option<Secs> {
         self.cancelled_at.filter(|_| !self.listed)
     }
 }
 
-/// The starts in doubt on one machine, in its present agent epoch.
+/// The unconfirmed starts on one machine, in its present agent epoch.
 #[derive(Debug, Default)]
-pub struct StartDoubts(BTreeMap<AttemptKey, StartDoubt>);
+pub struct UnconfirmedStarts(BTreeMap<AttemptKey, UnconfirmedStart>);
 
-impl StartDoubts {
+impl UnconfirmedStarts {
     /// A start went unanswered. Of several the last one sent counts: it carries the highest
     /// token.
-    pub fn note(&mut self, key: AttemptKey, doubt: StartDoubt) {
+    pub fn note(&mut self, key: AttemptKey, start: UnconfirmedStart) {
         let earlier = self.0.get(&key).copied();
-        let since = earlier.map_or(doubt.since, |e| e.since.min(doubt.since));
-        let token = earlier.map_or(doubt.token, |e| e.token.max(doubt.token));
-        let cancelled_at = earlier.and_then(|e| e.cancelled_at).or(doubt.cancelled_at);
-        let listed = doubt.listed || earlier.is_some_and(|e| e.listed);
-        self.0.insert(key, StartDoubt { token, since, cancelled_at, listed });
+        let since = earlier.map_or(start.since, |e| e.since.min(start.since));
+        let token = earlier.map_or(start.token, |e| e.token.max(start.token));
+        let cancelled_at = earlier.and_then(|e| e.cancelled_at).or(start.cancelled_at);
+        let listed = start.listed || earlier.is_some_and(|e| e.listed);
+        self.0.insert(key, UnconfirmedStart { token, since, cancelled_at, listed });
     }
 
     /// The job of some of them was cancelled; no user was told so before that time. Returns
     /// how many these are.
     pub fn cancel(&mut self, job: &JobId, cancelled_at: Secs) -> usize {
-        let doubts = self.0.iter_mut().filter(|((task, _), _)| task.job == *job);
+        let of_job = self.0.iter_mut().filter(|((task, _), _)| task.job == *job);
         let mut starts = 0;
-        for (_, doubt) in doubts {
-            doubt.cancelled_at.get_or_insert(cancelled_at);
+        for (_, start) in of_job {
+            start.cancelled_at.get_or_insert(cancelled_at);
             starts += 1;
         }
         starts
@@ -64,8 +64,8 @@
 
     /// The worker lists that attempt.
     pub fn note_listed(&mut self, key: &AttemptKey) {
-        if let Some(doubt) = self.0.get_mut(key) {
-            doubt.listed = true;
+        if let Some(start) = self.0.get_mut(key) {
+            start.listed = true;
         }
     }
 
@@ -73,7 +73,7 @@
     pub fn revoke(&mut self, shown: u64) -> Vec<AttemptKey> {
         let refused: Vec<AttemptKey> =
             self.0.iter().filter(|(_, d)| d.token < shown).map(|(key, _)| key.clone()).collect();
-        self.0.retain(|_, doubt| doubt.token >= shown);
+        self.0.retain(|_, start| start.token >= shown);
         refused
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// All of them.
-    pub fn iter(&self) -> impl Iterator<Item = (&AttemptKey, &StartDoubt)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&AttemptKey, &UnconfirmedStart)> {
         self.0.iter()
     }
 
--- a/crates/core/tests/log.rs
+++ b/crates/core/tests/log.rs
@@ -47,7 +47,7 @@
 
 /// A start that went unanswered is told, with task, machine and epoch.
 #[test]
-fn doubtful_starts_are_told() {
+fn unconfirmed_starts_are_told() {
     let mut world = World::new(4, vec![(150, Trouble::MachineDeaf(0, 60))]);
     world.run(1_600);
     assert_eq!(world.broken, Vec::<String>::new());
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -366,7 +366,7 @@
 /// The token is raised, the worker takes it in with the answer that renews its lease, and the
 /// start can't be carried out any more, long before the tasks must be gone; the job is closed.
 #[test]
-fn a_cancelled_start_in_doubt_is_taken_back_by_a_higher_token() {
+fn a_cancelled_unconfirmed_start_is_taken_back_by_a_higher_token() {
     let mut scene = Scene::with_a_start_under_way();
     let cancelled = scene.cancel();
     assert!(scene.held_start_counts());
@@ -427,7 +427,7 @@
 
 /// A start that is still wanted is sent again under the same token: nothing is raised for it.
 #[test]
-fn a_start_in_doubt_that_is_wanted_raises_nothing() {
+fn an_unconfirmed_start_that_is_wanted_raises_nothing() {
     let mut scene = Scene::with_a_start_under_way();
     scene.run(10.0, |_| false);
     assert_eq!(scene.worker.tasks.len(), 1, "it was sent again");
