--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -13,7 +13,7 @@
 pub(crate) struct DirectSent {
     pub machine: MachineId,
     pub agent_epoch: u64,
-    pub token: u64,
+    pub fencing_token: u64,
     /// When it was sent.
     pub at: Secs,
     /// Epoch and number of the newest message known at sending.
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -294,7 +294,7 @@
         /// Where the worker listens.
         addr: String,
         /// Our term.
-        token: u64,
+        fencing_token: u64,
         /// Agent epoch meant.
         agent_epoch: u64,
         /// The commands.
--- a/crates/core/src/fencing.rs
+++ b/crates/core/src/fencing.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Reading(OpId),
-    Raising { op: OpId, token: u64 },
+    Raising { op: OpId, fencing_token: u64 },
 }
 
 /// What an answer of the state service meant for the token.
@@ -96,7 +96,7 @@
             }],
         };
         let op = out.store(StoreRequest::Commit(txn));
-        self.step = Some(Step::Raising { op, token });
+        self.step = Some(Step::Raising { op, fencing_token: token });
     }
 
     /// The state service answered.
@@ -113,7 +113,7 @@
                 self.counter_read(now, result, out);
                 RaiseOutcome::NotYet
             }
-            Some(Step::Raising { op: sent, token }) if sent == op => {
+            Some(Step::Raising { op: sent, fencing_token: token }) if sent == op => {
                 self.step = None;
                 self.raised(now, token, result)
             }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -29,7 +29,7 @@
     /// Newest message's number within the epoch.
     pub seq: u64,
     /// Highest token it was seen to hold.
-    pub token: u64,
+    pub fencing_token: u64,
     /// When the last newer report came; none under this term: None.
     pub heard: Option<Secs>,
     /// When anybody may last have answered it: its lease counts from here.
@@ -73,7 +73,7 @@
     /// would run them again.
     pub unconfirmed_starts: UnconfirmedStarts,
     /// The token for it, if it is higher than the term; else 0.
-    pub raised_token: u64,
+    pub raised_fencing_token: u64,
     /// Its reports aren't answered, so that its lease runs out.
     pub withheld: bool,
     /// Tasks seen that nobody knows, with their attempt.
@@ -115,7 +115,7 @@
             cache_gb: f64::INFINITY,
             agent_epoch: 0,
             seq: 0,
-            token: 0,
+            fencing_token: 0,
             heard: None,
             answered: now,
             reported: 0,
@@ -135,7 +135,7 @@
             direct: None,
             direct_after: 0.0,
             unconfirmed_starts: UnconfirmedStarts::default(),
-            raised_token: 0,
+            raised_fencing_token: 0,
             withheld: false,
             strangers: BTreeSet::new(),
             used: [0.0; 3],
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -328,7 +328,7 @@
         if self.dependency_answered(now, op, &result) {
             return true;
         }
-        let mut outcome = self.token_answered(now, op, &result, out);
+        let mut outcome = self.fencing_token_answered(now, op, &result, out);
         if outcome == WriteOutcome::NotOurs {
             outcome = self.cells_written(now, wall_ms, op, &result, replica, out);
         }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -129,8 +129,8 @@
     }
 
     /// The highest token that a leadership of ours may use besides its term.
-    pub fn highest_token(&self) -> u64 {
-        self.leader.as_ref().map_or(0, Leader::highest_token)
+    pub fn highest_fencing_token(&self) -> u64 {
+        self.leader.as_ref().map_or(0, Leader::highest_fencing_token)
     }
 
     /// Every cancellation confirmed by then is known to us.
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -170,7 +170,7 @@
         starts: Vec<AttemptKey>,
         out: &mut ActionSink,
     ) {
-        let Some(token) = self.machines.get(id).map(|m| self.token_for(m)) else {
+        let Some(token) = self.machines.get(id).map(|m| self.fencing_token_for(m)) else {
             return;
         };
         let Some(m) = self.machines.get_mut(id) else {
@@ -183,12 +183,20 @@
         out.actions.push(Action::Direct {
             op,
             addr: m.info.addr.clone(),
-            token,
+            fencing_token: token,
             agent_epoch,
             commands,
         });
         let machine = id.clone();
-        let sent = DirectSent { machine, agent_epoch, token, at: now, known, starts, unreached };
+        let sent = DirectSent {
+            machine,
+            agent_epoch,
+            fencing_token: token,
+            at: now,
+            known,
+            starts,
+            unreached,
+        };
         self.directs.insert(op, sent);
     }
 
--- a/crates/core/src/reports/agent_epochs.rs
+++ b/crates/core/src/reports/agent_epochs.rs
@@ -71,7 +71,7 @@
         m.lapsed = None;
         m.agent_epoch = report.agent_epoch;
         m.seq = report.seq;
-        m.token = m.token.max(report.token);
+        m.fencing_token = m.fencing_token.max(report.fencing_token);
         m.heard = Some(now);
         m.unreached = 0;
         if m.info.addr != report.addr {
@@ -87,7 +87,7 @@
         let Some(m) = self.machines.get_mut(&report.machine) else { return };
         // It has seen our token: whatever older leaders sent is void, and this list is all
         // there is.
-        if !m.confirmed && report.token >= self.term.0 {
+        if !m.confirmed && report.fencing_token >= self.term.0 {
             m.confirmed = true;
             m.reached = Some(now);
         }
--- a/crates/core/src/reports/mod.rs
+++ b/crates/core/src/reports/mod.rs
@@ -33,7 +33,7 @@
             // long as an outage of the store does, so what is known to be cancelled is
             // stopped even now.
             let commands = stops_while_loading(report, replica);
-            return Some(Answer::Report(ReportAnswer { token: self.term.0, commands }));
+            return Some(Answer::Report(ReportAnswer { fencing_token: self.term.0, commands }));
         }
         if self.machines.get(&report.machine).is_some_and(|m| is_late_copy(report, m)) {
             self.probe_after_late_copy(now, &report.machine);
@@ -46,8 +46,8 @@
         }
         self.fill_machine(now, &report.machine)?;
         let commands = self.commands_for_answer(now, &report.machine)?;
-        let token = self.machines.get(&report.machine).map(|m| self.token_for(m))?;
-        Some(Answer::Report(ReportAnswer { token, commands }))
+        let token = self.machines.get(&report.machine).map(|m| self.fencing_token_for(m))?;
+        Some(Answer::Report(ReportAnswer { fencing_token: token, commands }))
     }
 
     /// A late copy may also mean that the worker began anew, which only a fresh exchange can
@@ -121,7 +121,7 @@
 /// Whether a report comes from an epoch whose lease ended, or from before the worker began
 /// anew: the highest token seen never falls.
 fn is_obsolete(report: &Report, m: &Machine) -> bool {
-    report.token < m.token
+    report.fencing_token < m.fencing_token
         || m.reborn
         || m.lapsed.is_some_and(|lapsed| report.agent_epoch <= lapsed)
 }
--- a/crates/core/src/revocation.rs
+++ b/crates/core/src/revocation.rs
@@ -40,13 +40,13 @@
 
 impl Leader {
     /// The token for commands and answers to a machine: the term, unless it was raised there.
-    pub(crate) fn token_for(&self, machine: &Machine) -> u64 {
-        let shown = machine.token.min(self.fencing.highest());
-        self.term.0.max(machine.raised_token).max(shown)
+    pub(crate) fn fencing_token_for(&self, machine: &Machine) -> u64 {
+        let shown = machine.fencing_token.min(self.fencing.highest());
+        self.term.0.max(machine.raised_fencing_token).max(shown)
     }
 
     /// The highest token that this leader may use.
-    pub fn highest_token(&self) -> u64 {
+    pub fn highest_fencing_token(&self) -> u64 {
         self.fencing.highest()
     }
 
@@ -54,7 +54,9 @@
     /// take their token.
     pub(crate) fn note_unconfirmed_starts(&mut self, now: Secs, sent: &DirectSent) {
         let Some(m) = self.machines.get_mut(&sent.machine) else { return };
-        let over = m.lapsed.is_some() || m.agent_epoch != sent.agent_epoch || m.token > sent.token;
+        let over = m.lapsed.is_some()
+            || m.agent_epoch != sent.agent_epoch
+            || m.fencing_token > sent.fencing_token;
         if over || sent.starts.is_empty() {
             return;
         }
@@ -70,11 +72,16 @@
                 || job.and_then(|j| j.live.get(&task.index)).is_some_and(|live| {
                     live.attempt == *attempt && matches!(live.phase, Phase::Seen | Phase::Running)
                 });
-            let start =
-                UnconfirmedStart { token: sent.token, since: sent.at, cancelled_at, listed };
+            let start = UnconfirmedStart {
+                fencing_token: sent.fencing_token,
+                since: sent.at,
+                cancelled_at,
+                listed,
+            };
             m.unconfirmed_starts.note(key.clone(), start);
             self.revocations.unconfirmed += 1;
-            let (machine, agent_epoch, token) = (&sent.machine, sent.agent_epoch, sent.token);
+            let (machine, agent_epoch, token) =
+                (&sent.machine, sent.agent_epoch, sent.fencing_token);
             self.log.info(now, || {
                 format!(
                     "event=start_in_doubt task={task} attempt={} machine={machine} \
@@ -91,7 +98,7 @@
         let Some(m) = self.machines.get_mut(id).filter(|m| !m.unconfirmed_starts.is_empty()) else {
             return;
         };
-        let shown = m.token;
+        let shown = m.fencing_token;
         let revoked = m.unconfirmed_starts.revoke(shown);
         if revoked.is_empty() {
             return;
@@ -139,7 +146,7 @@
             let highest = self.fencing.highest();
             if let Some(m) = self.machines.get_mut(&id) {
                 if highest > token {
-                    m.raised_token = highest;
+                    m.raised_fencing_token = highest;
                     // Shown in the answer to a direct command sooner than in a report.
                     m.probe_due |= urgency == Urgency::Cancellation;
                 } else {
@@ -164,22 +171,22 @@
         if m.lapsed.is_some() || m.releasing {
             return None;
         }
-        let token = self.token_for(m);
-        let open = m.unconfirmed_starts.iter().filter(|(_, start)| start.token >= token);
+        let token = self.fencing_token_for(m);
+        let open = m.unconfirmed_starts.iter().filter(|(_, start)| start.fencing_token >= token);
 
         let useless = open.filter_map(|((task, attempt), start)| {
             if start.dangerous_since().is_some() {
-                return Some((Urgency::Cancellation, start.token));
+                return Some((Urgency::Cancellation, start.fencing_token));
             }
             let live = live_attempt(&self.jobs, task);
             let wanted = live.is_some_and(|l| l.attempt == *attempt && l.stop.is_none());
-            (!wanted).then_some((Urgency::Room, start.token))
+            (!wanted).then_some((Urgency::Room, start.fencing_token))
         });
         useless.reduce(|a, b| (a.0.max(b.0), a.1.max(b.1)))
     }
 
     /// The state service answered. Whether that was about the token.
-    pub(crate) fn token_answered(
+    pub(crate) fn fencing_token_answered(
         &mut self,
         now: Secs,
         op: OpId,
@@ -213,10 +220,12 @@
         if m.unconfirmed_starts.is_empty() && m.direct.is_none() {
             return true;
         }
-        let token = self.token_for(m);
-        let unconfirmed = m.unconfirmed_starts.iter().filter(|(_, start)| start.token >= token);
+        let token = self.fencing_token_for(m);
+        let unconfirmed =
+            m.unconfirmed_starts.iter().filter(|(_, start)| start.fencing_token >= token);
         let cancelled = unconfirmed.filter_map(|(_, start)| start.dangerous_since());
-        let sent = m.direct.and_then(|op| self.directs.get(&op)).filter(|s| s.token >= token);
+        let sent =
+            m.direct.and_then(|op| self.directs.get(&op)).filter(|s| s.fencing_token >= token);
         let sent = sent.into_iter().flat_map(|sent| &sent.starts);
         let under_way = sent.filter_map(|(task, _)| self.jobs.get(&task.job)?.cancelled_at);
         let Some(cancelled_at) = cancelled.chain(under_way).reduce(f64::min) else { return true };
--- a/crates/core/src/unconfirmed_starts.rs
+++ b/crates/core/src/unconfirmed_starts.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UnconfirmedStart {
     /// The token that the command carried.
-    pub token: u64,
+    pub fencing_token: u64,
     /// When it was sent, seconds.
     pub since: Secs,
     /// Its job was cancelled, and no user was told so before then, seconds.
@@ -44,10 +44,11 @@
     pub fn note(&mut self, key: AttemptKey, start: UnconfirmedStart) {
         let earlier = self.0.get(&key).copied();
         let since = earlier.map_or(start.since, |e| e.since.min(start.since));
-        let token = earlier.map_or(start.token, |e| e.token.max(start.token));
+        let fencing_token =
+            earlier.map_or(start.fencing_token, |e| e.fencing_token.max(start.fencing_token));
         let cancelled_at = earlier.and_then(|e| e.cancelled_at).or(start.cancelled_at);
         let listed = start.listed || earlier.is_some_and(|e| e.listed);
-        self.0.insert(key, UnconfirmedStart { token, since, cancelled_at, listed });
+        self.0.insert(key, UnconfirmedStart { fencing_token, since, cancelled_at, listed });
     }
 
     /// The job of some of them was cancelled; no user was told so before that time. Returns
@@ -71,9 +72,13 @@
 
     /// The worker has shown that token: what carried a lower one is refused from now on.
     pub fn revoke(&mut self, shown: u64) -> Vec<AttemptKey> {
-        let refused: Vec<AttemptKey> =
-            self.0.iter().filter(|(_, d)| d.token < shown).map(|(key, _)| key.clone()).collect();
-        self.0.retain(|_, start| start.token >= shown);
+        let refused: Vec<AttemptKey> = self
+            .0
+            .iter()
+            .filter(|(_, d)| d.fencing_token < shown)
+            .map(|(key, _)| key.clone())
+            .collect();
+        self.0.retain(|_, start| start.fencing_token >= shown);
         refused
     }
 
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -271,7 +271,7 @@
         spot: false,
         agent_epoch: 1,
         seq,
-        token: 1,
+        fencing_token: 1,
         notice_s: None,
         tasks,
     }
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -35,7 +35,7 @@
 
 /// A direct command whose answer the test decides on.
 struct SentDirect {
-    token: u64,
+    fencing_token: u64,
     commands: Vec<Command>,
 }
 
@@ -146,7 +146,7 @@
             spot: false,
             agent_epoch: 1,
             seq: 0,
-            token: 0,
+            fencing_token: 0,
             notice_s: None,
             tasks: Vec::new(),
         };
@@ -243,7 +243,9 @@
                     let types = CloudResult::Types(vec![machine_type()]);
                     self.node.handle(self.now, 0, Event::Cloud(op, types));
                 }
-                Action::Direct { op, token, commands, .. } => self.direct(op, token, commands),
+                Action::Direct { op, fencing_token, commands, .. } => {
+                    self.direct(op, fencing_token, commands)
+                }
                 Action::Reply(_, Answer::Report(answer)) => self.answered(answer),
                 Action::Reply(_, Answer::Unavailable(_)) => self.refused = Some(self.now),
                 _ => {}
@@ -252,22 +254,22 @@
     }
 
     fn answered(&mut self, answer: ReportAnswer) {
-        if answer.token >= self.worker.token {
-            self.worker.token = answer.token;
-            self.renewed = (self.now, answer.token);
+        if answer.fencing_token >= self.worker.fencing_token {
+            self.worker.fencing_token = answer.fencing_token;
+            self.renewed = (self.now, answer.fencing_token);
             self.execute(&answer.commands);
         }
     }
 
     fn direct(&mut self, op: OpId, token: u64, commands: Vec<Command>) {
         if self.held.is_none() && commands.iter().any(is_start) {
-            self.held = Some(SentDirect { token, commands });
+            self.held = Some(SentDirect { fencing_token: token, commands });
             self.given_up.push((self.now + GIVEN_UP_S, op));
             return;
         }
-        let good = token >= self.worker.token;
+        let good = token >= self.worker.fencing_token;
         if good {
-            self.worker.token = token;
+            self.worker.fencing_token = token;
             self.execute(&commands);
         }
         self.worker.seq += 1;
@@ -359,7 +361,7 @@
     fn held_start_counts(&self) -> bool {
         let held = self.held.as_ref().expect("a start is held");
         assert!(held.commands.iter().any(is_start));
-        held.token >= self.worker.token && self.now - self.renewed.0 <= LEASE_S
+        held.fencing_token >= self.worker.fencing_token && self.now - self.renewed.0 <= LEASE_S
     }
 }
 
@@ -370,8 +372,8 @@
     let mut scene = Scene::with_a_start_under_way();
     let cancelled = scene.cancel();
     assert!(scene.held_start_counts());
-    scene.run(CANCEL_S, |s| s.worker.token == 2);
-    assert_eq!((scene.raised.as_slice(), scene.worker.token), ([2].as_slice(), 2));
+    scene.run(CANCEL_S, |s| s.worker.fencing_token == 2);
+    assert_eq!((scene.raised.as_slice(), scene.worker.fencing_token), ([2].as_slice(), 2));
     assert!(!scene.held_start_counts());
     let most = GIVEN_UP_S + RAISE_CANCELLED_EVERY_S + SWEEP_EVERY_S + REPORT_S + 3.0 * STEP_S;
     assert!(scene.now - cancelled <= most, "took {} s", scene.now - cancelled);
@@ -410,8 +412,8 @@
     let mut scene = Scene::with_a_start_under_way();
     scene.cancel();
     scene.raises = Raises::AnswerLost;
-    scene.run(CANCEL_S, |s| s.worker.token > 1);
-    assert_eq!((scene.raised.as_slice(), scene.worker.token), ([2, 3].as_slice(), 3));
+    scene.run(CANCEL_S, |s| s.worker.fencing_token > 1);
+    assert_eq!((scene.raised.as_slice(), scene.worker.fencing_token), ([2, 3].as_slice(), 3));
 }
 
 /// A raise that fails as the leader key has changed ends the leadership.
@@ -422,7 +424,7 @@
     scene.raises = Raises::Deposed;
     scene.run(6.0, |s| s.node.leader().is_none());
     assert!(scene.node.leader().is_none());
-    assert_eq!(scene.worker.token, 1);
+    assert_eq!(scene.worker.fencing_token, 1);
 }
 
 /// A start that is still wanted is sent again under the same token: nothing is raised for it.
@@ -432,5 +434,5 @@
     scene.run(10.0, |_| false);
     assert_eq!(scene.worker.tasks.len(), 1, "it was sent again");
     assert!(scene.raised.is_empty());
-    assert_eq!((scene.worker.token, scene.refused), (1, None));
+    assert_eq!((scene.worker.fencing_token, scene.refused), (1, None));
 }
--- a/crates/core/tests/unconfirmed_starts.rs
+++ b/crates/core/tests/unconfirmed_starts.rs
@@ -8,8 +8,8 @@
     (task, Attempt(attempt))
 }
 
-fn start(token: u64) -> UnconfirmedStart {
-    UnconfirmedStart { token, since: 10.0, cancelled_at: None, listed: false }
+fn start(fencing_token: u64) -> UnconfirmedStart {
+    UnconfirmedStart { fencing_token, since: 10.0, cancelled_at: None, listed: false }
 }
 
 /// Only a token beyond the one that a start carried takes it back: a worker accepts an equal one.
--- a/crates/proto/src/wire/workers.rs
+++ b/crates/proto/src/wire/workers.rs
@@ -123,7 +123,7 @@
     pub seq: u64,
     /// Highest fencing token seen.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Seconds until a spot machine is taken.
     #[serde(rename = "warning_s", default, deserialize_with = "opt_f64_lax")]
     pub notice_s: Option<f64>,
@@ -176,7 +176,7 @@
 pub struct ReportAnswer {
     /// Fencing token: the leader's term.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Commands, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -187,7 +187,7 @@
 pub struct DirectCommands {
     /// Fencing token: the leader's term.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// The agent epoch meant: in any other one nothing is executed.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
--- a/crates/rehearsal/src/held_commands.rs
+++ b/crates/rehearsal/src/held_commands.rs
@@ -29,7 +29,7 @@
     /// Changes of leader.
     pub changes_of_leader: u32,
     /// Tokens raised by leaders in office.
-    pub tokens_raised: u32,
+    pub fencing_tokens_raised: u32,
     /// Machines whose reports went unanswered so that their lease ran out.
     pub machines_withheld: u32,
     /// Agent epochs with tasks that ended as their lease ran out.
@@ -39,7 +39,9 @@
 impl fmt::Display for HeldOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { starts, late_commands, starts_past_cancellation, .. } = self;
-        let Self { changes_of_leader, tokens_raised, machines_withheld, epochs_ended, .. } = self;
+        let Self {
+            changes_of_leader, fencing_tokens_raised, machines_withheld, epochs_ended, ..
+        } = self;
         writeln!(
             f,
             "starts={starts} late_commands={late_commands} \
@@ -47,7 +49,7 @@
         )?;
         writeln!(
             f,
-            "changes_of_leader={changes_of_leader} tokens_raised={tokens_raised} \
+            "changes_of_leader={changes_of_leader} tokens_raised={fencing_tokens_raised} \
              machines_withheld={machines_withheld} sessions_ended={epochs_ended}"
         )
     }
@@ -128,7 +130,7 @@
         self.late_commands += world.met.late_commands;
         self.starts_past_cancellation += world.met.starts_past_cancellation;
         self.changes_of_leader += world.met.changes_of_leader.len() as u32;
-        self.tokens_raised += told("event=token_raised ");
+        self.fencing_tokens_raised += told("event=token_raised ");
         self.machines_withheld += told("event=answers_withheld ");
         self.epochs_ended += world.lapses;
     }
--- a/crates/rehearsal/src/world/actions.rs
+++ b/crates/rehearsal/src/world/actions.rs
@@ -50,9 +50,9 @@
             Action::PledgeReply(to, answer) => self.send_pledge(n, to, answer),
             Action::Store(op, req) => self.send_store_request(n, boot, op, req),
             Action::Cloud(op, req) => self.send_cloud_request(n, boot, op, req),
-            Action::Direct { op, addr, token, agent_epoch, commands } => {
+            Action::Direct { op, addr, fencing_token, agent_epoch, commands } => {
                 let machine = MachineId::new(&addr);
-                let cmd = DirectCommands { token, agent_epoch, commands };
+                let cmd = DirectCommands { fencing_token, agent_epoch, commands };
                 self.send_direct(n, boot, op, machine, cmd);
             }
             Action::Heartbeat { store_ok, leading } => {
--- a/crates/rehearsal/src/world/cloud.rs
+++ b/crates/rehearsal/src/world/cloud.rs
@@ -103,7 +103,7 @@
             slow_until: 0,
             agent_epoch: 1,
             seq: 0,
-            token: 0,
+            fencing_token: 0,
             leased_from: up_at,
             next_report: up_at,
             at: 0,
--- a/crates/rehearsal/src/world/members.rs
+++ b/crates/rehearsal/src/world/members.rs
@@ -47,7 +47,7 @@
     pub(super) slow_until: u32,
     pub(super) agent_epoch: u64,
     pub(super) seq: u64,
-    pub(super) token: u64,
+    pub(super) fencing_token: u64,
     pub(super) leased_from: f64,
     pub(super) next_report: f64,
     pub(super) at: usize,
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/troubles.rs
@@ -245,7 +245,7 @@
         let machine = self.machines.iter_mut().nth(place).filter(|(_, w)| up(w));
         let Some((id, worker)) = machine else { return };
         worker.tasks.clear();
-        (worker.agent_epoch, worker.seq, worker.token) = (1, 0, 0);
+        (worker.agent_epoch, worker.seq, worker.fencing_token) = (1, 0, 0);
         worker.leased_from = now;
         worker.next_report = now;
         worker.waiting = None;
--- a/crates/rehearsal/src/world/workers.rs
+++ b/crates/rehearsal/src/world/workers.rs
@@ -49,7 +49,7 @@
             spot: w.spot,
             agent_epoch: w.agent_epoch,
             seq: w.seq,
-            token: w.token,
+            fencing_token: w.fencing_token,
             notice_s: None,
             tasks: w
                 .tasks
@@ -193,13 +193,13 @@
         w.waiting = None;
         match answer {
             Answer::Report(a) => {
-                if a.token < w.token {
+                if a.fencing_token < w.fencing_token {
                     return;
                 }
-                if a.token > w.token {
+                if a.fencing_token > w.fencing_token {
                     w.tell_soon(now);
                 }
-                w.token = a.token;
+                w.fencing_token = a.fencing_token;
                 w.leased_from = sent;
                 self.execute(id, &a.commands);
             }
@@ -219,10 +219,10 @@
         if w.dead || now < w.up_at {
             return None;
         }
-        let good = cmd.token >= w.token && cmd.agent_epoch == w.agent_epoch;
+        let good = cmd.fencing_token >= w.fencing_token && cmd.agent_epoch == w.agent_epoch;
         if good {
             self.met.mute_orders += u32::from(self.step < w.mute_until);
-            w.token = cmd.token;
+            w.fencing_token = cmd.fencing_token;
             self.execute(id, &cmd.commands);
         }
         Some(DirectResult::Report(good, Box::new(self.heartbeat_of(id)?)))
--- a/crates/rehearsal/tests/held_commands.rs
+++ b/crates/rehearsal/tests/held_commands.rs
@@ -13,7 +13,7 @@
             unreachable!("the rehearsal of held commands tells of them");
         };
         past += outcome.starts_past_cancellation;
-        raised += outcome.tokens_raised;
+        raised += outcome.fencing_tokens_raised;
     }
     assert!(past >= least, "only {past} starts came past their cancellation");
     assert!(raised >= least, "only {raised} tokens were raised");
--- a/src/event_loop.rs
+++ b/src/event_loop.rs
@@ -77,7 +77,7 @@
     /// The right to act as leader, as of now.
     fn leadership(&self) -> Option<Leadership> {
         let (term, until) = self.core.authority()?;
-        let highest_fencing_token = self.core.highest_token().max(term);
+        let highest_fencing_token = self.core.highest_fencing_token().max(term);
         Some(Leadership { term, highest_fencing_token, valid_until: self.clock.at(until) })
     }
 
@@ -127,9 +127,9 @@
         match action {
             Action::Store(op, request) => links.store.send(op, request),
             Action::Cloud(op, request) => links.cloud.send(op, request),
-            Action::Direct { op, addr, token, agent_epoch, commands } => {
-                links.workers.send(op, &addr, DirectCommands { token, agent_epoch, commands })
-            }
+            Action::Direct { op, addr, fencing_token, agent_epoch, commands } => links
+                .workers
+                .send(op, &addr, DirectCommands { fencing_token, agent_epoch, commands }),
             Action::CellCall { op, cell, request } => {
                 links.cells.as_ref().and_then(|cells| cells.send(op, &cell, *request))
             }
--- a/src/links/worker.rs
+++ b/src/links/worker.rs
@@ -51,7 +51,7 @@
     }
     // Checked last of all: connecting takes its time, and so may a process
     // that stands still.
-    if !authority.permits(worker_call.commands.token) {
+    if !authority.permits(worker_call.commands.fencing_token) {
         return DirectResult::NotSent;
     }
     let body = cbor::encode(&worker_call.commands);
--- a/src/server/handler.rs
+++ b/src/server/handler.rs
@@ -102,7 +102,7 @@
         }
         // Nor may a worker be held by a leader whose time ran out.
         if let Answer::Report(heartbeat) = &answer
-            && !self.authority.permits(heartbeat.token)
+            && !self.authority.permits(heartbeat.fencing_token)
         {
             return Response::misdirected(None);
         }
--- a/tests/binary.rs
+++ b/tests/binary.rs
@@ -73,7 +73,7 @@
     let (job, held) = cluster.hold_a_start();
     assert_eq!(cluster.call("POST", &format!("/api/jobs/{job}/abort"), &[]).0, 200);
     cluster.wait_for("the worker has a higher token", |_| {
-        held.token_of_worker() > held.commands.token
+        held.fencing_token_of_worker() > held.commands.fencing_token
     });
     cluster.until_gone(&job);
     assert_eq!(held.deliver(), Some(409), "refused, long after it was sent");
--- a/tests/stand_in/worker.rs
+++ b/tests/stand_in/worker.rs
@@ -22,7 +22,7 @@
     addr: String,
     agent_epoch: u64,
     seq: u64,
-    token: u64,
+    fencing_token: u64,
     leased: Instant,
     lease: Duration,
     tasks: BTreeMap<TaskId, Running>,
@@ -61,10 +61,10 @@
     }
 
     /// The highest token that the worker has seen.
-    pub fn token_of_worker(&self) -> u64 {
+    pub fn fencing_token_of_worker(&self) -> u64 {
         let answer = ask(&self.addr, "GET", "/show", &[], Duration::from_secs(5));
         let report = answer.and_then(|(_, body)| cbor::decode::<Report>(&body).ok());
-        report.map_or(0, |report| report.token)
+        report.map_or(0, |report| report.fencing_token)
     }
 }
 
@@ -227,7 +227,7 @@
             spot: false,
             agent_epoch: self.agent_epoch,
             seq: self.seq,
-            token: self.token,
+            fencing_token: self.fencing_token,
             notice_s: None,
             tasks: self.tasks.iter().map(task).collect(),
         }
@@ -282,7 +282,7 @@
         addr: String::new(),
         agent_epoch: 1,
         seq: 0,
-        token: 0,
+        fencing_token: 0,
         leased: Instant::now(),
         lease: Duration::from_secs_f64(plan.times.lease_s),
         tasks: BTreeMap::new(),
@@ -303,9 +303,9 @@
         if w.fleet.keep(&w.addr, &cmd) {
             return Reply::Close;
         }
-        let good = cmd.token >= w.token && cmd.agent_epoch == w.agent_epoch;
+        let good = cmd.fencing_token >= w.fencing_token && cmd.agent_epoch == w.agent_epoch;
         if good {
-            w.token = cmd.token;
+            w.fencing_token = cmd.fencing_token;
             w.execute(&cmd.commands);
         }
         let report = w.report();
@@ -323,8 +323,8 @@
         match answer {
             Some((200, body)) if report.agent_epoch == w.agent_epoch => {
                 let a: ReportAnswer = cbor::decode(&body).expect("answer");
-                if a.token >= w.token {
-                    w.token = a.token;
+                if a.fencing_token >= w.fencing_token {
+                    w.fencing_token = a.fencing_token;
                     w.leased = sent;
                     w.execute(&a.commands);
                 }
