--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -6,7 +6,7 @@
 //! changes nothing. Keys are used once: they name the leader's term and a number that only
 //! rises, so a list found under a key of ours is the one that we sent.
 //!
-//! A list is removed once every job of it has a last word, as its spec is gone then. No I/O
+//! A list is removed once every job of it has a final state, as its spec is gone then. No I/O
 //! here: the leader asks for transactions, sends them and hands back the answers.
 
 use crate::cascaded_jobs::CascadedJobs;
@@ -34,7 +34,7 @@
     Pending,
     /// These jobs are durably cancelled.
     Recorded(Vec<JobId>),
-    /// A list whose jobs all have a last word is removed.
+    /// A list whose jobs all have a final state is removed.
     Removed,
 }
 
@@ -82,7 +82,7 @@
     /// Version of the generation key after our last write.
     own_generation: u64,
     not_before: Secs,
-    /// Changes that last words of listed jobs may take now.
+    /// Changes that final states of listed jobs may take now.
     ends_budget: f64,
     refilled: Secs,
 }
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The transaction that removes a list whose jobs all have a last word, if there is one.
+    /// The transaction that removes a list whose jobs all have a final state, if there is one.
     /// Once it is sent, [`CascadeLists::removal_sent`] must be told.
     pub fn removal_due(
         &mut self,
@@ -251,7 +251,7 @@
         CascadeOutcome::Pending
     }
 
-    /// Whether the last word of one more listed job may be written now, at so many changes
+    /// Whether the final state of one more listed job may be written now, at so many changes
     /// a second; if so, it is counted.
     pub fn afford_end(&mut self, now: Secs, changes_per_s: f64) -> bool {
         let gained = (now - self.refilled) * changes_per_s;
--- a/crates/core/src/cascaded_jobs.rs
+++ b/crates/core/src/cascaded_jobs.rs
@@ -4,7 +4,7 @@
 //! Every transaction that adds a list also puts the generation key. So an answer `queued`
 //! or `running`, proven by a transaction that requires the generation known here, says that
 //! no list was added since; and the job is in no earlier one, as those are all in this copy
-//! or were removed after each of their jobs got a last word (which the same transaction
+//! or were removed after each of their jobs got a final state (which the same transaction
 //! requires to be absent). Whatever the copy's age, no user is told something older than
 //! `aborted`.
 
@@ -60,7 +60,7 @@
         self.lists.insert(key.to_owned(), CascadeList { jobs: record.jobs, version });
     }
 
-    /// A list is gone: each of its jobs has a last word.
+    /// A list is gone: each of its jobs has a final state.
     pub fn remove(&mut self, key: &str) {
         let Some(list) = self.lists.remove(key) else { return };
         for job in &list.jobs {
--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -488,7 +488,7 @@
 /// of it: a machine may fetch an image, and some boots take longer.
 pub const START_AIM_SHARE: f64 = 0.5;
 /// Between a job's last task and the next job's start: the heartbeat that tells of it, the
-/// write of its last word, placing and the command, seconds. Each stage of a pipeline
+/// write of its final state, placing and the command, seconds. Each stage of a pipeline
 /// takes so much besides its tasks.
 pub const STAGE_LAG_S: f64 = 2.0;
 /// Renting reckons with this many times the mean for a job's last task: more
@@ -511,14 +511,14 @@
 /// Run time assumed for a task nobody knows anything of, seconds.
 pub const DEFAULT_RUN_S: f64 = 30.0;
 
-/// Most reads of dependencies' last words under way at once: a leader that takes over
+/// Most reads of dependencies' final states under way at once: a leader that takes over
 /// reads one for each job named that ended before it knew it, and must not crowd the
 /// store's request rate.
 pub const DEPENDENCY_READS_MAX: usize = 16;
-/// Seconds before a dependency's last word is read again when a read found none or
+/// Seconds before a dependency's final state is read again when a read found none or
 /// failed.
 pub const DEPENDENCY_READ_RETRY_S: f64 = 2.0;
-/// Conditions that a check behind a poll takes at most: the job's last word and its spec.
+/// Conditions that a check behind a poll takes at most: the job's final state and its spec.
 pub const CONDS_PER_POLL: usize = 2;
 /// How long a poll waits for a copy that lacks the latest cascade, seconds: users wait 2 s
 /// for an answer (protocol page), and a watch brings a change within tenths of one.
@@ -533,12 +533,12 @@
 /// Most cascade lists in one transaction: with the generation, five changes, the smallest
 /// limit of a transaction that was announced; they hold some 500 jobs.
 pub const CASCADE_LISTS_PER_TXN: usize = 4;
-/// Most last words of listed jobs under way at once; each is one transaction.
+/// Most final states of listed jobs under way at once; each is one transaction.
 pub const CASCADE_ENDS_MAX: usize = 2;
-/// Share of the store's change rate that the last words of listed jobs may take: users have
+/// Share of the store's change rate that the final states of listed jobs may take: users have
 /// their answers already, and starts and submissions need the rest.
 pub const CASCADE_ENDS_SHARE: f64 = 0.25;
 /// Most cascade cancellations under way at once; each is one transaction.
 pub const CASCADE_WRITES_MAX: usize = 4;
-/// Changes one cascade cancellation costs the store: the last word and the spec.
+/// Changes one cascade cancellation costs the store: the final state and the spec.
 pub const CASCADE_CHANGES: f64 = 2.0;
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -6,7 +6,7 @@
 //! accepted before its own acceptance check ran, so every edge points from a later job
 //! to an earlier one.
 //!
-//! A dependency counts as done only once its last word `done` is durable: the leader
+//! A dependency counts as done only once its final state `done` is durable: the leader
 //! wrote it and the store confirmed the write, or it was read from the store. A leader
 //! that saw the last task finish in a heartbeat, but has no confirmed write yet, keeps
 //! the dependents waiting (else a task could start before the job it needs is done).
@@ -24,9 +24,9 @@
 /// How a job that others need ended, as durably recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its last word is `done`.
+    /// Its final state is `done`.
     Done,
-    /// Its last word is `cancelled`.
+    /// Its final state is `cancelled`.
     Cancelled,
 }
 
@@ -35,11 +35,11 @@
 pub enum DependencyState {
     /// Its spec is in the store: it is not over.
     Unfinished,
-    /// Cancelled, as a watched cancel mark or a last word shows.
+    /// Cancelled, as a watched cancel mark or a final state shows.
     Cancelled,
-    /// Its last word `done` is durable.
+    /// Its final state `done` is durable.
     Done,
-    /// Not in the leader's picture: it ended earlier, and its last word must be read.
+    /// Not in the leader's picture: it ended earlier, and its final state must be read.
     Unknown,
 }
 
@@ -62,7 +62,7 @@
     /// Durable outcomes of jobs that others named, newest last.
     outcomes: HashMap<JobId, Outcome>,
     outcome_order: VecDeque<JobId>,
-    /// Dependencies whose last word is to be read, and not before when.
+    /// Dependencies whose final state is to be read, and not before when.
     to_read: BTreeMap<JobId, Secs>,
     /// Reads under way.
     reads: HashMap<OpId, JobId>,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// The cancellations of these jobs are durable in a list; last words follow.
+    /// The cancellations of these jobs are durable in a list; final states follow.
     pub fn recorded(&mut self, jobs: &[JobId]) {
         for job in jobs {
             if self.to_cancel.remove(job) {
@@ -223,12 +223,12 @@
         &self.to_cancel
     }
 
-    /// How many listed jobs have no last word of their own yet.
+    /// How many listed jobs have no final state of their own yet.
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// A listed job whose last word is due and not under way, if fewer than `most` are.
+    /// A listed job whose final state is due and not under way, if fewer than `most` are.
     pub fn end_due(&self, most: usize) -> Option<JobId> {
         if self.cancels.len() >= most {
             return None;
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Up to `most` dependencies whose last word is due to be read now.
+    /// Up to `most` dependencies whose final state is due to be read now.
     pub fn reads_due(&mut self, now: Secs, most: usize) -> Vec<JobId> {
         let room = most.saturating_sub(self.reads.len());
         let due: Vec<JobId> = self
@@ -260,8 +260,8 @@
         due
     }
 
-    /// A job's last word must be read, as there seems to be one.
-    pub fn read_last_word(&mut self, job: &JobId, now: Secs) {
+    /// A job's final state must be read, as there seems to be one.
+    pub fn read_final_state(&mut self, job: &JobId, now: Secs) {
         self.to_read.entry(job.clone()).or_insert(now);
     }
 
@@ -270,7 +270,7 @@
         self.reads.contains_key(&op)
     }
 
-    /// A read of a dependency's last word was sent.
+    /// A read of a dependency's final state was sent.
     pub fn read_sent(&mut self, op: OpId, job: JobId) {
         self.reads.insert(op, job);
     }
--- a/crates/core/src/dependency_check.rs
+++ b/crates/core/src/dependency_check.rs
@@ -4,7 +4,7 @@
 //! Why this is safe: a job accepted at controller A a millisecond ago was committed to the
 //! store before its user got 201, and B's check transaction is ordered after that commit by
 //! the store; so a check that commits proves that the job was never accepted. No cache is
-//! trusted for absence: the replica and the remembered last words only prove presence, which
+//! trusted for absence: the replica and the remembered final states only prove presence, which
 //! never goes back (records are monotonic).
 //!
 //! Why no cycle can arise: a job may only name jobs accepted before its own check, and
@@ -36,7 +36,7 @@
 pub(crate) enum DependencyStep {
     /// Commit [`absence_transaction`] of these jobs.
     ProveAbsent(Vec<JobId>),
-    /// Read the last word of this job.
+    /// Read the final state of this job.
     ReadEnd(JobId),
     /// Refuse the submission: these jobs were never accepted.
     Refuse(Vec<JobId>),
@@ -59,7 +59,7 @@
     pub to: ReplyTo,
     /// Dependencies whose acceptance is not proven either way yet.
     unproven: VecDeque<JobId>,
-    /// Dependencies that have a last word not known here yet.
+    /// Dependencies that have a final state not known here yet.
     ends_to_read: Vec<JobId>,
     /// Dependencies that a committed check proved never accepted.
     unknown: Vec<JobId>,
@@ -69,9 +69,9 @@
     per_check: usize,
 }
 
-/// A dependency's last word as the store holds it.
+/// A dependency's final state as the store holds it.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct LastWord {
+pub(crate) struct FinalState {
     /// The record.
     pub(crate) end: EndRecord,
     /// Version of its key.
@@ -128,7 +128,7 @@
         result: &StoreResult,
     ) -> Result<(), Unanswered> {
         match result {
-            // Neither spec nor last word exists: never accepted.
+            // Neither spec nor final state exists: never accepted.
             StoreResult::Committed(_) => self.unknown.extend(batch),
             StoreResult::Conflict(keys) => self.some_exist(&batch, keys),
             _ => return Err(Unanswered),
@@ -147,7 +147,7 @@
             }
         }
         if batch.len() == 1 && unlisted.len() == 1 {
-            // Alone in a failed check, it exists; whether it has a last word is read.
+            // Alone in a failed check, it exists; whether it has a final state is read.
             self.ends_to_read.extend(unlisted);
             return;
         }
@@ -160,17 +160,17 @@
         }
     }
 
-    /// The store answered the read of a dependency's last word. Returns that last word, if
+    /// The store answered the read of a dependency's final state. Returns it, if
     /// it has one. (If not, its acceptance is proven already.)
     pub(crate) fn end_answered(
         &mut self,
         result: &StoreResult,
-    ) -> Result<Option<LastWord>, Unanswered> {
+    ) -> Result<Option<FinalState>, Unanswered> {
         match result {
             StoreResult::Value(Some(item)) => {
                 let end = from_value::<EndRecord>(&item.value).map_err(|_| Unanswered)?;
                 self.cancelled_dependency |= end.cancelled;
-                Ok(Some(LastWord { end, version: item.version }))
+                Ok(Some(FinalState { end, version: item.version }))
             }
             StoreResult::Value(None) => Ok(None),
             _ => Err(Unanswered),
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -174,7 +174,7 @@
         leader
     }
 
-    /// Last words written since the last call.
+    /// Final states written since the last call.
     pub fn take_terminal_states(&mut self) -> Vec<(JobId, EndRecord)> {
         std::mem::take(&mut self.terminal_states)
     }
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -3,13 +3,13 @@
 //! cancelled by cascade when a job they need is cancelled.
 //!
 //! The graph lives in [`crate::dependencies`]; this module connects it to the leader's
-//! picture of jobs and to the store. A cascade cancellation writes the job's last word
+//! picture of jobs and to the store. A cascade cancellation writes the job's final state
 //! `cancelled` and removes its spec in one compare-and-swap transaction: a job that waits
 //! has never started a task (every job it needs would have had to be done), so no
 //! cancel mark is needed to stop tasks, and two changes per job are all the store pays.
 //!
 //! A large cascade is first made durable in lists ([`crate::cascade`]), from which every
-//! controller answers; the last words follow at a rate that leaves the store to others.
+//! controller answers; the final states follow at a rate that leaves the store to others.
 
 use crate::cascade::CascadeOutcome;
 use crate::consts::*;
@@ -114,7 +114,7 @@
     fn ready_at(&self, id: &JobId, now: Secs) -> Option<Secs> {
         let mut ready_at = now;
         for dependency in self.dependencies.pending(id) {
-            // One that is not known here has ended, and its last word is being read.
+            // One that is not known here has ended, and its final state is being read.
             let Some(job) = self.jobs.get(dependency) else { continue };
             if job.waits_for_dependencies {
                 return None;
@@ -124,7 +124,7 @@
         Some(ready_at)
     }
 
-    /// A job's last word is durable: the jobs that wait for it may start, or, if it
+    /// A job's final state is durable: the jobs that wait for it may start, or, if it
     /// was cancelled, are cancelled too.
     pub(crate) fn dependency_finished(&mut self, now: Secs, id: &JobId, cancelled: bool) {
         self.dependencies.forget(id);
@@ -135,7 +135,7 @@
         self.start_ready(now, ready);
     }
 
-    /// The leader learned that a job is cancelled (its cancel mark, or its last word):
+    /// The leader learned that a job is cancelled (its cancel mark, or its final state):
     /// the jobs that need it are cancelled at once, without waiting for its tasks to be
     /// gone. A cascade that queues new cancellations is logged at info with its size.
     pub(crate) fn dependency_cancelled(&mut self, now: Secs, id: &JobId) {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Reads the last words of dependencies that ended before this leader knew them,
+    /// Reads the final states of dependencies that ended before this leader knew them,
     /// and writes cascade cancellations.
     pub(crate) fn dependencies_tick(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         for id in self.dependencies.reads_due(now, DEPENDENCY_READS_MAX) {
@@ -212,7 +212,7 @@
         });
     }
 
-    /// Writes the last words of listed jobs, in the background.
+    /// Writes the final states of listed jobs, in the background.
     fn end_listed(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         if self.dependencies.listed_count() == 0 || self.cascade_lists.is_paused(now) {
             return;
@@ -224,8 +224,8 @@
         }
     }
 
-    /// Removes a list whose jobs all have a last word: their specs are gone, and a spec is
-    /// only removed with its job's last word or after it.
+    /// Removes a list whose jobs all have a final state: their specs are gone, and a spec is
+    /// only removed with its job's final state or after it.
     fn remove_list(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         let unfinished = |job: &JobId| replica.specs.contains_key(job);
         let due = self.cascade_lists.removal_due(now, &replica.cascaded, unfinished);
@@ -235,7 +235,7 @@
         self.cascade_lists.removal_sent(op);
     }
 
-    /// Sends the transaction that gives a job its last word by cascade.
+    /// Sends the transaction that gives a job its final state by cascade.
     ///
     /// If its spec is gone, it has one: an earlier try was carried out, though its answer was
     /// lost. (Such a job once was tried again for good, and held up those after it.)
@@ -320,7 +320,7 @@
             // nothing of a spec removed. (Repeated for good, such cancellations took the
             // store's rate and held up all others.)
             StoreResult::Conflict(_) => {
-                self.dependencies.read_last_word(&id, now);
+                self.dependencies.read_final_state(&id, now);
                 self.cascade_lists.pause(now);
             }
             _ => self.cascade_lists.pause(now),
--- a/crates/core/src/tests/cascade.rs
+++ b/crates/core/src/tests/cascade.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn last_words_of_listed_jobs_keep_to_their_share() {
+fn final_states_of_listed_jobs_keep_to_their_share() {
     let mut lists = CascadeLists::new(7, 70, 0.0);
     let ends = (0..1_000).filter(|n| lists.afford_end(f64::from(*n) * 0.1, 4.0)).count();
     assert!((195..=200).contains(&ends), "{ends} ends in 100 s at 4 changes a second");
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -1,13 +1,13 @@
 //! Users' requests, answered the same way on every controller.
 //!
-//! A job's last word (`end/`) is written once, by whoever comes first: the
+//! A job's final state (`end/`) is written once, by whoever comes first: the
 //! leader with *done* or any controller with *cancelled*. Before a user is told
 //! anything else, the store confirms in a transaction without changes that no
-//! last word exists; many polls share one such check. So no answer is ever
+//! final state exists; many polls share one such check. So no answer is ever
 //! older than one that any controller gave before.
 //!
 //! A job that a cascade cancelled is `aborted` from the moment its list is durable,
-//! though its last word comes later. So each such check also requires the cascade
+//! though its final state comes later. So each such check also requires the cascade
 //! generation known here; see [`crate::cascaded_jobs`]. Where the copy is behind, users
 //! wait for it a little, and then are asked to come again.
 //!
@@ -16,7 +16,7 @@
 
 use crate::consts::*;
 use crate::dependency_check::{
-    DependencyCheck, DependencyStep, KnownDependency, LastWord, absence_transaction,
+    DependencyCheck, DependencyStep, FinalState, KnownDependency, absence_transaction,
 };
 use crate::event::{
     ActionSink, Answer, NOBODY, OpId, ReplyTo, Secs, StoreRequest, StoreResult, TaskCounts,
@@ -48,22 +48,22 @@
     CancelRead(JobId, ReplyTo),
     /// The transaction of a cancel.
     Cancel(JobId, ReplyTo, u32),
-    /// Reads a last word.
+    /// Reads a final state.
     End(JobId, ReplyTo, Absent),
     /// Records that a cancellation is wanted of a job that may be in another cell.
     CancelWanted,
     /// A check transaction that proves some DAG dependencies accepted, or not.
     DependencyCheck(Box<DependencyCheck>, Vec<JobId>),
-    /// Reads the last word of a DAG dependency that has one.
+    /// Reads the final state of a DAG dependency that has one.
     DependencyEnd(Box<DependencyCheck>, JobId),
     /// The transaction that accepts a job already cancelled with a dependency.
     SubmitCancelled(JobId, ReplyTo, u32),
 }
 
-/// What it means that a job has no last word.
+/// What it means that a job has no final state.
 #[derive(Debug, Clone, Copy)]
 enum Absent {
-    /// There was no spec either, so the job never was: the last word is
+    /// There was no spec either, so the job never was: the final state is
     /// written in the transaction that removes the spec.
     Never,
     /// Nothing: let the user ask again.
@@ -275,7 +275,7 @@
     }
 
     /// Accepts a job that names a cancelled dependency as cancelled itself:
-    /// its last word and no spec, if there is no record of it yet.
+    /// its final state and no spec, if there is no record of it yet.
     fn write_cancelled_submission(
         &mut self,
         id: JobId,
@@ -363,12 +363,12 @@
         self.pending.insert(op, Pending::CancelWanted);
     }
 
-    /// Reads a last word, to be known from then on.
+    /// Reads a final state, to be known from then on.
     pub fn learn_end(&mut self, id: JobId, out: &mut ActionSink) {
         self.read_end(id, NOBODY, Absent::Unclear, out);
     }
 
-    /// A last word that is surely in the store, if it is known here.
+    /// A final state that is surely in the store, if it is known here.
     pub fn terminal_state(&self, id: &JobId) -> Option<&EndRecord> {
         self.terminal_states.get(id)
     }
@@ -424,8 +424,8 @@
                 }
             }
             Pending::DependencyEnd(mut check, dependency) => match check.end_answered(result) {
-                Ok(last_word) => {
-                    if let Some(LastWord { end, version }) = last_word {
+                Ok(final_state) => {
+                    if let Some(FinalState { end, version }) = final_state {
                         if end.cancelled {
                             // Users may be told from memory from now on.
                             self.confirmed.push((dependency.clone(), version));
@@ -520,7 +520,7 @@
         std::mem::take(&mut self.confirmed)
     }
 
-    /// Keeps a last word that is surely in the store.
+    /// Keeps a final state that is surely in the store.
     pub fn remember(&mut self, id: &JobId, end: EndRecord) {
         self.progress.remove(id);
         if self.terminal_states.insert(id.clone(), end).is_none() {
--- a/crates/core/src/user_api/polls.rs
+++ b/crates/core/src/user_api/polls.rs
@@ -1,6 +1,6 @@
 //! Polls: how jobs are, proven by transactions without changes that many of them share.
 //!
-//! A job is open, and so `queued` or `running`, if it has no last word and no cascade was
+//! A job is open, and so `queued` or `running`, if it has no final state and no cascade was
 //! added beyond those in this controller's copy, which doesn't name it; see
 //! [`crate::cascaded_jobs`].
 
@@ -230,7 +230,7 @@
     }
 
     /// The DAG dependencies of a job that this controller still sees
-    /// unfinished: their spec is in the replica and no last word is known.
+    /// unfinished: their spec is in the replica and no final state is known.
     pub(super) fn unfinished_dependencies(
         &self,
         context: &RequestContext<'_>,
--- a/crates/core/tests/cluster/pipelines.rs
+++ b/crates/core/tests/cluster/pipelines.rs
@@ -143,7 +143,7 @@
     // Users ask every five seconds.
     assert!(times.p99_s < 6.0, "{times:?}");
     assert!(world.cascade_lists() > 0);
-    // The last words follow, and then the lists go.
+    // The final states follow, and then the lists go.
     world.run(CASCADE_AT + 7_000);
     assert_eq!(world.broken, Vec::<String>::new());
     println!("{} ends, {} refusals", world.ends(), world.met.store_refusals);
--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -167,14 +167,14 @@
     assert!(matches!(replies(&mut node)[..], [(2, Answer::Unavailable(_))]));
 }
 
-/// Memory stays bounded over many finished jobs: the oldest last words are
+/// Memory stays bounded over many finished jobs: the oldest final states are
 /// forgotten, and read from the store again when somebody asks.
 #[test]
-fn forgotten_last_words_are_read_again() {
+fn forgotten_final_states_are_read_again() {
     let mut node = node();
     node.take_actions();
     let id = |n: usize| JobId::new(&format!("req-{n}"));
-    // Asks; plays the store, which holds a last word for every job. The answer,
+    // Asks; plays the store, which holds a final state for every job. The answer,
     // and how often the store was asked.
     let ask = |at: f64, n: usize, node: &mut Node| {
         node.handle(at, 0, Event::User(ReplyTo(n as u64), UserRequest::Poll(id(n))));
@@ -320,8 +320,8 @@
     assert_eq!(polled, told(200, 9, Stage::Queued, vec![id(1)]));
 }
 
-/// Naming a cancelled job: accepted as cancelled, a last word and no spec, and
-/// so told again by another controller from that last word. Until every
+/// Naming a cancelled job: accepted as cancelled, a final state and no spec, and
+/// so told again by another controller from that final state. Until every
 /// controller knows dependencies ([`GATED`]), naming any gets 503.
 #[test]
 fn a_job_naming_a_cancelled_one_is_accepted_aborted() {
@@ -339,7 +339,7 @@
     assert_eq!(store.len(), 2, "the gated one wrote nothing");
 }
 
-/// A cancellation that a controller knows from a dependency's last word alone is told to
+/// A cancellation that a controller knows from a dependency's final state alone is told to
 /// users from memory later: the leader must hear of it with the next pledge all the same.
 #[test]
 fn a_cancelled_dependency_that_was_read_counts_as_confirmed() {
@@ -377,7 +377,7 @@
     assert!(!store.contains_key(&end_key(&id(4))));
 }
 
-/// While the last word of a dependency that ended long ago can't be read, or the check isn't
+/// While the final state of a dependency that ended long ago can't be read, or the check isn't
 /// answered, users are told to come back, and no place of a submission under way is lost.
 #[test]
 fn a_submission_waits_out_a_store_that_does_not_tell_how_a_dependency_ended() {
@@ -401,7 +401,7 @@
 /// one that names it is accepted as aborted. A controller whose copy lacks the list proves
 /// nothing with it: users come again.
 #[test]
-fn a_job_of_a_cascade_list_is_aborted_before_its_last_word() {
+fn a_job_of_a_cascade_list_is_aborted_before_its_final_state() {
     let watched = |items: Vec<Item>| {
         let mut replica = Replica::default();
         replica.apply(fresh(0.0, items));
--- a/crates/proto/src/records.rs
+++ b/crates/proto/src/records.rs
@@ -112,7 +112,7 @@
 }
 
 /// Jobs cancelled by a cascade: a job that each of them needs was cancelled. Durable the
-/// moment it is written, long before each job has its own last word. An older version
+/// moment it is written, long before each job has its own final state. An older version
 /// ignores these keys; the leader writes them only where every controller knows them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CascadeRecord {
--- a/crates/rehearsal/src/world/cascades.rs
+++ b/crates/rehearsal/src/world/cascades.rs
@@ -75,7 +75,7 @@
         self.kv.keys().filter(|key| key.starts_with("w/cascade/")).count()
     }
 
-    /// Last words in the store.
+    /// Final states in the store.
     pub fn ends(&self) -> usize {
         self.kv.keys().filter(|key| key.starts_with("end/")).count()
     }
--- a/crates/rehearsal/src/world/late_acceptance.rs
+++ b/crates/rehearsal/src/world/late_acceptance.rs
@@ -11,7 +11,7 @@
 
 impl World {
     /// Puts into the store what such a race leaves: a job cancelled and over, of which there
-    /// is a last word alone, and one accepted as queued that names it. Returns the latter.
+    /// is a final state alone, and one accepted as queued that names it. Returns the latter.
     pub fn accept_after_cancellation(&mut self) -> JobId {
         let id = |number: u32| JobId::new(&format!("req-{:06}", self.first_number + number));
         let (cancelled, dependent) = (id(CANCELLED_NUMBER), id(DEPENDENT_NUMBER));
