--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -270,7 +270,7 @@
 }
 
 fn put(key: String, value: ciborium::Value) -> Write {
-    Write::Put { key, value, grant: None }
+    Write::Put { key, value, lease: None }
 }
 
 /// Splits jobs so that each list stays within so many bytes as JSON.
--- a/crates/core/src/cells/mod.rs
+++ b/crates/core/src/cells/mod.rs
@@ -240,5 +240,5 @@
 
 /// A value to be written.
 fn put(key: String, value: &impl serde::Serialize) -> Write {
-    Write::Put { key, value: marblebarrow_proto::cbor::to_value(value), grant: None }
+    Write::Put { key, value: marblebarrow_proto::cbor::to_value(value), lease: None }
 }
--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -3,17 +3,17 @@
 
 // --- election -------------------------------------------------------------
 
-/// Grant of the leader key, milliseconds: short, so that a dead leader is
+/// Lease of the leader key, milliseconds: short, so that a dead leader is
 /// replaced soon; long enough for a slow answer of the state service (a few
 /// hundred ms) and a processor stall.
-pub const GRANT_MS: u64 = 3_000;
+pub const LEADER_LEASE_MS: u64 = 3_000;
 /// The same in seconds.
-pub const GRANT_S: f64 = GRANT_MS as f64 / 1e3;
-/// Seconds between touches: five tries within a grant.
-pub const TOUCH_EVERY_S: f64 = 0.6;
-/// Taken off a grant's certain life, seconds: owner-queue delay between the
+pub const LEADER_LEASE_S: f64 = LEADER_LEASE_MS as f64 / 1e3;
+/// Seconds between renewals: five tries within a lease.
+pub const KEEP_ALIVE_EVERY_S: f64 = 0.6;
+/// Taken off a lease's certain life, seconds: owner-queue delay between the
 /// authority check and the bytes leaving.
-pub const GRANT_MARGIN_S: f64 = 0.25;
+pub const LEADER_LEASE_MARGIN_S: f64 = 0.25;
 /// Clock drift allowed for, as a fraction: the protocol's 0.05% between two
 /// clocks, doubled.
 pub const DRIFT: f64 = 0.001;
@@ -153,8 +153,8 @@
 pub const PAGE_LIMIT: u32 = 200;
 /// Conditions of a transaction per change allowed (protocol page).
 pub const CONDS_PER_OP: usize = 4;
-/// Conditions that a check of one DAG dependency takes: its spec and its last
-/// word, both absent (version 0).
+/// Conditions that a check of one DAG dependency takes: its spec and its final
+/// state, both absent (version 0).
 pub const CONDS_PER_DEPENDENCY: usize = 2;
 /// Bytes of JSON of the values in a transaction, beyond which no more is added: below the
 /// 64 KiB limit with room for one more value and for the conditions.
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -68,8 +68,8 @@
     reads: HashMap<OpId, JobId>,
     /// Jobs to cancel because a job they need, directly or through others, was.
     to_cancel: BTreeSet<JobId>,
-    /// Jobs whose cancellation by a cascade is durable in a list, and which have no last
-    /// word of their own yet.
+    /// Jobs whose cancellation by a cascade is durable in a list, and which have no final
+    /// state of their own yet.
     listed: BTreeSet<JobId>,
     /// Cancellations under way.
     cancels: HashMap<OpId, JobId>,
--- a/crates/core/src/election/campaign.rs
+++ b/crates/core/src/election/campaign.rs
@@ -1,8 +1,8 @@
-//! The steps of an election: a grant, the term counter, and the transaction that makes this
+//! The steps of an election: a lease, the term counter, and the transaction that makes this
 //! controller leader.
 
 use super::{Election, Leadership, LeadershipChange, Role, lease};
-use crate::consts::GRANT_MS;
+use crate::consts::LEADER_LEASE_MS;
 use crate::event::{ActionSink, OpId, Secs, StoreRequest, StoreResult};
 use crate::replica::Replica;
 use marblebarrow_proto::cbor::{from_value, to_value};
@@ -35,13 +35,13 @@
         }
         match &replica.leader {
             Some((leader, _)) if self.is_dead_self(leader) => {
-                self.revoked = Some(leader.grant);
-                out.store(StoreRequest::Revoke(leader.grant));
+                self.revoked = Some(leader.lease);
+                out.store(StoreRequest::RevokeLease(leader.lease));
             }
             Some(_) => self.candidacy.note_leader(now),
             None if self.candidacy.may_stand(now) => {
-                let op = out.store(StoreRequest::Grant(GRANT_MS));
-                self.role = Role::Granting { op, since: now };
+                let op = out.store(StoreRequest::GrantLease(LEADER_LEASE_MS));
+                self.role = Role::LeaseRequested { op, since: now };
             }
             None => {}
         }
@@ -49,7 +49,7 @@
 
     /// Whether our own earlier process led: it is dead, so its key may go.
     fn is_dead_self(&self, leader: &LeaderRecord) -> bool {
-        leader.node == self.me && leader.boot != self.boot && self.revoked != Some(leader.grant)
+        leader.node == self.me && leader.boot != self.boot && self.revoked != Some(leader.lease)
     }
 
     /// Follows again, and stands no sooner than after a while.
@@ -67,45 +67,45 @@
         out: &mut ActionSink,
     ) -> Option<LeadershipChange> {
         match self.role {
-            Role::Granting { op, since } if op == answered => {
+            Role::LeaseRequested { op, since } if op == answered => {
                 self.granted(now, since, result, out);
                 Some(LeadershipChange::None)
             }
-            Role::Reading { op, grant, since } if op == answered => {
+            Role::Reading { op, lease, since } if op == answered => {
                 match result {
-                    StoreResult::Value(item) => self.stand(now, grant, since, item.as_ref(), out),
+                    StoreResult::Value(item) => self.stand(now, lease, since, item.as_ref(), out),
                     _ => self.fall_back(now),
                 }
                 Some(LeadershipChange::None)
             }
-            Role::Candidate { op: Some(op), grant, since, term } if op == answered => {
-                Some(self.candidacy_answered(now, grant, since, term, result))
+            Role::Candidate { op: Some(op), lease, since, term } if op == answered => {
+                Some(self.candidacy_answered(now, lease, since, term, result))
             }
             _ => None,
         }
     }
 
     fn granted(&mut self, now: Secs, since: Secs, result: &StoreResult, out: &mut ActionSink) {
-        let StoreResult::Granted(grant) = result else { return self.fall_back(now) };
+        let StoreResult::LeaseGranted(lease) = result else { return self.fall_back(now) };
         let op = out.store(StoreRequest::Get(TERM.into()));
-        self.role = Role::Reading { op, grant: *grant, since };
+        self.role = Role::Reading { op, lease: *lease, since };
     }
 
     fn candidacy_answered(
         &mut self,
         now: Secs,
-        grant: u64,
+        lease: u64,
         since: Secs,
         term: Term,
         result: &StoreResult,
     ) -> LeadershipChange {
         match result {
             StoreResult::Committed(version) => {
-                return self.win(now, grant, since, term, *version);
+                return self.win(now, lease, since, term, *version);
             }
             // The watch will tell.
             StoreResult::Unknown => {
-                self.role = Role::Candidate { op: None, grant, since, term };
+                self.role = Role::Candidate { op: None, lease, since, term };
             }
             _ => self.fall_back(now),
         }
@@ -116,7 +116,7 @@
     fn stand(
         &mut self,
         now: Secs,
-        grant: u64,
+        lease: u64,
         since: Secs,
         counter: Option<&Item>,
         out: &mut ActionSink,
@@ -126,13 +126,13 @@
         }
         let Some(counter) = TermCounter::of(counter) else { return self.fall_back(now) };
         let term = Term(counter.term + 1);
-        let op = out.store(StoreRequest::Commit(self.campaign_txn(grant, term, counter.version)));
-        self.role = Role::Candidate { op: Some(op), grant, since, term };
+        let op = out.store(StoreRequest::Commit(self.campaign_txn(lease, term, counter.version)));
+        self.role = Role::Candidate { op: Some(op), lease, since, term };
     }
 
     /// Takes the leader key and counts the term, if nobody else did either.
-    fn campaign_txn(&self, grant: u64, term: Term, counter_version: u64) -> Txn {
-        let leader = LeaderRecord { node: self.me.clone(), term: term.0, grant, boot: self.boot };
+    fn campaign_txn(&self, lease: u64, term: Term, counter_version: u64) -> Txn {
+        let leader = LeaderRecord { node: self.me.clone(), term: term.0, lease, boot: self.boot };
         let counter = TermRecord { term: term.0 };
         Txn {
             conds: vec![
@@ -140,17 +140,17 @@
                 Cond { key: TERM.into(), version: counter_version },
             ],
             writes: vec![
-                Write::Put { key: LEADER.into(), value: to_value(&leader), grant: Some(grant) },
-                Write::Put { key: TERM.into(), value: to_value(&counter), grant: None },
+                Write::Put { key: LEADER.into(), value: to_value(&leader), lease: Some(lease) },
+                Write::Put { key: TERM.into(), value: to_value(&counter), lease: None },
             ],
         }
     }
 
-    /// The leader key is ours, at that version, under a grant asked for at `since`.
+    /// The leader key is ours, at that version, under a lease asked for at `since`.
     pub(super) fn win(
         &mut self,
         now: Secs,
-        grant: u64,
+        lease: u64,
         since: Secs,
         term: Term,
         version: u64,
@@ -158,7 +158,7 @@
         let valid_until = lease::certain_until(since);
         self.pledges.clear();
         self.lease.begin(now);
-        self.role = Role::Leader(Leadership { grant, term, version, valid_until });
+        self.role = Role::Leader(Leadership { lease, term, version, valid_until });
         LeadershipChange::Won
     }
 }
--- a/crates/core/src/election/lease.rs
+++ b/crates/core/src/election/lease.rs
@@ -3,9 +3,9 @@
 use crate::consts::*;
 use crate::event::{ActionSink, OpId, Secs, StoreRequest};
 
-/// A touch of the grant that the store hasn't answered.
+/// A renewal of the lease that the store hasn't answered.
 #[derive(Clone, Copy, Debug)]
-struct PendingTouch {
+struct PendingRenewal {
     op: OpId,
     sent: Secs,
 }
@@ -13,8 +13,8 @@
 /// When the lease is renewed, and how that goes.
 #[derive(Debug, Default)]
 pub(super) struct LeaseRenewal {
-    pending: Option<PendingTouch>,
-    next_touch: Secs,
+    pending: Option<PendingRenewal>,
+    next_renewal: Secs,
     failing: bool,
 }
 
@@ -27,33 +27,33 @@
     /// A leadership begins: the first renewal is due at once.
     pub(super) fn begin(&mut self, now: Secs) {
         self.failing = false;
-        self.next_touch = now;
+        self.next_renewal = now;
     }
 
     /// Renews the lease, if it is time.
-    pub(super) fn touch_if_due(&mut self, now: Secs, grant: u64, out: &mut ActionSink) {
-        if self.pending.is_none() && now >= self.next_touch {
-            let op = out.store(StoreRequest::Touch(grant));
-            self.pending = Some(PendingTouch { op, sent: now });
+    pub(super) fn renew_if_due(&mut self, now: Secs, lease: u64, out: &mut ActionSink) {
+        if self.pending.is_none() && now >= self.next_renewal {
+            let op = out.store(StoreRequest::KeepAlive(lease));
+            self.pending = Some(PendingRenewal { op, sent: now });
         }
     }
 
     /// If the answer is to a renewal: when that was sent.
     pub(super) fn answered(&mut self, op: OpId) -> Option<Secs> {
-        let sent = self.pending.filter(|touch| touch.op == op)?.sent;
+        let sent = self.pending.filter(|renewal| renewal.op == op)?.sent;
         self.pending = None;
         Some(sent)
     }
 
     /// The renewal sent at that time was carried out.
     pub(super) fn renewed(&mut self, sent: Secs) {
-        self.next_touch = sent + TOUCH_EVERY_S;
+        self.next_renewal = sent + KEEP_ALIVE_EVERY_S;
         self.failing = false;
     }
 
     /// A renewal failed, or its answer is lost.
     pub(super) fn failed(&mut self, now: Secs) {
-        self.next_touch = now + STORE_RETRY_S;
+        self.next_renewal = now + STORE_RETRY_S;
         self.failing = true;
     }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Until when a grant that was asked for or touched at `sent` surely lives.
+/// Until when a lease that was asked for or renewed at `sent` surely lives.
 pub(super) fn certain_until(sent: Secs) -> Secs {
-    sent + GRANT_S * (1.0 - DRIFT) - GRANT_MARGIN_S
+    sent + LEADER_LEASE_S * (1.0 - DRIFT) - LEADER_LEASE_MARGIN_S
 }
--- a/crates/core/src/election/mod.rs
+++ b/crates/core/src/election/mod.rs
@@ -1,7 +1,7 @@
 //! Leader election: who leads, and until when that is certain.
 //!
-//! The leader holds the leader key under a lease of the state service (a grant). It acts only
-//! while the lease surely lives, counted from the sending of the last good renewal (a touch);
+//! The leader holds the leader key under a lease of the state service. It acts only while the
+//! lease surely lives, counted from the sending of the last good renewal;
 //! in an outage of the state service also while every other controller has pledged not to
 //! stand ([`pledges`]). A pledge is given only by a controller that the store refuses too, and
 //! a fresh process waits a pledge's length before it stands, so that a pledge outlives the
@@ -25,13 +25,13 @@
 /// A leadership.
 #[derive(Debug, Clone)]
 pub struct Leadership {
-    /// The grant of the leader key.
-    pub grant: u64,
+    /// The lease of the leader key.
+    pub lease: u64,
     /// The term.
     pub term: Term,
     /// Version of the leader key: the condition of every write.
     pub version: u64,
-    /// The grant surely lives until then.
+    /// The lease surely lives until then.
     pub valid_until: Secs,
 }
 
@@ -51,13 +51,13 @@
 enum Role {
     /// Another leads, or nobody.
     Follower,
-    /// Asked for a grant.
-    Granting { op: OpId, since: Secs },
+    /// Asked for a lease.
+    LeaseRequested { op: OpId, since: Secs },
     /// Reads the term counter.
-    Reading { op: OpId, grant: u64, since: Secs },
+    Reading { op: OpId, lease: u64, since: Secs },
     /// Sent the transaction that makes it leader; without `op`, the answer is lost and the
     /// watch will tell.
-    Candidate { op: Option<OpId>, grant: u64, since: Secs, term: Term },
+    Candidate { op: Option<OpId>, lease: u64, since: Secs, term: Term },
     /// Leads.
     Leader(Leadership),
 }
@@ -111,7 +111,7 @@
     candidacy: Candidacy,
     lease: LeaseRenewal,
     pledges: Pledges,
-    /// The grant of an earlier process of ours that was revoked last.
+    /// The lease of an earlier process of ours that was revoked last.
     revoked: Option<u64>,
 }
 
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The term in which we may act, and until when nobody else can: while the grant surely
+    /// The term in which we may act, and until when nobody else can: while the lease surely
     /// lives, and while every peer's pledge does.
     pub fn leadership_bounds(&self) -> Option<LeadershipBounds> {
         let held = self.leadership()?;
@@ -163,8 +163,8 @@
         self.pledges.informed_at(&self.peers)
     }
 
-    /// Whether the last touch of the grant failed.
-    pub fn touch_failing(&self) -> bool {
+    /// Whether the last renewal of the lease failed.
+    pub fn renewal_failing(&self) -> bool {
         self.lease.is_failing()
     }
 
@@ -172,21 +172,21 @@
     pub fn tick(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) -> LeadershipChange {
         match &self.role {
             Role::Follower => self.follow(now, replica, out),
-            Role::Granting { since, .. } | Role::Reading { since, .. } => {
-                if now > *since + GRANT_S {
+            Role::LeaseRequested { since, .. } | Role::Reading { since, .. } => {
+                if now > *since + LEADER_LEASE_S {
                     self.fall_back(now);
                 }
             }
             Role::Candidate { since, .. } => {
-                // The grant isn't touched, so by then whatever became of the transaction, the
+                // The lease isn't renewed, so by then whatever became of the transaction, the
                 // key is gone or was never there.
-                if now > *since + GRANT_S + 1.0 {
+                if now > *since + LEADER_LEASE_S + 1.0 {
                     self.fall_back(now);
                 }
             }
             Role::Leader(leadership) => {
-                let (grant, term) = (leadership.grant, leadership.term);
-                self.lease.touch_if_due(now, grant, out);
+                let (lease, term) = (leadership.lease, leadership.term);
+                self.lease.renew_if_due(now, lease, out);
                 if self.lease.is_failing() && !self.peers.is_empty() {
                     self.pledges.ask_if_due(now, term, replica.revision, out);
                 }
@@ -225,7 +225,7 @@
         out: &mut ActionSink,
     ) -> LeadershipChange {
         if let Some(held) = self.leadership() {
-            out.store(StoreRequest::Revoke(held.grant));
+            out.store(StoreRequest::RevokeLease(held.lease));
         }
         let change = self.lose(now, reason);
         self.candidacy.wait_until(now + RESIGNED_S);
@@ -249,22 +249,27 @@
         out: &mut ActionSink,
     ) -> Option<LeadershipChange> {
         if let Some(sent) = self.lease.answered(op) {
-            return Some(self.touched(now, sent, result));
+            return Some(self.renewal_answered(now, sent, result));
         }
         self.campaign_answered(now, op, result, out)
     }
 
-    fn touched(&mut self, now: Secs, sent: Secs, result: &StoreResult) -> LeadershipChange {
+    fn renewal_answered(
+        &mut self,
+        now: Secs,
+        sent: Secs,
+        result: &StoreResult,
+    ) -> LeadershipChange {
         let Role::Leader(leadership) = &mut self.role else {
             return LeadershipChange::None;
         };
         match result {
-            StoreResult::Touched => {
+            StoreResult::LeaseRenewed => {
                 leadership.valid_until = lease::certain_until(sent);
                 self.lease.renewed(sent);
                 LeadershipChange::None
             }
-            StoreResult::NoGrant => self.lose(now, LossReason::LeaseGone),
+            StoreResult::NoLease => self.lose(now, LossReason::LeaseGone),
             _ => {
                 self.lease.failed(now);
                 LeadershipChange::None
@@ -277,17 +282,17 @@
         let seen = replica.leader.as_ref();
         match (&self.role, seen) {
             // Removed: before the watch has shown our own key, it may be an older removal;
-            // the touch will find out.
+            // the renewal will find out.
             (Role::Leader(_), None) => LeadershipChange::None,
             (Role::Leader(held), Some((_, version))) if *version <= held.version => {
                 LeadershipChange::None
             }
             (Role::Leader(_), Some(_)) => self.lose(now, LossReason::Superseded),
-            (Role::Candidate { grant, since, term, .. }, Some((record, version)))
-                if record.boot == self.boot && record.grant == *grant =>
+            (Role::Candidate { lease, since, term, .. }, Some((record, version)))
+                if record.boot == self.boot && record.lease == *lease =>
             {
-                let (grant, since, term) = (*grant, *since, *term);
-                self.win(now, grant, since, term, *version)
+                let (lease, since, term) = (*lease, *since, *term);
+                self.win(now, lease, since, term, *version)
             }
             _ => LeadershipChange::None,
         }
--- a/crates/core/src/election/pledges.rs
+++ b/crates/core/src/election/pledges.rs
@@ -57,7 +57,7 @@
             let at = self.informed.entry(peer.clone()).or_insert(sent);
             *at = at.max(sent);
         }
-        let until = sent + PLEDGE_S * (1.0 - DRIFT) - GRANT_MARGIN_S;
+        let until = sent + PLEDGE_S * (1.0 - DRIFT) - LEADER_LEASE_MARGIN_S;
         let slot = self.until.entry(peer).or_insert(until);
         *slot = slot.max(until);
     }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -74,12 +74,12 @@
         /// Begin after this key.
         after: String,
     },
-    /// A new grant of so many milliseconds.
-    Grant(u64),
-    /// Renew a grant.
-    Touch(u64),
-    /// End a grant.
-    Revoke(u64),
+    /// A new lease of so many milliseconds.
+    GrantLease(u64),
+    /// Renew a lease.
+    KeepAlive(u64),
+    /// End a lease.
+    RevokeLease(u64),
 }
 
 /// How a request to the state service went.
@@ -93,12 +93,12 @@
     Value(Option<Item>),
     /// A page.
     Page(ItemPage),
-    /// A grant.
-    Granted(u64),
-    /// The grant lives on.
-    Touched,
-    /// The grant is gone.
-    NoGrant,
+    /// A lease.
+    LeaseGranted(u64),
+    /// The lease lives on, or was ended as asked.
+    LeaseRenewed,
+    /// The lease is gone.
+    NoLease,
     /// Not executed: refused, limited or unreachable.
     Refused,
     /// Not executed, and never will be as it stands.
--- a/crates/core/src/fencing.rs
+++ b/crates/core/src/fencing.rs
@@ -92,7 +92,7 @@
             writes: vec![Write::Put {
                 key: TERM.into(),
                 value: to_value(&TermRecord { term: token }),
-                grant: None,
+                lease: None,
             }],
         };
         let op = out.store(StoreRequest::Commit(txn));
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -152,11 +152,11 @@
         }
     }
 
-    // Serves the store well enough to keep our grant, and yet doesn't tell what is
+    // Serves the store well enough to keep our lease, and yet doesn't tell what is
     // new, and soon we may not act for it: another's watch may fare better.
     fn out_of_date(&self, now: Secs) -> bool {
         self.election.leadership().is_some()
-            && !self.election.touch_failing()
+            && !self.election.renewal_failing()
             && !self.facts.others.is_empty()
             && now > self.known_at() + self.facts.replica_age_to_resign()
     }
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -262,14 +262,14 @@
         let end = Write::Put {
             key: end_key(id),
             value: to_value(&EndRecord { cancelled: true, tasks }),
-            grant: None,
+            lease: None,
         };
         // A job that never started needs no cancel mark: nothing of it can run.
         // Should any start be recorded, the mark stops its tasks as a user's would.
         let then = if job.started.is_empty() && job.live.is_empty() {
             Write::Delete { key: spec_key(id) }
         } else {
-            Write::Put { key: cancel_key(id), value: to_value(&true), grant: None }
+            Write::Put { key: cancel_key(id), value: to_value(&true), lease: None }
         };
         Some(Txn {
             conds: vec![
--- a/crates/core/src/tests/record_shape.rs
+++ b/crates/core/src/tests/record_shape.rs
@@ -19,7 +19,7 @@
 
 fn put(bytes: usize) -> Write {
     let value = ciborium::Value::Text("x".repeat(bytes - 2));
-    Write::Put { key: "k".into(), value, grant: None }
+    Write::Put { key: "k".into(), value, lease: None }
 }
 
 #[test]
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -204,7 +204,7 @@
                 Cond { key: spec_key(&id), version: 0 },
                 Cond { key: end_key(&id), version: 0 },
             ],
-            writes: vec![Write::Put { key: spec_key(&id), value: to_value(&record), grant: None }],
+            writes: vec![Write::Put { key: spec_key(&id), value: to_value(&record), lease: None }],
         };
         let op = out.store(StoreRequest::Commit(txn));
         self.pending.insert(op, Pending::Submit(id, to));
@@ -289,7 +289,7 @@
                 Cond { key: spec_key(&id), version: 0 },
                 Cond { key: end_key(&id), version: 0 },
             ],
-            writes: vec![Write::Put { key: end_key(&id), value: to_value(&end), grant: None }],
+            writes: vec![Write::Put { key: end_key(&id), value: to_value(&end), lease: None }],
         };
         let op = out.store(StoreRequest::Commit(txn));
         self.pending.insert(op, Pending::SubmitCancelled(id, to, tasks));
@@ -356,7 +356,7 @@
             writes: vec![Write::Put {
                 key: cancel_wanted_key(id),
                 value: to_value(&true),
-                grant: None,
+                lease: None,
             }],
         };
         let op = out.store(StoreRequest::Commit(txn));
@@ -388,8 +388,8 @@
                 Cond { key: end_key(&id), version: 0 },
             ],
             writes: vec![
-                Write::Put { key: end_key(&id), value: to_value(&end), grant: None },
-                Write::Put { key: cancel_key(&id), value: to_value(&true), grant: None },
+                Write::Put { key: end_key(&id), value: to_value(&end), lease: None },
+                Write::Put { key: cancel_key(&id), value: to_value(&true), lease: None },
             ],
         };
         let op = out.store(StoreRequest::Commit(txn));
--- a/crates/core/src/writer/batch.rs
+++ b/crates/core/src/writer/batch.rs
@@ -33,7 +33,7 @@
     fn put(&mut self, key: String, version: u64, value: ciborium::Value) {
         self.bytes += json_len(&value);
         self.txn.conds.push(Cond { key: key.clone(), version });
-        self.txn.writes.push(Write::Put { key, value, grant: None });
+        self.txn.writes.push(Write::Put { key, value, lease: None });
     }
     fn drop_key(&mut self, key: String, version: u64) {
         self.txn.conds.push(Cond { key: key.clone(), version });
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -58,7 +58,7 @@
 }
 
 fn lead_record() -> ciborium::Value {
-    to_value(&LeaderRecord { node: NodeId::new("c0"), term: 1, grant: 7, boot: 0 })
+    to_value(&LeaderRecord { node: NodeId::new("c0"), term: 1, lease: 7, boot: 0 })
 }
 
 /// The store's answers to a controller that it serves: it wins the first election.
@@ -67,10 +67,10 @@
     for action in node.take_actions() {
         let Action::Store(op, req) = action else { continue };
         let result = match req {
-            StoreRequest::Grant(_) => StoreResult::Granted(7),
+            StoreRequest::GrantLease(_) => StoreResult::LeaseGranted(7),
             StoreRequest::Get(_) => StoreResult::Value(None),
             StoreRequest::Commit(_) => StoreResult::Committed(5),
-            StoreRequest::Touch(_) => StoreResult::Touched,
+            StoreRequest::KeepAlive(_) => StoreResult::LeaseRenewed,
             StoreRequest::Range { .. } if load => {
                 StoreResult::Page(ItemPage { items: Vec::new(), more: false, revision: 5 })
             }
@@ -169,7 +169,7 @@
         for peer in [1, 2] {
             pledged(&mut node, now, peer, 11.0, good());
         }
-        // Its grant was touched shortly before 10 s.
+        // Its lease was renewed shortly before 10 s.
         assert!(until(&node) <= 10.0 + 3.0, "at {now}: {}", until(&node));
     }
     pledged(&mut node, now, 1, now, good());
@@ -212,7 +212,7 @@
         refuse(&mut peer, at);
         peer.tick(at, 0);
     }
-    // Long after its grant: what it may do hangs on the pledges alone.
+    // Long after its lease: what it may do hangs on the pledges alone.
     now = 15.0;
     node.tick(now, 0);
     refuse(&mut node, now);
--- a/crates/core/tests/cluster/gap.rs
+++ b/crates/core/tests/cluster/gap.rs
@@ -48,7 +48,7 @@
     assert!(met >= 16, "the troubles met {met} times in 32");
 }
 
-/// The leader's watch is stuck while its grant is touched: it hears of no cancellation.
+/// The leader's watch is stuck while its lease is renewed: it hears of no cancellation.
 /// It gives way while tasks that it may wrongly keep can still run out in time.
 #[test]
 fn a_leader_whose_watch_is_stuck_gives_way_in_time() {
--- a/crates/core/tests/cluster/main.rs
+++ b/crates/core/tests/cluster/main.rs
@@ -377,7 +377,7 @@
     assert_eq!(world.broken, Vec::<String>::new());
 }
 
-/// Each controller in turn stands still, for less and for more than a grant, a
+/// Each controller in turn stands still, for less and for more than a lease, a
 /// pledge and a lease, while others crash or the store is down; then it goes on
 /// with what waited for it.
 #[test]
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -289,8 +289,8 @@
 
     fn store(&mut self, request: &StoreRequest) -> StoreResult {
         match request {
-            StoreRequest::Grant(_) => StoreResult::Granted(7),
-            StoreRequest::Touch(_) | StoreRequest::Revoke(_) => StoreResult::Touched,
+            StoreRequest::GrantLease(_) => StoreResult::LeaseGranted(7),
+            StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_) => StoreResult::LeaseRenewed,
             StoreRequest::Get(key) if key == TERM => self.read_counter(),
             StoreRequest::Get(_) => StoreResult::Value(None),
             StoreRequest::Range { .. } => {
@@ -320,7 +320,7 @@
         if puts.contains_key(LEADER) {
             self.revision = ELECTED;
             self.counter = (1, ELECTED);
-            let record = LeaderRecord { node: NodeId::new("c0"), term: 1, grant: 7, boot: 0 };
+            let record = LeaderRecord { node: NodeId::new("c0"), term: 1, lease: 7, boot: 0 };
             let value = to_value(&record);
             let event = WatchEvent::Put { key: LEADER.into(), value, version: ELECTED };
             self.news(WatchContent::Events(vec![event]));
--- a/crates/proto/src/records.rs
+++ b/crates/proto/src/records.rs
@@ -78,7 +78,8 @@
     /// Its term.
     pub term: u64,
     /// Its lease in the state service.
-    pub grant: u64,
+    #[serde(rename = "grant")]
+    pub lease: u64,
     /// Distinguishes this process from an earlier one of the same name.
     pub boot: u64,
 }
--- a/crates/proto/src/tests/wire.rs
+++ b/crates/proto/src/tests/wire.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::cbor;
-use crate::ids::JobId;
+use crate::ids::{JobId, NodeId};
+use crate::records::LeaderRecord;
 use ciborium::Value;
 
 #[test]
@@ -47,7 +48,7 @@
     let txn = Txn {
         conds: vec![Cond { key: "a".into(), version: 0 }],
         writes: vec![
-            Write::Put { key: "a".into(), value: Value::from(1), grant: Some(7) },
+            Write::Put { key: "a".into(), value: Value::from(1), lease: Some(7) },
             Write::Delete { key: "b".into() },
         ],
     };
@@ -64,3 +65,13 @@
     status.waits_on = vec![JobId::new("req-0")];
     assert_eq!(cbor::decode::<JobStatus>(&cbor::encode(&status)).ok(), Some(status));
 }
+
+/// The stored leader record has the field names that the version in production reads.
+#[test]
+fn the_leader_record_keeps_its_stored_names() {
+    let record = LeaderRecord { node: NodeId::new("c0"), term: 2, lease: 7, boot: 3 };
+    let Ok(Value::Map(fields)) = Value::serialized(&record) else { panic!("a map") };
+    let names: Vec<&str> = fields.iter().filter_map(|(name, _)| name.as_text()).collect();
+    assert_eq!(names, ["node", "term", "grant", "boot"]);
+    assert_eq!(fields[2].1, Value::from(7));
+}
--- a/crates/proto/src/wire/mod.rs
+++ b/crates/proto/src/wire/mod.rs
@@ -14,7 +14,8 @@
     ListedMachine, ListedState, MachineList, MachineNames, MachineType, Rent, TypeList,
 };
 pub use store::{
-    Cond, GrantAsk, GrantGiven, Item, ItemPage, Txn, TxnAnswer, WatchAnswer, WatchEvent, Write,
+    Cond, Item, ItemPage, LeaseGranted, LeaseRequest, Txn, TxnAnswer, WatchAnswer, WatchEvent,
+    Write,
 };
 pub use users::{JobStatus, Stage, UnknownDependencies};
 pub use workers::{
--- a/crates/proto/src/wire/store.rs
+++ b/crates/proto/src/wire/store.rs
@@ -7,7 +7,7 @@
 //! | `when` | conditions of a transaction |
 //! | `put`, `drop` | put, delete |
 //! | `v` | value |
-//! | `hold` | lease that a key is attached to (`grant`) |
+//! | `hold` | lease that a key is attached to (`lease`) |
 //! | `truncated` | more follow |
 
 use ciborium::Value;
@@ -37,7 +37,7 @@
         value: Value,
         /// Lease the key is attached to: the key is removed as the lease ends.
         #[serde(rename = "hold", default, skip_serializing_if = "Option::is_none")]
-        grant: Option<u64>,
+        lease: Option<u64>,
     },
     /// Remove a key.
     Delete {
@@ -133,15 +133,15 @@
 
 /// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct GrantAsk {
+pub struct LeaseRequest {
     /// Time to live, milliseconds.
     pub ttl_ms: u64,
 }
 
 /// A lease that was granted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct GrantGiven {
+pub struct LeaseGranted {
     /// Its id.
     #[serde(rename = "hold")]
-    pub grant: u64,
+    pub lease: u64,
 }
--- a/crates/rehearsal/src/world/late_acceptance.rs
+++ b/crates/rehearsal/src/world/late_acceptance.rs
@@ -20,7 +20,7 @@
         spec.dependencies = vec![cancelled.clone()];
         let end = EndRecord { cancelled: true, tasks: 1 };
         let record = SpecRecord::submitted(spec.clone(), 1_000_000);
-        let put = |key, value| Write::Put { key, value, grant: None };
+        let put = |key, value| Write::Put { key, value, lease: None };
         let writes = vec![
             put(end_key(&cancelled), cbor::to_value(&end)),
             put(spec_key(&dependent), cbor::to_value(&record)),
--- a/crates/rehearsal/src/world/store.rs
+++ b/crates/rehearsal/src/world/store.rs
@@ -45,21 +45,21 @@
     pub(super) fn expire(&mut self) {
         let now = self.now();
         if self.step < self.store_down_until {
-            // Once an outage ends, every grant has its full time again.
-            for (ttl, until) in self.grants.values_mut() {
+            // Once an outage ends, every lease has its full time again.
+            for (ttl, until) in self.leases.values_mut() {
                 *until = now + *ttl;
             }
             return;
         }
         let dead: Vec<u64> =
-            self.grants.iter().filter(|(_, (_, until))| now > *until).map(|(g, _)| *g).collect();
+            self.leases.iter().filter(|(_, (_, until))| now > *until).map(|(g, _)| *g).collect();
         for g in dead {
-            self.end_grant(g);
+            self.end_lease(g);
         }
     }
 
-    pub(super) fn end_grant(&mut self, g: u64) {
-        self.grants.remove(&g);
+    pub(super) fn end_lease(&mut self, g: u64) {
+        self.leases.remove(&g);
         let keys: Vec<String> =
             self.kv.iter().filter(|(_, v)| v.2 == Some(g)).map(|(k, _)| k.clone()).collect();
         for key in keys {
@@ -89,7 +89,7 @@
                     return StoreResult::Conflict(failed);
                 }
                 let bad = txn.writes.iter().any(
-                    |w| matches!(w, Write::Put { grant: Some(g), .. } if !self.grants.contains_key(g)),
+                    |w| matches!(w, Write::Put { lease: Some(g), .. } if !self.leases.contains_key(g)),
                 );
                 if bad {
                     return StoreResult::Rejected;
@@ -116,9 +116,9 @@
                 }
                 for w in &txn.writes {
                     match w {
-                        Write::Put { key, value, grant } => {
+                        Write::Put { key, value, lease } => {
                             *self.puts.entry(kind_of(key)).or_default() += 1;
-                            self.kv.insert(key.clone(), (value.clone(), self.revision, *grant));
+                            self.kv.insert(key.clone(), (value.clone(), self.revision, *lease));
                             self.history.push((self.revision, key.clone(), Some(value.clone())));
                         }
                         Write::Delete { key } => {
@@ -154,22 +154,22 @@
                 items.truncate(self.page);
                 StoreResult::Page(ItemPage { items, more, revision: self.revision })
             }
-            StoreRequest::Grant(ttl) => {
-                self.next_grant += 1;
+            StoreRequest::GrantLease(ttl) => {
+                self.next_lease += 1;
                 let ttl = *ttl as f64 / 1e3;
-                self.grants.insert(self.next_grant, (ttl, now + ttl));
-                StoreResult::Granted(self.next_grant)
+                self.leases.insert(self.next_lease, (ttl, now + ttl));
+                StoreResult::LeaseGranted(self.next_lease)
             }
-            StoreRequest::Touch(g) => match self.grants.get_mut(g) {
+            StoreRequest::KeepAlive(g) => match self.leases.get_mut(g) {
                 Some((ttl, until)) => {
                     *until = now + *ttl;
-                    StoreResult::Touched
+                    StoreResult::LeaseRenewed
                 }
-                None => StoreResult::NoGrant,
+                None => StoreResult::NoLease,
             },
-            StoreRequest::Revoke(g) => {
-                self.end_grant(*g);
-                StoreResult::Touched
+            StoreRequest::RevokeLease(g) => {
+                self.end_lease(*g);
+                StoreResult::LeaseRenewed
             }
         }
     }
--- a/src/links/store.rs
+++ b/src/links/store.rs
@@ -56,7 +56,10 @@
 }
 
 fn concerns_lease(request: &StoreRequest) -> bool {
-    matches!(request, StoreRequest::Grant(_) | StoreRequest::Touch(_) | StoreRequest::Revoke(_))
+    matches!(
+        request,
+        StoreRequest::GrantLease(_) | StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_)
+    )
 }
 
 fn spawn_client(
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -5,7 +5,7 @@
 use marblebarrow_core::consts::PAGE_LIMIT;
 use marblebarrow_core::event::{StoreRequest, StoreResult};
 use marblebarrow_proto::cbor;
-use marblebarrow_proto::wire::{GrantAsk, GrantGiven, TxnAnswer};
+use marblebarrow_proto::wire::{LeaseGranted, LeaseRequest, TxnAnswer};
 
 /// Makes a request of the store and reads its answer.
 pub fn store_call(client: &mut Client, request: &StoreRequest) -> StoreResult {
@@ -25,15 +25,15 @@
         StoreRequest::Range { prefix, after } => {
             client.call("GET", &range_path(prefix, after), &[], STORE_TIMEOUT)
         }
-        StoreRequest::Grant(ttl_ms) => {
-            let body = cbor::encode(&GrantAsk { ttl_ms: *ttl_ms });
+        StoreRequest::GrantLease(ttl_ms) => {
+            let body = cbor::encode(&LeaseRequest { ttl_ms: *ttl_ms });
             client.call("POST", "/grants", &body, STORE_LEASE_TIMEOUT)
         }
-        StoreRequest::Touch(grant) => {
-            client.call("POST", &format!("/grants/{grant}/touch"), &[], STORE_LEASE_TIMEOUT)
+        StoreRequest::KeepAlive(lease) => {
+            client.call("POST", &format!("/grants/{lease}/touch"), &[], STORE_LEASE_TIMEOUT)
         }
-        StoreRequest::Revoke(grant) => {
-            client.call("DELETE", &format!("/grants/{grant}"), &[], STORE_LEASE_TIMEOUT)
+        StoreRequest::RevokeLease(lease) => {
+            client.call("DELETE", &format!("/grants/{lease}"), &[], STORE_LEASE_TIMEOUT)
         }
     }
 }
@@ -58,10 +58,12 @@
         (StoreRequest::Range { .. }, 200) => {
             cbor::decode(body).map_or(StoreResult::Unknown, StoreResult::Page)
         }
-        (StoreRequest::Grant(_), 200) => cbor::decode::<GrantGiven>(body)
-            .map_or(StoreResult::Unknown, |given| StoreResult::Granted(given.grant)),
-        (StoreRequest::Touch(_) | StoreRequest::Revoke(_), 404) => StoreResult::NoGrant,
-        (StoreRequest::Touch(_) | StoreRequest::Revoke(_), 200..=299) => StoreResult::Touched,
+        (StoreRequest::GrantLease(_), 200) => cbor::decode::<LeaseGranted>(body)
+            .map_or(StoreResult::Unknown, |given| StoreResult::LeaseGranted(given.lease)),
+        (StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_), 404) => StoreResult::NoLease,
+        (StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_), 200..=299) => {
+            StoreResult::LeaseRenewed
+        }
         (_, 400..=499) => StoreResult::Rejected,
         _ => StoreResult::Unknown,
     }
--- a/src/tests/event_queue.rs
+++ b/src/tests/event_queue.rs
@@ -3,10 +3,10 @@
 use marblebarrow_proto::ids::JobId;
 
 fn answered(op: u64) -> Event {
-    Event::Store(OpId(op), StoreResult::Touched)
+    Event::Store(OpId(op), StoreResult::LeaseRenewed)
 }
 
-/// The word that a grant lives on doesn't wait behind what came before it, and
+/// The word that a lease lives on doesn't wait behind what came before it, and
 /// submissions wait for reports and polls.
 #[test]
 fn what_is_urgent_goes_before_all_that_waits() {
--- a/tests/stand_in/store.rs
+++ b/tests/stand_in/store.rs
@@ -16,8 +16,8 @@
     kv: Records,
     revision: u64,
     history: Vec<(u64, String, Option<Value>)>,
-    grants: BTreeMap<u64, (Duration, Instant)>,
-    next_grant: u64,
+    leases: BTreeMap<u64, (Duration, Instant)>,
+    next_lease: u64,
     /// Watches that ended without news.
     quiet_watches: u64,
     /// Every so many answers one is damaged; 0: none is.
@@ -91,14 +91,14 @@
     fn expire(&mut self) {
         let now = Instant::now();
         let dead: Vec<u64> =
-            self.grants.iter().filter(|(_, (_, until))| now > *until).map(|(g, _)| *g).collect();
+            self.leases.iter().filter(|(_, (_, until))| now > *until).map(|(g, _)| *g).collect();
         for g in dead {
             self.end(g);
         }
     }
 
     fn end(&mut self, g: u64) {
-        self.grants.remove(&g);
+        self.leases.remove(&g);
         let keys: Vec<String> =
             self.kv.iter().filter(|(_, v)| v.2 == Some(g)).map(|(k, _)| k.clone()).collect();
         keys.iter().for_each(|k| self.remove(k));
@@ -114,7 +114,7 @@
         if !failed.is_empty() {
             return (409, cbor::encode(&TxnAnswer { revision: self.revision, failed }));
         }
-        let gone = |w: &Write| matches!(w, Write::Put { grant: Some(g), .. } if !self.grants.contains_key(g));
+        let gone = |w: &Write| matches!(w, Write::Put { lease: Some(g), .. } if !self.leases.contains_key(g));
         if txn.writes.iter().any(gone) {
             return (400, Vec::new());
         }
@@ -122,9 +122,9 @@
         let r = self.revision;
         for w in txn.writes {
             match w {
-                Write::Put { key, value, grant } => {
+                Write::Put { key, value, lease } => {
                     self.history.push((r, key.clone(), Some(value.clone())));
-                    self.kv.insert(key, (value, r, grant));
+                    self.kv.insert(key, (value, r, lease));
                 }
                 Write::Delete { key } => {
                     if self.kv.remove(&key).is_some() {
@@ -153,15 +153,15 @@
     let answer = match (method, path) {
         ("POST", "/commit") => store.commit(cbor::decode(body).expect("txn")),
         ("POST", "/grants") => {
-            let ask: GrantAsk = cbor::decode(body).expect("grant");
-            store.next_grant += 1;
-            let (g, ttl) = (store.next_grant, Duration::from_millis(ask.ttl_ms));
-            store.grants.insert(g, (ttl, Instant::now() + ttl));
-            (200, cbor::encode(&GrantGiven { grant: g }))
+            let ask: LeaseRequest = cbor::decode(body).expect("lease");
+            store.next_lease += 1;
+            let (g, ttl) = (store.next_lease, Duration::from_millis(ask.ttl_ms));
+            store.leases.insert(g, (ttl, Instant::now() + ttl));
+            (200, cbor::encode(&LeaseGranted { lease: g }))
         }
         (_, p) if p.starts_with("/grants/") => {
-            let g: u64 = p["/grants/".len()..].trim_end_matches("/touch").parse().expect("grant");
-            match (method, store.grants.get_mut(&g)) {
+            let g: u64 = p["/grants/".len()..].trim_end_matches("/touch").parse().expect("lease");
+            match (method, store.leases.get_mut(&g)) {
                 (_, None) => (404, Vec::new()),
                 ("DELETE", Some(_)) => {
                     store.end(g);
