--- a/crates/core/src/cells/room.rs
+++ b/crates/core/src/cells/room.rs
@@ -99,7 +99,9 @@
                 rooms.insert(place, room);
             }
         }
-        for machine in self.machines.values().filter(|m| m.usable(now, self.facts.report_s)) {
+        for machine in
+            self.machines.values().filter(|m| m.usable(now, self.facts.heartbeat_interval_s))
+        {
             let info = &machine.info;
             let place = (info.kind.clone(), info.zone.clone(), info.spot);
             if let Some(room) = rooms.get_mut(&place) {
--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -1,5 +1,5 @@
 //! Every constant of the scheduler, with unit and reason. What the settings
-//! tell (report interval, worker lease, rates, limits) is read there instead.
+//! tell (heartbeat interval, worker lease, rates, limits) is read there instead.
 
 // --- election -------------------------------------------------------------
 
@@ -17,9 +17,9 @@
 /// Clock drift allowed for, as a fraction: the protocol's 0.05% between two
 /// clocks, doubled.
 pub const DRIFT: f64 = 0.001;
-/// A leader that no worker reports to for this many report intervals, while
+/// A leader that no worker reports to for this many heartbeat intervals, while
 /// several did before, is cut off from them and resigns.
-pub const WORKERS_SILENT_REPORTS: f64 = 1.3;
+pub const WORKERS_SILENT_HEARTBEATS: f64 = 1.3;
 /// Added to that, seconds.
 pub const WORKERS_SILENT_MARGIN_S: f64 = 0.6;
 /// A step that comes so much later than it should, seconds, says that this process had
@@ -211,15 +211,15 @@
 /// Added to a worker's lease before its tasks count as gone, seconds: our
 /// answer may leave a little after its time was noted.
 pub const LEASE_MARGIN_S: f64 = 0.5;
-/// A machine unheard for this many report intervals gets no new tasks.
-pub const SILENT_REPORTS: f64 = 2.5;
+/// A machine unheard for this many heartbeat intervals gets no new tasks.
+pub const SILENT_HEARTBEATS: f64 = 2.5;
 /// A machine whose lease ran out is kept this much longer, seconds: a cut ends,
 /// and a machine with its images is worth more than a new one.
 pub const LAPSED_KEPT_S: f64 = 30.0;
-/// A spot machine that is silent for this many report intervals,
+/// A spot machine that is silent for this many heartbeat intervals,
 /// while others report, is returned: mostly it was taken, and a
 /// completed release proves its tasks gone long before their lease does.
-pub const GONE_REPORTS: f64 = 2.5;
+pub const GONE_HEARTBEATS: f64 = 2.5;
 /// Added to that, seconds.
 pub const GONE_MARGIN_S: f64 = 1.0;
 /// A spot machine that a new leader couldn't reach so often, while most others
@@ -227,15 +227,15 @@
 pub const PROBES: u32 = 2;
 /// Pause between two of these tries, seconds.
 pub const PROBE_AGAIN_S: f64 = 0.8;
-/// A machine that was heard before and is silent for this many report
-/// intervals is asked directly: reports come within a quarter more than one.
-pub const QUIET_REPORTS: f64 = 1.3;
+/// A machine that was heard before and is silent for this many heartbeat
+/// intervals is asked directly: heartbeats come within a quarter more than one.
+pub const QUIET_HEARTBEATS: f64 = 1.3;
 /// Added to that, seconds.
 pub const QUIET_MARGIN_S: f64 = 0.6;
 /// Direct tries that must fail before a machine that serves is given up early.
 pub const QUIET_PROBES: u32 = 2;
-/// Within so many report intervals, of which each machine sends one, ...
-pub const HEARING_REPORTS: f64 = 0.6;
+/// Within so many heartbeat intervals, of which each machine sends one, ...
+pub const HEARING_HEARTBEATS: f64 = 0.6;
 /// ... so large a share of all machines must have been heard for us to be sure
 /// that we hear: half of what is expected, as a part of them may be dead.
 pub const HEARING_SHARE: f64 = 0.3;
@@ -250,22 +250,22 @@
 /// all machines.
 pub const PUSH_EVERY_S: f64 = 0.02;
 /// No machine is given up as silent so soon after a takeover, seconds: workers
-/// need a report's timeout and a try or two to find the new leader.
+/// need a heartbeat's timeout and a try or two to find the new leader.
 pub const GONE_AFTER_S: f64 = 6.5;
-/// After a direct command failed, reports carry the commands for this long,
+/// After a direct command failed, heartbeats carry the commands for this long,
 /// seconds.
 pub const DIRECT_BACKOFF_S: f64 = 3.0;
 /// A worker drops an answer that comes later than this after it sent its
 /// report, seconds (protocol page).
 pub const WORKER_DROPS_S: f64 = 4.0;
-/// A worker that got no answer sends its next report no sooner than this after
+/// A worker that got no answer sends its next heartbeat no sooner than this after
 /// the last, seconds (protocol page: 4 s, then 1 s).
 pub const WORKER_GIVES_UP_S: f64 = 5.0;
 /// Margin on either, seconds: clocks, and the way through our queue.
 pub const WORKER_MARGIN_S: f64 = 0.2;
-/// A machine that hasn't proven for this many report intervals, and a worker's
+/// A machine that hasn't proven for this many heartbeat intervals, and a worker's
 /// patience, that our words reach it, gets no new tasks.
-pub const REACH_REPORTS: f64 = 2.0;
+pub const REACH_HEARTBEATS: f64 = 2.0;
 /// After so much of that time it is asked directly.
 pub const PROBE_SHARE: f64 = 0.6;
 /// Commands in one message: an answer stays far below 64 KiB.
@@ -355,8 +355,8 @@
 /// Processor time of such a look per machine known, seconds of a core (measured: some
 /// 150 us for 400 machines) ...
 pub const LOOK_S: f64 = 0.000_000_4;
-/// ... and the share of our processor that they may take. With hundreds of reports a
-/// second, a look after each took as much of it as the reports themselves.
+/// ... and the share of our processor that they may take. With hundreds of heartbeats a
+/// second, a look after each took as much of it as the heartbeats themselves.
 pub const LOOK_SHARE: f64 = 0.06;
 /// Least time between two placement passes, seconds.
 pub const PLACE_EVERY_S: f64 = 0.04;
--- a/crates/core/src/deprovision/consolidation.rs
+++ b/crates/core/src/deprovision/consolidation.rs
@@ -87,7 +87,9 @@
 
     /// Whether a machine is an ordinary one that runs replicas and could start more.
     fn keeps_replicas(&self, machine: &Machine, now: Secs) -> bool {
-        !machine.info.spot && machine.services > 0 && machine.usable(now, self.facts.report_s)
+        !machine.info.spot
+            && machine.services > 0
+            && machine.usable(now, self.facts.heartbeat_interval_s)
     }
 
     /// Whether all that is on a machine fits on others that run replicas and hold the images.
--- a/crates/core/src/deprovision/replica_failover.rs
+++ b/crates/core/src/deprovision/replica_failover.rs
@@ -36,7 +36,7 @@
     pub(super) fn of(leader: &Leader, now: Secs) -> Self {
         let mut images = running_replicas(leader);
         for machine in leader.machines.values() {
-            if machine.info.spot || !machine.usable(now, leader.facts.report_s) {
+            if machine.info.spot || !machine.usable(now, leader.facts.heartbeat_interval_s) {
                 continue;
             }
             let cpus = free_with_preemption(leader, machine)[0] + AMOUNT_TOLERANCE;
--- a/crates/core/src/deprovision/silence.rs
+++ b/crates/core/src/deprovision/silence.rs
@@ -38,11 +38,11 @@
 
 impl SilenceDetector {
     pub(super) fn new(leader: &Leader, now: Secs) -> Self {
-        let report_s = leader.facts.report_s;
-        let gone_after = report_s * GONE_REPORTS + GONE_MARGIN_S;
-        let quiet_after = report_s * QUIET_REPORTS + QUIET_MARGIN_S;
+        let heartbeat_interval_s = leader.facts.heartbeat_interval_s;
+        let gone_after = heartbeat_interval_s * GONE_HEARTBEATS + GONE_MARGIN_S;
+        let quiet_after = heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
         let leader_since = leader.cloud_requests.leader_since;
-        let most_heard = most_heard(&leader.machines, now, report_s);
+        let most_heard = most_heard(&leader.machines, now, heartbeat_interval_s);
         Self {
             now,
             leader_since,
@@ -54,7 +54,7 @@
                 && most_heard
                 && leader.prompt_for(now, quiet_after),
             prompt_for_gone: leader.prompt_for(now, gone_after),
-            hears_now: hears_now(&leader.machines, now, report_s),
+            hears_now: hears_now(&leader.machines, now, heartbeat_interval_s),
             zones: count_zones(&leader.machines, now, quiet_after),
         }
     }
@@ -128,13 +128,15 @@
     }
 }
 
-fn most_heard(machines: &Machines, now: Secs, report_s: f64) -> bool {
-    let heard = |m: &&Machine| m.heard.is_some_and(|at| now - at < report_s * SILENT_REPORTS);
+fn most_heard(machines: &Machines, now: Secs, heartbeat_interval_s: f64) -> bool {
+    let heard = |m: &&Machine| {
+        m.heard.is_some_and(|at| now - at < heartbeat_interval_s * SILENT_HEARTBEATS)
+    };
     machines.values().filter(heard).count() * 2 > machines.len()
 }
 
-fn hears_now(machines: &Machines, now: Secs, report_s: f64) -> bool {
-    let window = report_s * HEARING_REPORTS;
+fn hears_now(machines: &Machines, now: Secs, heartbeat_interval_s: f64) -> bool {
+    let window = heartbeat_interval_s * HEARING_HEARTBEATS;
     let mut all = 0u32;
     let mut heard = 0u32;
     for machine in machines.values().filter(|m| m.lapsed.is_none()) {
--- a/crates/core/src/deprovision/spot_notices.rs
+++ b/crates/core/src/deprovision/spot_notices.rs
@@ -30,7 +30,8 @@
             let must_save = |task: &&TaskId| {
                 let Some(job) = self.jobs.get(&task.job) else { return false };
                 let spec = job.spec();
-                spec.checkpoint_s > 0.0 && until - now < spec.save_s + self.facts.report_s
+                spec.checkpoint_s > 0.0
+                    && until - now < spec.save_s + self.facts.heartbeat_interval_s
             };
             due.extend(machine.tasks.iter().filter(must_save).cloned());
         }
@@ -41,7 +42,7 @@
     /// doesn't hear us.
     pub(crate) fn unplace(&mut self, now: Secs) {
         let mut unsent = Vec::new();
-        let hears = |m: &Machine| m.hears(now, self.facts.report_s);
+        let hears = |m: &Machine| m.hears(now, self.facts.heartbeat_interval_s);
         for m in self.machines.values().filter(|m| m.notice.is_some() || m.cordoned || !hears(m)) {
             for task in &m.tasks {
                 let live = live_attempt(&self.jobs, task);
--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -6,7 +6,7 @@
 use crate::leader::Leader;
 use crate::unconfirmed_starts::AttemptKey;
 use marblebarrow_proto::ids::MachineId;
-use marblebarrow_proto::wire::Report;
+use marblebarrow_proto::wire::Heartbeat;
 
 /// Direct commands under way.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
             m.direct = None;
         }
         match result {
-            DirectResult::Report(_, report) => self.direct_answered(now, &sent, &report),
+            DirectResult::Heartbeat(_, heartbeat) => self.direct_answered(now, &sent, &heartbeat),
             DirectResult::Unknown => {
                 self.note_unconfirmed_starts(now, &sent);
                 self.direct_failed(now, sent);
@@ -45,17 +45,17 @@
         }
     }
 
-    fn direct_answered(&mut self, now: Secs, sent: &DirectSent, report: &Report) {
+    fn direct_answered(&mut self, now: Secs, sent: &DirectSent, heartbeat: &Heartbeat) {
         let Some(m) = self.machines.get_mut(&sent.machine) else {
             return;
         };
         m.reached = Some(now);
         m.unreached = 0;
         m.probe_due = false;
-        if (report.agent_epoch, report.seq) <= sent.known {
+        if (heartbeat.agent_epoch, heartbeat.seq) <= sent.known {
             return self.worker_began_anew(now, &sent.machine);
         }
-        self.apply_report(now, report);
+        self.apply_heartbeat(now, heartbeat);
         self.place_due = true;
     }
 
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -4,8 +4,8 @@
 use marblebarrow_proto::ids::{CellName, JobId, MachineId, NodeId};
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::wire::{
-    Command, Item, ItemPage, JobStatus, MachineList, MachineType, Rent, Report, ReportAnswer, Txn,
-    WatchEvent,
+    Command, Heartbeat, HeartbeatAnswer, Item, ItemPage, JobStatus, MachineList, MachineType, Rent,
+    Txn, WatchEvent,
 };
 
 /// Seconds of the steady clock since the process began.
@@ -43,7 +43,7 @@
     /// Healthy.
     Healthy,
     /// Commands for a worker.
-    Report(ReportAnswer),
+    Heartbeat(HeartbeatAnswer),
     /// Ask that controller (421).
     Elsewhere(Option<NodeId>),
     /// No such job.
@@ -145,8 +145,8 @@
 /// How direct commands went.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DirectResult {
-    /// Executed (true) or refused for token or epoch (false), with a report.
-    Report(bool, Box<Report>),
+    /// Executed (true) or refused for token or epoch (false), with a heartbeat.
+    Heartbeat(bool, Box<Heartbeat>),
     /// The worker never got it.
     NotSent,
     /// Perhaps executed, perhaps later.
@@ -256,8 +256,8 @@
 pub enum Event {
     /// A user asks.
     User(ReplyTo, UserRequest),
-    /// A worker reports.
-    Report(ReplyTo, Box<Report>),
+    /// A heartbeat of a worker.
+    Heartbeat(ReplyTo, Box<Heartbeat>),
     /// The store answered.
     Store(OpId, StoreResult),
     /// The watch brought something.
@@ -301,7 +301,7 @@
         commands: Vec<Command>,
     },
     /// Tell the peers whether the store serves us and whether we lead.
-    Heartbeat {
+    PeerHeartbeat {
         /// The store serves us.
         store_ok: bool,
         /// We hold the leadership.
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -94,8 +94,8 @@
     pub finishes: Vec<TimeAim>,
     /// Aims on tasks having started, from when their job may run.
     pub starts: Vec<TimeAim>,
-    /// Worker report interval, seconds.
-    pub report_s: f64,
+    /// Worker heartbeat interval, seconds.
+    pub heartbeat_interval_s: f64,
     /// Worker lease, seconds.
     pub lease_s: f64,
     /// Tasks of a cancelled job are gone within so long, seconds.
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -30,16 +30,16 @@
     pub seq: u64,
     /// Highest token it was seen to hold.
     pub fencing_token: u64,
-    /// When the last newer report came; none under this term: None.
+    /// When the last newer heartbeat came; none under this term: None.
     pub heard: Option<Secs>,
     /// When anybody may last have answered it: its lease counts from here.
     pub answered: Secs,
-    /// The number of its newest report of its own (answers to direct commands
+    /// The number of its newest heartbeat of its own (answers to direct commands
     /// left out): an older one is a late copy, and its sender has given it up.
-    pub reported: u64,
+    pub heartbeat_seq: u64,
     /// When that came.
-    pub last_report: Option<Secs>,
-    /// When it last proved that our words reach it. Its reports alone don't:
+    pub last_heartbeat: Option<Secs>,
+    /// When it last proved that our words reach it. Its heartbeats alone don't:
     /// they may arrive while nothing arrives there.
     pub reached: Option<Secs>,
     /// It is to be sent an order though there is nothing to do, to learn
@@ -74,7 +74,7 @@
     pub unconfirmed_starts: UnconfirmedStarts,
     /// The token for it, if it is higher than the term; else 0.
     pub raised_fencing_token: u64,
-    /// Its reports aren't answered, so that its lease runs out.
+    /// Its heartbeats aren't answered, so that its lease runs out.
     pub withheld: bool,
     /// Tasks seen that nobody knows, with their attempt.
     pub strangers: BTreeSet<(TaskId, Attempt)>,
@@ -118,8 +118,8 @@
             fencing_token: 0,
             heard: None,
             answered: now,
-            reported: 0,
-            last_report: None,
+            heartbeat_seq: 0,
+            last_heartbeat: None,
             reached: None,
             probe_due: false,
             unreached: 0,
@@ -153,9 +153,9 @@
     }
 
     /// Whether new tasks may go there.
-    pub fn usable(&self, now: Secs, report_s: f64) -> bool {
-        self.heard.is_some_and(|h| now - h < report_s * SILENT_REPORTS)
-            && self.hears(now, report_s)
+    pub fn usable(&self, now: Secs, heartbeat_interval_s: f64) -> bool {
+        self.heard.is_some_and(|h| now - h < heartbeat_interval_s * SILENT_HEARTBEATS)
+            && self.hears(now, heartbeat_interval_s)
             && self.confirmed
             && self.lapsed.is_none()
             && !self.cordoned
@@ -165,8 +165,10 @@
     }
 
     /// Whether our words reached it lately.
-    pub fn hears(&self, now: Secs, report_s: f64) -> bool {
-        self.reached.is_some_and(|at| now - at < report_s * REACH_REPORTS + WORKER_GIVES_UP_S)
+    pub fn hears(&self, now: Secs, heartbeat_interval_s: f64) -> bool {
+        self.reached.is_some_and(|at| {
+            now - at < heartbeat_interval_s * REACH_HEARTBEATS + WORKER_GIVES_UP_S
+        })
     }
 
     /// Whether it was asked in vain since our words last reached it. One that nobody had a
--- a/crates/core/src/gangs.rs
+++ b/crates/core/src/gangs.rs
@@ -82,7 +82,7 @@
     ) -> Vec<Candidate<'_>> {
         let spec = job.spec();
         let allowed = |m: &Machine| {
-            m.usable(pass.now, self.facts.report_s)
+            m.usable(pass.now, self.facts.heartbeat_interval_s)
                 && zone.is_none_or(|zone| zone == m.info.zone)
                 && machine_allowed(job, m, &self.machines)
                 && !m.exited.keys().any(|(task, _)| task.job == spec.id)
--- a/crates/core/src/reports/absence.rs
+++ b/crates/core/src/heartbeats/absence.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of booked tasks that a report doesn't list: they are gone, unless their
+//! Reconciliation of booked tasks that a heartbeat doesn't list: they are gone, unless their
 //! start may still arrive.
 
 use crate::consts::{WORKER_DROPS_S, WORKER_MARGIN_S};
@@ -8,7 +8,7 @@
 use marblebarrow_proto::ids::{MachineId, TaskId};
 use std::collections::BTreeSet;
 
-/// What the absence of an attempt from a report says of it.
+/// What the absence of an attempt from a heartbeat says of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Absence {
     /// Nothing yet.
@@ -40,13 +40,13 @@
     }
 }
 
-/// Whether an answer to a report that carries the start may still arrive.
+/// Whether an answer to a heartbeat that carries the start may still arrive.
 fn may_be_under_way(live: &Live, now: Secs) -> bool {
     live.sent.is_some_and(|at| now < at + WORKER_DROPS_S + WORKER_MARGIN_S)
 }
 
 impl Leader {
-    /// Takes what a report says of the tasks that are booked on its machine and not listed.
+    /// Takes what a heartbeat says of the tasks that are booked on its machine and not listed.
     pub(super) fn apply_absence(&mut self, now: Secs, id: &MachineId, listed: &BTreeSet<TaskId>) {
         // A list from before the worker saw our token says nothing of what an earlier
         // leader's commands did to it since.
--- a/crates/core/src/reports/mod.rs
+++ b/crates/core/src/heartbeats/mod.rs
@@ -1,6 +1,6 @@
-//! Heartbeats of workers: their reports, and the commands that the answers carry.
+//! Heartbeats of workers, and the commands that the answers carry.
 //!
-//! [`agent_epochs`] takes a report's news of its worker, [`tasks`] of each task listed, and
+//! [`agent_epochs`] takes a heartbeat's news of its worker, [`tasks`] of each task listed, and
 //! [`absence`] of the tasks that aren't; [`outcomes`] books tasks that ended.
 
 mod absence;
@@ -15,39 +15,42 @@
 use crate::leader::Leader;
 use crate::replica::Replica;
 use marblebarrow_proto::ids::{MachineId, TaskId};
-use marblebarrow_proto::wire::{Command, Report, ReportAnswer, ReportTask, TaskState};
+use marblebarrow_proto::wire::{Command, Heartbeat, HeartbeatAnswer, HeartbeatTask, TaskState};
 
 impl Leader {
-    /// Takes a report and answers it; `None`: must not be answered with 200.
-    pub(crate) fn answer_report(
+    /// Takes a heartbeat and answers it; `None`: must not be answered with 200.
+    pub(crate) fn answer_heartbeat(
         &mut self,
         now: Secs,
-        report: &Report,
+        heartbeat: &Heartbeat,
         replica: &Replica,
     ) -> Option<Answer> {
-        if self.released_machines.contains_key(&report.machine) {
+        if self.released_machines.contains_key(&heartbeat.machine) {
             return None;
         }
         if self.loading.is_some() {
             // Leases go on; machines are counted from when loading ends. That may take as
             // long as an outage of the store does, so what is known to be cancelled is
             // stopped even now.
-            let commands = stops_while_loading(report, replica);
-            return Some(Answer::Report(ReportAnswer { fencing_token: self.term.0, commands }));
+            let commands = stops_while_loading(heartbeat, replica);
+            return Some(Answer::Heartbeat(HeartbeatAnswer {
+                fencing_token: self.term.0,
+                commands,
+            }));
         }
-        if self.machines.get(&report.machine).is_some_and(|m| is_late_copy(report, m)) {
-            self.probe_after_late_copy(now, &report.machine);
+        if self.machines.get(&heartbeat.machine).is_some_and(|m| is_late_copy(heartbeat, m)) {
+            self.probe_after_late_copy(now, &heartbeat.machine);
             return None;
         }
-        self.apply_report(now, report);
-        self.note_report_interval(now, report);
-        if !self.renew_lease(now, &report.machine)? {
+        self.apply_heartbeat(now, heartbeat);
+        self.note_heartbeat_interval(now, heartbeat);
+        if !self.renew_lease(now, &heartbeat.machine)? {
             return None;
         }
-        self.fill_machine(now, &report.machine)?;
-        let commands = self.commands_for_answer(now, &report.machine)?;
-        let token = self.machines.get(&report.machine).map(|m| self.fencing_token_for(m))?;
-        Some(Answer::Report(ReportAnswer { fencing_token: token, commands }))
+        self.fill_machine(now, &heartbeat.machine)?;
+        let commands = self.commands_for_answer(now, &heartbeat.machine)?;
+        let token = self.machines.get(&heartbeat.machine).map(|m| self.fencing_token_for(m))?;
+        Some(Answer::Heartbeat(HeartbeatAnswer { fencing_token: token, commands }))
     }
 
     /// A late copy may also mean that the worker began anew, which only a fresh exchange can
@@ -83,7 +86,7 @@
     fn commands_for_answer(&mut self, now: Secs, id: &MachineId) -> Option<Vec<Command>> {
         if self.machines.get(id)?.direct.is_some() {
             // Direct commands are under way: two ways at once would cross. The end of
-            // cancelled tasks may, as it is repeated until a report shows it: an answer that
+            // cancelled tasks may, as it is repeated until a heartbeat shows it: an answer that
             // renews their lease must carry it.
             return Some(self.stops(id, |job| job.is_none_or(|j| j.cancelled)));
         }
@@ -97,45 +100,46 @@
         Some(commands)
     }
 
-    /// What the interval of a worker's own reports proves: one that got no answer waits for
+    /// What the interval of a worker's own heartbeats proves: one that got no answer waits for
     /// it, then tries elsewhere, so one that is back sooner got it.
-    fn note_report_interval(&mut self, now: Secs, report: &Report) {
-        let Some(m) = self.machines.get_mut(&report.machine) else { return };
-        let soon = m.last_report.is_some_and(|at| now - at < WORKER_GIVES_UP_S - WORKER_MARGIN_S);
-        if soon && m.reported != 0 && m.confirmed {
+    fn note_heartbeat_interval(&mut self, now: Secs, heartbeat: &Heartbeat) {
+        let Some(m) = self.machines.get_mut(&heartbeat.machine) else { return };
+        let soon =
+            m.last_heartbeat.is_some_and(|at| now - at < WORKER_GIVES_UP_S - WORKER_MARGIN_S);
+        if soon && m.heartbeat_seq != 0 && m.confirmed {
             m.reached = Some(now);
         }
-        m.last_report = Some(now);
-        m.reported = report.seq;
+        m.last_heartbeat = Some(now);
+        m.heartbeat_seq = heartbeat.seq;
     }
 }
 
-/// Whether a report is a copy that came late: its sender gave it up long ago, and an answer
+/// Whether a heartbeat is a copy that came late: its sender gave it up long ago, and an answer
 /// would only make a dead machine's lease seem alive.
-fn is_late_copy(report: &Report, m: &Machine) -> bool {
-    (report.agent_epoch, report.seq) <= (m.agent_epoch, m.reported)
-        || report.agent_epoch < m.agent_epoch
-        || is_obsolete(report, m)
+fn is_late_copy(heartbeat: &Heartbeat, m: &Machine) -> bool {
+    (heartbeat.agent_epoch, heartbeat.seq) <= (m.agent_epoch, m.heartbeat_seq)
+        || heartbeat.agent_epoch < m.agent_epoch
+        || is_obsolete(heartbeat, m)
 }
 
-/// Whether a report comes from an epoch whose lease ended, or from before the worker began
+/// Whether a heartbeat comes from an epoch whose lease ended, or from before the worker began
 /// anew: the highest token seen never falls.
-fn is_obsolete(report: &Report, m: &Machine) -> bool {
-    report.fencing_token < m.fencing_token
+fn is_obsolete(heartbeat: &Heartbeat, m: &Machine) -> bool {
+    heartbeat.fencing_token < m.fencing_token
         || m.reborn
-        || m.lapsed.is_some_and(|lapsed| report.agent_epoch <= lapsed)
+        || m.lapsed.is_some_and(|lapsed| heartbeat.agent_epoch <= lapsed)
 }
 
-/// Commands that end what a report lists of jobs known to be cancelled.
-fn stops_while_loading(report: &Report, replica: &Replica) -> Vec<Command> {
-    let cancelled = |entry: &&ReportTask| {
+/// Commands that end what a heartbeat lists of jobs known to be cancelled.
+fn stops_while_loading(heartbeat: &Heartbeat, replica: &Replica) -> Vec<Command> {
+    let cancelled = |entry: &&HeartbeatTask| {
         TaskId::parse(&entry.task).is_some_and(|task| replica.is_cancelled(&task.job))
     };
-    let stop = |entry: &ReportTask| Command::Stop {
+    let stop = |entry: &HeartbeatTask| Command::Stop {
         task: entry.task.clone(),
         attempt: entry.attempt,
         grace_s: 0.0,
     };
-    let running = report.tasks.iter().filter(|entry| entry.state != TaskState::Exited);
+    let running = heartbeat.tasks.iter().filter(|entry| entry.state != TaskState::Exited);
     running.filter(cancelled).map(stop).collect()
 }
--- a/crates/core/src/reports/tasks.rs
+++ b/crates/core/src/heartbeats/tasks.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of the tasks that a report lists with those that are booked.
+//! Reconciliation of the tasks that a heartbeat lists with those that are booked.
 
 use crate::consts::LAG_WEIGHT;
 use crate::event::Secs;
@@ -6,17 +6,17 @@
 use crate::leader::Leader;
 use marblebarrow_proto::ids::{Attempt, MachineId, TaskId};
 use marblebarrow_proto::job::Kind;
-use marblebarrow_proto::wire::{ReportTask, TaskState, Why};
+use marblebarrow_proto::wire::{HeartbeatTask, TaskState, Why};
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Takes an entry of a report. Tasks that are booked on the machine and run or will run
+    /// Takes an entry of a heartbeat. Tasks that are booked on the machine and run or will run
     /// there are added to `listed`.
     pub(super) fn apply_task(
         &mut self,
         now: Secs,
         id: &MachineId,
-        entry: &ReportTask,
+        entry: &HeartbeatTask,
         listed: &mut BTreeSet<TaskId>,
     ) {
         let Some(task) = TaskId::parse(&entry.task) else { return };
@@ -95,7 +95,7 @@
     }
 
     /// Attempts are ordered: a later one was only made when the earlier was surely gone. So
-    /// of two, the smaller comes from an old report, even if this term has only just learnt
+    /// of two, the smaller comes from an old heartbeat, even if this term has only just learnt
     /// of either.
     fn is_newer_attempt(&self, task: &TaskId, attempt: Attempt) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
@@ -122,7 +122,7 @@
         now: Secs,
         id: &MachineId,
         task: &TaskId,
-        entry: &ReportTask,
+        entry: &HeartbeatTask,
     ) -> Option<()> {
         if self.jobs.get(&task.job)?.live.contains_key(&task.index) {
             self.over(&task.job, task.index, Outcome::Lost, now);
@@ -146,12 +146,12 @@
 }
 
 /// Why the task ended, if it did.
-fn exit_reason(entry: &ReportTask) -> Option<Why> {
+fn exit_reason(entry: &HeartbeatTask) -> Option<Why> {
     (entry.state == TaskState::Exited).then(|| entry.why.unwrap_or(Why::Other))
 }
 
-/// An attempt that an earlier leader started, as a report lists it.
-fn adopted(id: &MachineId, entry: &ReportTask, cancelled: bool, now: Secs) -> Live {
+/// An attempt that an earlier leader started, as a heartbeat lists it.
+fn adopted(id: &MachineId, entry: &HeartbeatTask, cancelled: bool, now: Secs) -> Live {
     let running = entry.state == TaskState::Running;
     Live {
         machine: id.clone(),
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -44,7 +44,7 @@
     pub unconfirmed: bool,
     /// It is to stop, with this much time to save.
     pub stop: Option<f64>,
-    /// When an answer to a report last carried its start.
+    /// When an answer to a heartbeat last carried its start.
     pub sent: Option<Secs>,
     /// Found running by a new leader: when it began is not known.
     pub adopted: bool,
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's state and what moves it. Its parts: `recover` (taking over), `reports`,
+//! The leader's state and what moves it. Its parts: `recover` (taking over), `heartbeats`,
 //! `orders` and `direct_results` (workers), `attempts` and `revocation` (what may run), `place`,
 //! `gangs` and `preempt` (who runs where), `writer` (records), `cloud_requests`, `provision`
 //! and `deprovision` (machines).
@@ -25,7 +25,7 @@
 use marblebarrow_proto::ids::{JobId, MachineId, Term};
 use marblebarrow_proto::job::Kind;
 use marblebarrow_proto::records::{EndRecord, SpecRecord};
-use marblebarrow_proto::wire::Report;
+use marblebarrow_proto::wire::Heartbeat;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -298,16 +298,16 @@
         }
     }
 
-    /// A worker reports.
-    pub fn report(
+    /// A heartbeat of a worker.
+    pub fn heartbeat(
         &mut self,
         now: Secs,
         to: ReplyTo,
-        report: &Report,
+        heartbeat: &Heartbeat,
         replica: &Replica,
         out: &mut ActionSink,
     ) {
-        let answer = self.answer_report(now, report, replica);
+        let answer = self.answer_heartbeat(now, heartbeat, replica);
         out.reply(to, answer.unwrap_or(Answer::Unavailable(RETRY_STORE_S)));
     }
 
@@ -378,7 +378,8 @@
     /// (A leader short of processor time once heard nobody for seconds, and resigned;
     /// so did the next, which had all the work of taking over besides.)
     pub fn workers_unreachable(&self, now: Secs) -> bool {
-        let silence = self.facts.report_s * WORKERS_SILENT_REPORTS + WORKERS_SILENT_MARGIN_S;
+        let silence =
+            self.facts.heartbeat_interval_s * WORKERS_SILENT_HEARTBEATS + WORKERS_SILENT_MARGIN_S;
         // Answers to the direct commands of a new leader count as heard, and then workers may
         // wait for their last leader until they give it up. (One that resigned after 3.5 s
         // left them to their leases.)
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -178,7 +178,7 @@
             Event::User(to, req) => self.with_user_api(now, wall_ms, |user_api, context, out| {
                 user_api.ask(context, to, req, out)
             }),
-            Event::Report(to, report) => self.report(now, to, &report),
+            Event::Heartbeat(to, heartbeat) => self.heartbeat(now, to, &heartbeat),
             Event::Store(op, result) => self.store(now, wall_ms, op, result),
             Event::Watch(news) => {
                 let changes = self.replica.apply(news);
@@ -271,7 +271,7 @@
             let every = if self.election.fresh() { HEARTBEAT_FIRST_S } else { HEARTBEAT_EVERY_S };
             self.next_heartbeat = now + every;
             let (store_ok, leading) = (!self.store_bad(), self.election.leadership().is_some());
-            self.out.actions.push(Action::Heartbeat { store_ok, leading });
+            self.out.actions.push(Action::PeerHeartbeat { store_ok, leading });
         }
         if self.probe.is_none() && now - self.store_ok_at > STORE_PROBE_S {
             self.probe = Some(self.out.store(StoreRequest::Get(TERM.into())));
@@ -355,11 +355,16 @@
         self.out.reply(to, answer);
     }
 
-    fn report(&mut self, now: Secs, to: ReplyTo, report: &marblebarrow_proto::wire::Report) {
+    fn heartbeat(
+        &mut self,
+        now: Secs,
+        to: ReplyTo,
+        heartbeat: &marblebarrow_proto::wire::Heartbeat,
+    ) {
         if self.may_act(now)
             && let Some(l) = &mut self.leader
         {
-            return l.report(now, to, report, &self.replica, &mut self.out);
+            return l.heartbeat(now, to, heartbeat, &self.replica, &mut self.out);
         }
         let leader = self.replica.leader.as_ref().map(|(r, _)| r.node.clone());
         let elsewhere = leader.filter(|n| *n != self.facts.node);
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -114,7 +114,7 @@
         });
     }
 
-    /// Sends directly what shouldn't wait for the next report.
+    /// Sends directly what shouldn't wait for the next heartbeat.
     pub(crate) fn push_direct(&mut self, now: Secs, out: &mut ActionSink) {
         if now < self.next_push {
             return;
@@ -155,7 +155,7 @@
                 if agent_epoch != 0 { self.compose(&id) } else { (Vec::new(), Vec::new()) };
             if probe_due || commands.iter().any(is_urgent) {
                 unreached += usize::from(is_unreached);
-                // An unknown epoch is refused, with the report we want.
+                // An unknown epoch is refused, with the heartbeat we want.
                 self.send_direct(now, &id, agent_epoch.max(1), commands, starts, out);
             }
         }
@@ -201,13 +201,14 @@
     }
 
     /// Machines that are heard but haven't shown for long that they hear us are
-    /// asked directly, and so are those that missed a report.
+    /// asked directly, and so are those that missed a heartbeat.
     pub(crate) fn check_reach(&mut self, now: Secs) {
-        let ask = (self.facts.report_s * REACH_REPORTS + WORKER_GIVES_UP_S) * PROBE_SHARE;
-        let quiet = self.facts.report_s * QUIET_REPORTS + QUIET_MARGIN_S;
+        let ask =
+            (self.facts.heartbeat_interval_s * REACH_HEARTBEATS + WORKER_GIVES_UP_S) * PROBE_SHARE;
+        let quiet = self.facts.heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
         for m in self.machines.values_mut() {
             let Some(since) = m.heard.map(|h| now - h) else { continue };
-            let heard = since < self.facts.report_s * SILENT_REPORTS;
+            let heard = since < self.facts.heartbeat_interval_s * SILENT_HEARTBEATS;
             let unsure = heard && m.reached.is_none_or(|at| now - at > ask);
             let missed = since > quiet && m.unreached < QUIET_PROBES && m.lapsed.is_none();
             if unsure || missed && !m.releasing {
@@ -238,7 +239,7 @@
 }
 
 /// Whether a command is worth a direct order. A worker's list of exited tasks may wait for
-/// the answer to its next report. (A machine whose next start wasn't recorded yet once got
+/// the answer to its next heartbeat. (A machine whose next start wasn't recorded yet once got
 /// an order that cleared its list and nothing else: a third of all direct orders, and the
 /// start waited until that one was answered.)
 fn is_urgent(command: &Command) -> bool {
--- a/crates/core/src/place/candidates.rs
+++ b/crates/core/src/place/candidates.rs
@@ -175,8 +175,8 @@
         only_machine: Option<&MachineId>,
     ) -> BTreeMap<MachineId, [f64; 3]> {
         let least = self.least_cpus.min(LEAST_CPUS_MAX) - AMOUNT_TOLERANCE;
-        let report_s = self.facts.report_s;
-        let has_room = |m: &Machine| m.usable(now, report_s) && m.free()[0] >= least;
+        let heartbeat_interval_s = self.facts.heartbeat_interval_s;
+        let has_room = |m: &Machine| m.usable(now, heartbeat_interval_s) && m.free()[0] >= least;
         match only_machine {
             None => self
                 .machines
--- a/crates/core/src/place/image_demand.rs
+++ b/crates/core/src/place/image_demand.rs
@@ -23,11 +23,11 @@
     jobs: &Jobs,
     machines: &Machines,
     now: Secs,
-    report_s: f64,
+    heartbeat_interval_s: f64,
 ) -> HashMap<String, Demand> {
     let mut images = waiting_demand(jobs);
     if !images.is_empty() {
-        count_holders(&mut images, machines, now, report_s);
+        count_holders(&mut images, machines, now, heartbeat_interval_s);
     }
     images
 }
@@ -54,9 +54,9 @@
     images: &mut HashMap<String, Demand>,
     machines: &Machines,
     now: Secs,
-    report_s: f64,
+    heartbeat_interval_s: f64,
 ) {
-    for machine in machines.values().filter(|machine| machine.usable(now, report_s)) {
+    for machine in machines.values().filter(|machine| machine.usable(now, heartbeat_interval_s)) {
         let cached = machine.images.iter().map(|(image, _)| image);
         for image in cached.chain(machine.fetching.keys()) {
             if let Some(demand) = images.get_mut(image) {
--- a/crates/core/src/place/mod.rs
+++ b/crates/core/src/place/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! A full pass looks at all machines. A machine that becomes free between two full passes
 //! is filled by a pass over this machine alone, from the queue snapshot of the last full
-//! pass, so that a report costs no scan of all jobs.
+//! pass, so that a heartbeat costs no scan of all jobs.
 
 mod array_jobs;
 mod assign;
@@ -41,7 +41,8 @@
             return;
         }
         if only_machine.is_none() {
-            self.images = image_demand(&self.jobs, &self.machines, now, self.facts.report_s);
+            self.images =
+                image_demand(&self.jobs, &self.machines, now, self.facts.heartbeat_interval_s);
             self.queue_snapshot = QueueSnapshot::of(&self.jobs);
         }
         let usage = self.team_usage();
--- a/crates/core/src/preempt/mod.rs
+++ b/crates/core/src/preempt/mod.rs
@@ -119,7 +119,7 @@
         let listed = machine.exited.keys().any(|(ended, _)| ended == task);
         runs_others
             && !listed
-            && machine.usable(pass.now, self.facts.report_s)
+            && machine.usable(pass.now, self.facts.heartbeat_interval_s)
             && machine_allowed(job, machine, &self.machines)
     }
 
--- a/crates/core/src/provision/capacity.rs
+++ b/crates/core/src/provision/capacity.rs
@@ -27,7 +27,7 @@
             .collect();
         let mut capacity = Vec::new();
         for (id, m) in &self.machines {
-            if Some(id) == without || !m.usable(now, self.facts.report_s) {
+            if Some(id) == without || !m.usable(now, self.facts.heartbeat_interval_s) {
                 continue;
             }
             let found = types.get(m.info.kind.as_str());
@@ -81,7 +81,7 @@
     pub(super) fn add_preemptible_capacity(&self, now: Secs, capacity: &mut [Capacity]) {
         // `capacity` lists the usable machines first, in the order of `machines`.
         let usable = self.machines.values().filter(|m| {
-            m.usable(now, self.facts.report_s)
+            m.usable(now, self.facts.heartbeat_interval_s)
                 && self.cloud_requests.types.iter().any(|t| t.name == m.info.kind)
         });
         for (machine, capacity) in usable.zip(capacity) {
--- a/crates/core/src/revocation.rs
+++ b/crates/core/src/revocation.rs
@@ -147,7 +147,7 @@
             if let Some(m) = self.machines.get_mut(&id) {
                 if highest > token {
                     m.raised_fencing_token = highest;
-                    // Shown in the answer to a direct command sooner than in a report.
+                    // Shown in the answer to a direct command sooner than in a heartbeat.
                     m.probe_due |= urgency == Urgency::Cancellation;
                 } else {
                     wanted = wanted.max(Some(urgency));
--- a/crates/core/src/tests/provision.rs
+++ b/crates/core/src/tests/provision.rs
@@ -24,7 +24,7 @@
         deadlines: Vec::new(),
         finishes: Vec::new(),
         starts: Vec::new(),
-        report_s: 6.0,
+        heartbeat_interval_s: 6.0,
         lease_s: 31.0,
         cancel_s: 56.0,
         core_share: 1.0,
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -28,7 +28,7 @@
         deadlines: Vec::new(),
         finishes: Vec::new(),
         starts: Vec::new(),
-        report_s: 1.0,
+        heartbeat_interval_s: 1.0,
         lease_s,
         cancel_s,
         core_share: 1.0,
@@ -241,17 +241,17 @@
     }
     assert_eq!(answers, 3);
     assert!(node.may_act(now));
-    let task = |n: u32| ReportTask {
+    let task = |n: u32| HeartbeatTask {
         task: format!("req-{n:06}/0"),
         attempt: Attempt(1),
         state: TaskState::Running,
         why: None,
     };
-    let report = report(1, 1, vec![task(0), task(many - 1), task(many)]);
+    let heartbeat = heartbeat(1, 1, vec![task(0), task(many - 1), task(many)]);
     node.take_actions();
-    node.handle(now, 0, Event::Report(ReplyTo(9), Box::new(report)));
+    node.handle(now, 0, Event::Heartbeat(ReplyTo(9), Box::new(heartbeat)));
     let told = node.take_actions().into_iter().find_map(|a| match a {
-        Action::Reply(_, Answer::Report(answer)) => Some(answer.commands),
+        Action::Reply(_, Answer::Heartbeat(answer)) => Some(answer.commands),
         _ => None,
     });
     let commands = told.expect("renews the lease");
@@ -262,8 +262,8 @@
     assert!(stopped(0) && stopped(many - 1) && !stopped(many), "{commands:?}");
 }
 
-fn report(machine: u32, seq: u64, tasks: Vec<ReportTask>) -> Report {
-    Report {
+fn heartbeat(machine: u32, seq: u64, tasks: Vec<HeartbeatTask>) -> Heartbeat {
+    Heartbeat {
         machine: MachineId::new(&format!("n-{machine:04}")),
         addr: "a".into(),
         kind: "k".into(),
@@ -286,8 +286,8 @@
     let mut node = elected(10.0, true);
     let mut now = 10.0;
     for machine in 1..=5 {
-        let report = Box::new(report(machine, 1, Vec::new()));
-        node.handle(now, 0, Event::Report(ReplyTo(u64::from(machine)), report));
+        let heartbeat = Box::new(heartbeat(machine, 1, Vec::new()));
+        node.handle(now, 0, Event::Heartbeat(ReplyTo(u64::from(machine)), heartbeat));
     }
     let step = |node: &mut Node, now: Secs| {
         node.tick(now, 0);
--- a/crates/core/tests/cluster/held_commands.rs
+++ b/crates/core/tests/cluster/held_commands.rs
@@ -109,7 +109,7 @@
 }
 
 /// Answers to commands that were carried out come late as well: what they carried is known
-/// by then from a report, and nothing is started twice.
+/// by then from a heartbeat, and nothing is started twice.
 #[test]
 fn answers_held_for_minutes_change_nothing() {
     let times = meet(&[], |met| met.late_answers);
--- a/crates/core/tests/cluster/main.rs
+++ b/crates/core/tests/cluster/main.rs
@@ -86,7 +86,7 @@
         (1u32..250).prop_map(Trouble::StoreDown),
         (1usize..8).prop_map(Trouble::CancelNow),
         (1u32..200).prop_map(Trouble::AnswersLost),
-        (1u32..200).prop_map(Trouble::KeptReports),
+        (1u32..200).prop_map(Trouble::KeptHeartbeats),
         (1u32..100).prop_map(Trouble::CloseLooks),
         (1u32..300).prop_map(Trouble::CancelAtEnd),
         (0usize..8, 1u32..300).prop_map(|(m, s)| Trouble::MachineMute(m, s)),
@@ -206,7 +206,7 @@
     meet(&[crash(160), crash(230), crash(300), crash(370), crash(440), crash(510)], changes, 60);
 }
 
-/// Old reports arrive after newer ones, also from earlier epochs and attempts.
+/// Old heartbeats arrive after newer ones, also from earlier epochs and attempts.
 #[test]
 fn old_reports_arrive_after_newer_ones() {
     meet(
--- a/crates/core/tests/cluster/meetings.rs
+++ b/crates/core/tests/cluster/meetings.rs
@@ -190,7 +190,7 @@
         &[
             (198, Trouble::CancelNow(3)),
             (200, Trouble::CrashAll(130)),
-            (420, Trouble::KeptReports(30)),
+            (420, Trouble::KeptHeartbeats(30)),
             (440, Trouble::CrashAll(100)),
         ],
         as_it_is,
@@ -256,7 +256,7 @@
 fn old_reports_reach_every_controller_as_another_begins() {
     meet(
         &[
-            (150, Trouble::KeptReports(400)),
+            (150, Trouble::KeptHeartbeats(400)),
             (200, at_leader(Trouble::Crash(0, 30))),
             (215, Trouble::CancelNow(3)),
             (300, Trouble::MachineCut(0, 120)),
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -52,11 +52,11 @@
     held: Option<SentDirect>,
     given_up: Vec<(f64, OpId)>,
     next_reply: u64,
-    next_report: f64,
-    worker: Report,
+    next_heartbeat: f64,
+    worker: Heartbeat,
     /// When the last answered report was sent, and the token of the answer.
     renewed: (f64, u64),
-    /// When a report was last refused.
+    /// When a heartbeat was last refused.
     refused: Option<f64>,
     closed: bool,
 }
@@ -69,7 +69,7 @@
         deadlines: Vec::new(),
         finishes: Vec::new(),
         starts: Vec::new(),
-        report_s: REPORT_S,
+        heartbeat_interval_s: REPORT_S,
         lease_s: LEASE_S,
         cancel_s: CANCEL_S,
         core_share: 1.0,
@@ -138,7 +138,7 @@
 impl Scene {
     /// A leader in office, a machine that reports to it, and a start that is on its way.
     fn with_a_start_under_way() -> Self {
-        let worker = Report {
+        let worker = Heartbeat {
             machine: MachineId::new("n-000001"),
             addr: "n-000001".into(),
             kind: "k".into(),
@@ -160,7 +160,7 @@
             held: None,
             given_up: Vec::new(),
             next_reply: 0,
-            next_report: 3.0,
+            next_heartbeat: 3.0,
             worker,
             renewed: (0.0, 0),
             refused: None,
@@ -217,19 +217,19 @@
         for (_, op) in due {
             self.node.handle(now, 0, Event::Direct(op, DirectResult::Unknown));
         }
-        if self.now >= self.next_report {
-            self.report();
+        if self.now >= self.next_heartbeat {
+            self.heartbeat();
         }
         self.node.tick(self.now, 0);
         self.act();
     }
 
-    fn report(&mut self) {
-        self.next_report = self.now + REPORT_S;
+    fn heartbeat(&mut self) {
+        self.next_heartbeat = self.now + REPORT_S;
         self.next_reply += 1;
         self.worker.seq += 1;
-        let report = Box::new(self.worker.clone());
-        self.node.handle(self.now, 0, Event::Report(ReplyTo(self.next_reply), report));
+        let heartbeat = Box::new(self.worker.clone());
+        self.node.handle(self.now, 0, Event::Heartbeat(ReplyTo(self.next_reply), heartbeat));
     }
 
     fn act(&mut self) {
@@ -246,14 +246,14 @@
                 Action::Direct { op, fencing_token, commands, .. } => {
                     self.direct(op, fencing_token, commands)
                 }
-                Action::Reply(_, Answer::Report(answer)) => self.answered(answer),
+                Action::Reply(_, Answer::Heartbeat(answer)) => self.answered(answer),
                 Action::Reply(_, Answer::Unavailable(_)) => self.refused = Some(self.now),
                 _ => {}
             }
         }
     }
 
-    fn answered(&mut self, answer: ReportAnswer) {
+    fn answered(&mut self, answer: HeartbeatAnswer) {
         if answer.fencing_token >= self.worker.fencing_token {
             self.worker.fencing_token = answer.fencing_token;
             self.renewed = (self.now, answer.fencing_token);
@@ -273,15 +273,15 @@
             self.execute(&commands);
         }
         self.worker.seq += 1;
-        let report = Box::new(self.worker.clone());
-        self.node.handle(self.now, 0, Event::Direct(op, DirectResult::Report(good, report)));
+        let heartbeat = Box::new(self.worker.clone());
+        self.node.handle(self.now, 0, Event::Direct(op, DirectResult::Heartbeat(good, heartbeat)));
     }
 
     fn execute(&mut self, commands: &[Command]) {
         for command in commands {
             if let Command::Start { task, attempt } = command {
                 let (task, attempt) = (task.clone(), *attempt);
-                let running = ReportTask { task, attempt, state: TaskState::Running, why: None };
+                let running = HeartbeatTask { task, attempt, state: TaskState::Running, why: None };
                 self.worker.tasks.push(running);
             }
         }
--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -40,7 +40,7 @@
         deadlines: Vec::new(),
         finishes: Vec::new(),
         starts: Vec::new(),
-        report_s: 1.0,
+        heartbeat_interval_s: 1.0,
         lease_s: 8.0,
         cancel_s: 20.0,
         core_share: 1.0,
--- a/crates/proto/src/tests/wire.rs
+++ b/crates/proto/src/tests/wire.rs
@@ -7,10 +7,10 @@
 #[test]
 fn reads_the_protocol_pages_report() {
     let body = Value::serialized(&serde_value()).expect("value");
-    let report: Report = cbor::decode(&cbor::encode(&body)).expect("report");
-    assert_eq!(report.tasks[0].state, TaskState::Other);
-    assert_eq!(report.tasks[1].why, Some(Why::Done));
-    assert_eq!(report.notice_s, Some(7.0));
+    let heartbeat: Heartbeat = cbor::decode(&cbor::encode(&body)).expect("report");
+    assert_eq!(heartbeat.tasks[0].state, TaskState::Other);
+    assert_eq!(heartbeat.tasks[1].why, Some(Why::Done));
+    assert_eq!(heartbeat.notice_s, Some(7.0));
 }
 
 /// Integers where amounts are meant, an unknown state, unknown fields.
--- a/crates/proto/src/wire/mod.rs
+++ b/crates/proto/src/wire/mod.rs
@@ -19,7 +19,7 @@
 };
 pub use users::{JobStatus, Stage, UnknownDependencies};
 pub use workers::{
-    Command, DirectCommands, Elsewhere, Report, ReportAnswer, ReportTask, TaskState, Why,
+    Command, DirectCommands, Elsewhere, Heartbeat, HeartbeatAnswer, HeartbeatTask, TaskState, Why,
 };
 
 #[cfg(test)]
--- a/crates/proto/src/wire/workers.rs
+++ b/crates/proto/src/wire/workers.rs
@@ -83,7 +83,7 @@
 
 /// One task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportTask {
+pub struct HeartbeatTask {
     /// `job/index`.
     #[serde(rename = "piece")]
     pub task: String,
@@ -100,7 +100,7 @@
 
 /// A worker's heartbeat, with the whole state of its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "barrow")]
     pub machine: MachineId,
@@ -129,7 +129,7 @@
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "pieces")]
-    pub tasks: Vec<ReportTask>,
+    pub tasks: Vec<HeartbeatTask>,
 }
 
 /// A command to a worker.
@@ -173,7 +173,7 @@
 
 /// Answer to a heartbeat. It renews the worker's lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatAnswer {
     /// Fencing token: the leader's term.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
--- a/crates/rehearsal/src/held_commands.rs
+++ b/crates/rehearsal/src/held_commands.rs
@@ -30,7 +30,7 @@
     pub changes_of_leader: u32,
     /// Tokens raised by leaders in office.
     pub fencing_tokens_raised: u32,
-    /// Machines whose reports went unanswered so that their lease ran out.
+    /// Machines whose heartbeats went unanswered so that their lease ran out.
     pub machines_withheld: u32,
     /// Agent epochs with tasks that ended as their lease ran out.
     pub epochs_ended: u32,
--- a/crates/rehearsal/src/world/actions.rs
+++ b/crates/rehearsal/src/world/actions.rs
@@ -55,7 +55,7 @@
                 let cmd = DirectCommands { fencing_token, agent_epoch, commands };
                 self.send_direct(n, boot, op, machine, cmd);
             }
-            Action::Heartbeat { store_ok, leading } => {
+            Action::PeerHeartbeat { store_ok, leading } => {
                 self.peers(n, |_| PeerNews::Heartbeat {
                     node: controller_name(n),
                     store_ok,
@@ -179,8 +179,8 @@
     /// Passes on a controller's answer to who asked.
     pub(super) fn reply(&mut self, n: usize, to: ReplyTo, answer: Answer) {
         match self.asked.remove(&(n, to)) {
-            Some(Asked::Report { machine, agent_epoch, sent }) => {
-                self.after(0, Late::ReportAnswer { machine, agent_epoch, sent, answer });
+            Some(Asked::Heartbeat { machine, agent_epoch, sent }) => {
+                self.after(0, Late::HeartbeatAnswer { machine, agent_epoch, sent, answer });
             }
             Some(Asked::User { job, what, asked }) => self.user_told(n, &job, what, asked, &answer),
             Some(Asked::Cell(_)) | None => {}
--- a/crates/rehearsal/src/world/checks.rs
+++ b/crates/rehearsal/src/world/checks.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// As another begins to lead, the reports kept for it arrive, everywhere.
+    /// As another begins to lead, the heartbeats kept for it arrive, everywhere.
     pub(super) fn check_leader(&mut self) {
         let terms = self.hosts.iter().filter_map(|h| h.node.as_ref()?.authority());
         let last = terms.map(|(term, _)| term).max().unwrap_or(0);
@@ -85,10 +85,10 @@
             self.met.changes_at_limit += u32::from(used as f64 >= self.size.1 - 1.0);
         }
         self.last_term = last;
-        for (report, sent) in std::mem::take(&mut self.kept) {
+        for (heartbeat, sent) in std::mem::take(&mut self.kept) {
             self.met.kept += 1;
             for node in 0..NODES {
-                self.after(0, Late::Report { node, report: report.clone(), sent });
+                self.after(0, Late::Heartbeat { node, heartbeat: heartbeat.clone(), sent });
             }
         }
     }
--- a/crates/rehearsal/src/world/cloud.rs
+++ b/crates/rehearsal/src/world/cloud.rs
@@ -105,7 +105,7 @@
             seq: 0,
             fencing_token: 0,
             leased_from: up_at,
-            next_report: up_at,
+            next_heartbeat: up_at,
             at: 0,
             waiting: None,
             tasks: BTreeMap::new(),
--- a/crates/rehearsal/src/world/controllers.rs
+++ b/crates/rehearsal/src/world/controllers.rs
@@ -172,8 +172,10 @@
             }
             Late::Event { node, boot, event } => self.event(node, boot, event),
             Late::Direct(direct) => self.deliver_direct(direct),
-            Late::Report { node, report, sent } => self.deliver_heartbeat(node, report, sent),
-            Late::ReportAnswer { machine, agent_epoch, sent, answer } => {
+            Late::Heartbeat { node, heartbeat, sent } => {
+                self.deliver_heartbeat(node, heartbeat, sent)
+            }
+            Late::HeartbeatAnswer { machine, agent_epoch, sent, answer } => {
                 self.heartbeat_answered(&machine, agent_epoch, sent, answer);
             }
             Late::Cloud { node, boot, op, req, answer } => {
@@ -194,13 +196,13 @@
         }
     }
 
-    fn deliver_heartbeat(&mut self, node: usize, report: Report, sent: f64) {
-        let (machine, agent_epoch) = (report.machine.clone(), report.agent_epoch);
+    fn deliver_heartbeat(&mut self, node: usize, heartbeat: Heartbeat, sent: f64) {
+        let (machine, agent_epoch) = (heartbeat.machine.clone(), heartbeat.agent_epoch);
         if self.step < self.hosts[node].cut_until || self.parted(node, &machine) {
             return;
         }
-        self.ask(node, Asked::Report { machine, agent_epoch, sent }, |to| {
-            Event::Report(to, Box::new(report))
+        self.ask(node, Asked::Heartbeat { machine, agent_epoch, sent }, |to| {
+            Event::Heartbeat(to, Box::new(heartbeat))
         });
     }
 
--- a/crates/rehearsal/src/world/members.rs
+++ b/crates/rehearsal/src/world/members.rs
@@ -49,7 +49,7 @@
     pub(super) seq: u64,
     pub(super) fencing_token: u64,
     pub(super) leased_from: f64,
-    pub(super) next_report: f64,
+    pub(super) next_heartbeat: f64,
     pub(super) at: usize,
     pub(super) waiting: Option<f64>,
     pub(super) tasks: BTreeMap<TaskId, Running>,
--- a/crates/rehearsal/src/world/messages.rs
+++ b/crates/rehearsal/src/world/messages.rs
@@ -29,12 +29,12 @@
         event: Event,
     },
     Direct(DirectOnWay),
-    Report {
+    Heartbeat {
         node: usize,
-        report: Report,
+        heartbeat: Heartbeat,
         sent: f64,
     },
-    ReportAnswer {
+    HeartbeatAnswer {
         machine: MachineId,
         agent_epoch: u64,
         sent: f64,
@@ -51,7 +51,7 @@
 
 /// Who waits for an answer of a controller.
 pub(super) enum Asked {
-    Report {
+    Heartbeat {
         machine: MachineId,
         agent_epoch: u64,
         sent: f64,
--- a/crates/rehearsal/src/world/met.rs
+++ b/crates/rehearsal/src/world/met.rs
@@ -9,17 +9,17 @@
     pub cancelled_apart: u32,
     /// Transactions without an answer that take effect seconds later.
     pub late_writes: u32,
-    /// Copies of reports that came again.
+    /// Copies of heartbeats that came again.
     pub copies: u32,
     /// Orders held back by a cut, a hang or deafness, and executed after it.
     pub held_orders: u32,
-    /// Answers to reports that a machine out of reach never got.
+    /// Answers to heartbeats that a machine out of reach never got.
     pub unheard: u32,
     /// When transactions with changes were refused as a condition failed, steps.
     pub conflicts: Vec<u32>,
     /// Transactions carried out whose answer was lost.
     pub answers_lost: u32,
-    /// Old reports that reached a controller as another began to lead.
+    /// Old heartbeats that reached a controller as another began to lead.
     pub kept: u32,
     /// Jobs looked at closely.
     pub looks: u32,
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -89,7 +89,7 @@
     /// How direct commands are held up, and until when.
     held: Option<(Held, u32)>,
     /// Reports kept for the next leader.
-    kept: Vec<(Report, f64)>,
+    kept: Vec<(Heartbeat, f64)>,
     /// Jobs to be looked at closely, and since when.
     looks: Vec<(JobId, u32)>,
     /// Jobs that their users will want to call off, and when.
@@ -102,7 +102,7 @@
     last_term: u64,
     /// How long boots take, in tenths of the usual, and until when.
     boots: (u32, u32),
-    /// Until when reports are copied, and how late the copies may come.
+    /// Until when heartbeats are copied, and how late the copies may come.
     copies: (u32, u32),
     /// When the last trouble ends.
     calm_from: u32,
--- a/crates/rehearsal/src/world/settings.rs
+++ b/crates/rehearsal/src/world/settings.rs
@@ -133,7 +133,7 @@
             deadlines: Vec::new(),
             finishes: Vec::new(),
             starts: Vec::new(),
-            report_s: self.beat.0,
+            heartbeat_interval_s: self.beat.0,
             lease_s: self.beat.1,
             cancel_s: self.beat.1 + CANCEL_S - LEASE_S,
             core_share: 1.0,
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/troubles.rs
@@ -25,7 +25,7 @@
     MachineCut(usize, u32),
     /// All machines of a zone are cut off.
     ZoneCut(&'static str, u32),
-    /// Its reports arrive; answers and commands don't reach it.
+    /// Its heartbeats arrive; answers and commands don't reach it.
     MachineDeaf(usize, u32),
     /// A machine is gone, with all on it.
     MachineDies(usize),
@@ -35,7 +35,7 @@
     CloudDown(u32),
     /// Neither store nor peers, but workers and users.
     Isolated(usize, u32),
-    /// Copies of all reports come again, up to so much later.
+    /// Copies of all heartbeats come again, up to so much later.
     LateCopies(u32),
     /// The state service takes up to two seconds for each answer.
     StoreSlow(u32),
@@ -60,9 +60,9 @@
     /// Transactions are carried out at once, and their answers come up to a second later,
     /// after the watch.
     AnswersLate(u32),
-    /// Copies of a third of all reports are kept, and reach every controller as soon
+    /// Copies of a third of all heartbeats are kept, and reach every controller as soon
     /// as another leads.
-    KeptReports(u32),
+    KeptHeartbeats(u32),
     /// Users ask every controller at once, and repeat what they asked, right after a job
     /// was accepted, ended or cancelled.
     CloseLooks(u32),
@@ -118,7 +118,7 @@
             | Self::WatchStuck(_, s)
             | Self::AnswersLost(s)
             | Self::AnswersLate(s)
-            | Self::KeptReports(s)
+            | Self::KeptHeartbeats(s)
             | Self::CloseLooks(s)
             | Self::CancelAtEnd(s)
             | Self::MachineMute(_, s)
@@ -196,7 +196,7 @@
             }
             Trouble::AnswersLost(s) => self.answers_lost_until = step + s,
             Trouble::AnswersLate(s) => self.answers_late_until = step + s,
-            Trouble::KeptReports(s) => self.keep_until = step + s,
+            Trouble::KeptHeartbeats(s) => self.keep_until = step + s,
             Trouble::CloseLooks(s) => self.looks_until = step + s,
             Trouble::CancelAtEnd(s) => self.cancel_ends_until = step + s,
             Trouble::MachineMute(m, s) => self.at_machine(m, |w| w.mute_until = step + s),
@@ -247,7 +247,7 @@
         worker.tasks.clear();
         (worker.agent_epoch, worker.seq, worker.fencing_token) = (1, 0, 0);
         worker.leased_from = now;
-        worker.next_report = now;
+        worker.next_heartbeat = now;
         worker.waiting = None;
         let id = id.clone();
         self.break_connections(&id);
--- a/crates/rehearsal/src/world/workers.rs
+++ b/crates/rehearsal/src/world/workers.rs
@@ -26,22 +26,22 @@
 
     /// Something changed: the next heartbeat comes soon.
     pub(super) fn tell_soon(&mut self, now: f64) {
-        self.next_report = self.next_report.min(now + CHANGE_PAUSE_S);
+        self.next_heartbeat = self.next_heartbeat.min(now + CHANGE_PAUSE_S);
     }
 
     /// Turns to the next controller, after a pause.
     fn try_next_controller(&mut self, now: f64) {
         self.at = (self.at + 1) % NODES;
-        self.next_report = now + NEXT_CONTROLLER_S;
+        self.next_heartbeat = now + NEXT_CONTROLLER_S;
     }
 }
 
 impl World {
     /// A worker's next heartbeat.
-    pub(super) fn heartbeat_of(&mut self, id: &MachineId) -> Option<Report> {
+    pub(super) fn heartbeat_of(&mut self, id: &MachineId) -> Option<Heartbeat> {
         let w = self.machines.get_mut(id)?;
         w.seq += 1;
-        Some(Report {
+        Some(Heartbeat {
             machine: id.clone(),
             addr: id.to_string(),
             kind: w.kind.clone(),
@@ -54,7 +54,7 @@
             tasks: w
                 .tasks
                 .iter()
-                .map(|(t, r)| ReportTask {
+                .map(|(t, r)| HeartbeatTask {
                     task: t.to_string(),
                     attempt: r.attempt,
                     state: r.state,
@@ -144,21 +144,21 @@
             w.waiting = None;
             w.try_next_controller(now);
         }
-        if w.waiting.is_some() || now < w.next_report {
+        if w.waiting.is_some() || now < w.next_heartbeat {
             return;
         }
         w.waiting = Some(now);
-        w.next_report = now + self.beat.0;
+        w.next_heartbeat = now + self.beat.0;
         let (node, cut) = (w.at, w.cut_until);
         let mute = self.step < w.mute_until;
-        let Some(report) = self.heartbeat_of(id).filter(|_| !mute) else { return };
+        let Some(heartbeat) = self.heartbeat_of(id).filter(|_| !mute) else { return };
         if self.step < self.keep_until && self.rng.random_range(0..KEPT_ONE_IN) == 0 {
-            self.kept.push((report.clone(), now));
+            self.kept.push((heartbeat.clone(), now));
         }
         if self.step < self.copies.0 {
-            self.send_late_copy(node, report.clone(), now);
+            self.send_late_copy(node, heartbeat.clone(), now);
         }
-        let late = Late::Report { node, report, sent: now };
+        let late = Late::Heartbeat { node, heartbeat, sent: now };
         // Held back by a cut, and delivered when it ends.
         if cut > self.step {
             self.late.push((cut, late));
@@ -168,11 +168,11 @@
     }
 
     /// A copy of a heartbeat comes later, to any controller.
-    fn send_late_copy(&mut self, node: usize, report: Report, sent: f64) {
+    fn send_late_copy(&mut self, node: usize, heartbeat: Heartbeat, sent: f64) {
         let node = (node + self.step as usize) % NODES;
         let delay = self.rng.random_range(1..self.copies.1.max(2));
         self.met.copies += 1;
-        self.late.push((self.step + delay, Late::Report { node, report, sent }));
+        self.late.push((self.step + delay, Late::Heartbeat { node, heartbeat, sent }));
     }
 
     /// The answer to a heartbeat arrives at its worker.
@@ -192,7 +192,7 @@
         }
         w.waiting = None;
         match answer {
-            Answer::Report(a) => {
+            Answer::Heartbeat(a) => {
                 if a.fencing_token < w.fencing_token {
                     return;
                 }
@@ -206,7 +206,7 @@
             Answer::Elsewhere(node) => {
                 let named = node.and_then(|n| n.as_str()[1..].parse().ok());
                 w.at = named.unwrap_or((w.at + 1) % NODES);
-                w.next_report = now + CHANGE_PAUSE_S;
+                w.next_heartbeat = now + CHANGE_PAUSE_S;
             }
             _ => w.try_next_controller(now),
         }
@@ -225,6 +225,6 @@
             w.fencing_token = cmd.fencing_token;
             self.execute(id, &cmd.commands);
         }
-        Some(DirectResult::Report(good, Box::new(self.heartbeat_of(id)?)))
+        Some(DirectResult::Heartbeat(good, Box::new(self.heartbeat_of(id)?)))
     }
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -26,7 +26,7 @@
     settings.facts.direct_most = shares.command_threads;
     settings.facts.log = tracing::enabled!(tracing::Level::DEBUG);
     let links = start_links(&settings, &events, clock, &authority, shares)?;
-    let bounds = bounds(shares, settings.facts.report_s);
+    let bounds = bounds(shares, settings.facts.heartbeat_interval_s);
     tracing::info!(
         node = %settings.facts.node,
         listen = %settings.listen,
--- a/src/event_loop.rs
+++ b/src/event_loop.rs
@@ -102,7 +102,7 @@
         let reply_to = self.pending.insert(PendingReply::Question(responder));
         match question {
             Question::User(request) => Event::User(reply_to, request),
-            Question::Heartbeat(heartbeat) => Event::Report(reply_to, heartbeat),
+            Question::Heartbeat(heartbeat) => Event::Heartbeat(reply_to, heartbeat),
             Question::Members => Event::Members(reply_to),
         }
     }
@@ -133,7 +133,7 @@
             Action::CellCall { op, cell, request } => {
                 links.cells.as_ref().and_then(|cells| cells.send(op, &cell, *request))
             }
-            Action::Heartbeat { store_ok, leading } => {
+            Action::PeerHeartbeat { store_ok, leading } => {
                 links.peers.send_heartbeat(store_ok, leading);
                 None
             }
--- a/src/event_queue.rs
+++ b/src/event_queue.rs
@@ -8,7 +8,7 @@
 use marblebarrow_core::consts::{RETRY_FULL_S, RETRY_STORE_S};
 use marblebarrow_core::event::{Answer, Event, PledgeAnswer, UserRequest};
 use marblebarrow_proto::ids::{JobId, NodeId};
-use marblebarrow_proto::wire::Report;
+use marblebarrow_proto::wire::Heartbeat;
 use std::fmt;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -22,7 +22,7 @@
     /// A user's request.
     User(UserRequest),
     /// A worker's heartbeat (the wire's report).
-    Heartbeat(Box<Report>),
+    Heartbeat(Box<Heartbeat>),
     /// An operator's: which controllers run which version.
     Members,
 }
--- a/src/links/worker.rs
+++ b/src/links/worker.rs
@@ -9,7 +9,7 @@
 use crate::pool::Pool;
 use marblebarrow_core::event::{DirectResult, Event, OpId};
 use marblebarrow_proto::cbor;
-use marblebarrow_proto::wire::{DirectCommands, Report};
+use marblebarrow_proto::wire::{DirectCommands, Heartbeat};
 use std::net::SocketAddr;
 
 /// Commands for a worker, with fencing token and agent epoch, and where
@@ -64,8 +64,8 @@
 
 fn read_response(status: u16, body: &[u8]) -> DirectResult {
     match status {
-        200 | 409 => cbor::decode::<Report>(body).map_or(DirectResult::Unknown, |heartbeat| {
-            DirectResult::Report(status == 200, Box::new(heartbeat))
+        200 | 409 => cbor::decode::<Heartbeat>(body).map_or(DirectResult::Unknown, |heartbeat| {
+            DirectResult::Heartbeat(status == 200, Box::new(heartbeat))
         }),
         400 => DirectResult::NotSent,
         _ => DirectResult::Unknown,
--- a/src/server/handler.rs
+++ b/src/server/handler.rs
@@ -101,7 +101,7 @@
             return Response::retry_later(503, RETRY_STORE_S, "can't decide now");
         }
         // Nor may a worker be held by a leader whose time ran out.
-        if let Answer::Report(heartbeat) = &answer
+        if let Answer::Heartbeat(heartbeat) = &answer
             && !self.authority.permits(heartbeat.fencing_token)
         {
             return Response::misdirected(None);
--- a/src/server/response.rs
+++ b/src/server/response.rs
@@ -44,7 +44,7 @@
             Answer::Job(status, job) => Self::with_body(status, &job),
             Answer::Healthy => Self::error(200, "none"),
             Answer::Members(members) => Self::with_body(200, &members),
-            Answer::Report(heartbeat) => Self::with_body(200, &heartbeat),
+            Answer::Heartbeat(heartbeat) => Self::with_body(200, &heartbeat),
             Answer::Elsewhere(node) => Self::misdirected(node.map(|n| n.to_string())),
             Answer::NotFound => Self::error(404, "no such job"),
             Answer::NeverRuns(reason) => Self::error(422, reason),
--- a/src/server/worker_routes.rs
+++ b/src/server/worker_routes.rs
@@ -5,7 +5,7 @@
 use crate::http::Request;
 use marblebarrow_core::event::UserRequest;
 use marblebarrow_proto::cbor;
-use marblebarrow_proto::wire::Report;
+use marblebarrow_proto::wire::Heartbeat;
 
 /// The question that a request to `path` asks, or the response to one that can't be asked;
 /// `None`: not a path of these.
@@ -19,7 +19,7 @@
 }
 
 fn heartbeat(body: &[u8]) -> Result<Question, Response> {
-    match cbor::decode::<Report>(body) {
+    match cbor::decode::<Heartbeat>(body) {
         Ok(heartbeat) => Ok(Question::Heartbeat(Box::new(heartbeat))),
         Err(error) => Err(Response::error(400, &error.to_string())),
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -266,7 +266,7 @@
             deadlines,
             finishes,
             starts,
-            report_s: positive("facts.workers.report_s", f.workers.report_s)?,
+            heartbeat_interval_s: positive("facts.workers.report_s", f.workers.report_s)?,
             lease_s: positive("facts.workers.lease_s", f.workers.lease_s)?,
             cancel_s: positive("facts.workers.cancel_s", f.workers.cancel_s)?,
             store_rps: store.rps,
--- a/src/tests/event_queue.rs
+++ b/src/tests/event_queue.rs
@@ -7,7 +7,7 @@
 }
 
 /// The word that a lease lives on doesn't wait behind what came before it, and
-/// submissions wait for reports and polls.
+/// submissions wait for heartbeats and polls.
 #[test]
 fn what_is_urgent_goes_before_all_that_waits() {
     let (events, receiver) = channel();
--- a/tests/stand_in/cluster.rs
+++ b/tests/stand_in/cluster.rs
@@ -189,7 +189,7 @@
 
     /// Submits services until the start of one goes out as a direct command, which is left
     /// unanswered and kept: the job, and the command. Those whose start went out in the answer
-    /// to a report instead, as it does now and then, are cancelled.
+    /// to a heartbeat instead, as it does now and then, are cancelled.
     pub fn hold_a_start(&self) -> (String, HeldCommand) {
         for number in 0..20 {
             let job = format!("req-001{number:02}2");
--- a/tests/stand_in/worker.rs
+++ b/tests/stand_in/worker.rs
@@ -63,8 +63,8 @@
     /// The highest token that the worker has seen.
     pub fn fencing_token_of_worker(&self) -> u64 {
         let answer = ask(&self.addr, "GET", "/show", &[], Duration::from_secs(5));
-        let report = answer.and_then(|(_, body)| cbor::decode::<Report>(&body).ok());
-        report.map_or(0, |report| report.fencing_token)
+        let heartbeat = answer.and_then(|(_, body)| cbor::decode::<Heartbeat>(&body).ok());
+        heartbeat.map_or(0, |heartbeat| heartbeat.fencing_token)
     }
 }
 
@@ -210,16 +210,16 @@
         }
     }
 
-    fn report(&mut self) -> Report {
+    fn heartbeat(&mut self) -> Heartbeat {
         self.settle();
         self.seq += 1;
-        let task = |(t, r): (&TaskId, &Running)| ReportTask {
+        let task = |(t, r): (&TaskId, &Running)| HeartbeatTask {
             task: t.to_string(),
             attempt: r.attempt,
             state: if r.why.is_some() { TaskState::Exited } else { TaskState::Running },
             why: r.why,
         };
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             addr: self.addr.clone(),
             kind: "k".into(),
@@ -296,8 +296,8 @@
         }
         w.settle();
         if path == "/show" {
-            let report = w.report();
-            return Reply::Answer(200, cbor::encode(&report));
+            let heartbeat = w.heartbeat();
+            return Reply::Answer(200, cbor::encode(&heartbeat));
         }
         let cmd: DirectCommands = cbor::decode(body).expect("commands");
         if w.fleet.keep(&w.addr, &cmd) {
@@ -308,21 +308,21 @@
             w.fencing_token = cmd.fencing_token;
             w.execute(&cmd.commands);
         }
-        let report = w.report();
-        Reply::Answer(if good { 200 } else { 409 }, cbor::encode(&report))
+        let heartbeat = w.heartbeat();
+        Reply::Answer(if good { 200 } else { 409 }, cbor::encode(&heartbeat))
     });
     state.lock().expect("worker").addr = addr;
     let mut at = 0;
     let mut connection = Connection::default();
     while !fleet.has_ended(&id) {
         let sent = Instant::now();
-        let report = state.lock().expect("worker").report();
-        let (body, wait) = (cbor::encode(&report), Duration::from_secs(4));
+        let heartbeat = state.lock().expect("worker").heartbeat();
+        let (body, wait) = (cbor::encode(&heartbeat), Duration::from_secs(4));
         let answer = connection.ask(&nodes[at], "POST", "/hello", &body, wait);
         let mut w = state.lock().expect("worker");
         match answer {
-            Some((200, body)) if report.agent_epoch == w.agent_epoch => {
-                let a: ReportAnswer = cbor::decode(&body).expect("answer");
+            Some((200, body)) if heartbeat.agent_epoch == w.agent_epoch => {
+                let a: HeartbeatAnswer = cbor::decode(&body).expect("answer");
                 if a.fencing_token >= w.fencing_token {
                     w.fencing_token = a.fencing_token;
                     w.leased = sent;
