--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -1,25 +1,25 @@
 //! Every constant of the scheduler, with unit and reason. What the settings
-//! tell (report interval, worker lease, rates, limits) is read there instead.
+//! tell (heartbeat interval, worker lease, rates, limits) is read there instead.
 
 // --- election -------------------------------------------------------------
 
-/// Grant of the leader key, milliseconds: short, so that a dead leader is
+/// Lease of the leader key, milliseconds: short, so that a dead leader is
 /// replaced soon; long enough for a slow answer of the state service (a few
 /// hundred ms) and a processor stall.
-pub const GRANT_MS: u64 = 3_000;
+pub const LEADER_LEASE_MS: u64 = 3_000;
 /// The same in seconds.
-pub const GRANT_S: f64 = GRANT_MS as f64 / 1e3;
-/// Seconds between touches: five tries within a grant.
-pub const TOUCH_EVERY_S: f64 = 0.6;
-/// Taken off a grant's certain life, seconds: owner-queue delay between the
+pub const LEADER_LEASE_S: f64 = LEADER_LEASE_MS as f64 / 1e3;
+/// Seconds between renewals: five tries within a lease.
+pub const KEEP_ALIVE_EVERY_S: f64 = 0.6;
+/// Taken off a lease's certain life, seconds: owner-queue delay between the
 /// authority check and the bytes leaving.
-pub const GRANT_MARGIN_S: f64 = 0.25;
+pub const LEADER_LEASE_MARGIN_S: f64 = 0.25;
 /// Clock drift allowed for, as a fraction: the protocol's 0.05% between two
 /// clocks, doubled.
 pub const DRIFT: f64 = 0.001;
-/// A leader that no worker reports to for this many report intervals, while
+/// A leader that no worker reports to for this many heartbeat intervals, while
 /// several did before, is cut off from them and resigns.
-pub const WORKERS_SILENT_REPORTS: f64 = 1.3;
+pub const WORKERS_SILENT_HEARTBEATS: f64 = 1.3;
 /// Added to that, seconds.
 pub const WORKERS_SILENT_MARGIN_S: f64 = 0.6;
 /// A step that comes so much later than it should, seconds, says that this process had
@@ -78,8 +78,9 @@
 /// Wait after a failed attempt to stand, seconds.
 pub const STAND_RETRY_S: f64 = 0.4;
 
-/// Least time between two raises of the fencing token while a cancelled job's start is in
-/// doubt, seconds: one change of the store each, and all machines in doubt by then share it.
+/// Least time between two raises of the fencing token while a cancelled job's start is
+/// unconfirmed, seconds: one change of the store each, and all machines with unconfirmed starts by
+/// then share it.
 pub const RAISE_CANCELLED_EVERY_S: f64 = 1.0;
 /// The same where only booked room, or an entry that can't be cleared, waits for it, seconds.
 pub const RAISE_EVERY_S: f64 = 3.0;
@@ -87,13 +88,13 @@
 // --- log --------------------------------------------------------------------
 
 /// Info lines a second at most, in the mean: a zone of a thousand machines that is cut off
-/// makes as many starts doubtful at once, and a log of them all helps nobody. A line costs
+/// makes as many starts unconfirmed at once, and a log of them all helps nobody. A line costs
 /// some 10 us of a core, so this is 0.02%.
 pub const INFO_LINES_PER_S: f64 = 20.0;
 /// Info lines that may come at once.
 pub const INFO_LINES_BURST: f64 = 60.0;
-/// How often a leader tells its counters of doubtful starts, seconds.
-pub const DOUBT_LOG_S: f64 = 60.0;
+/// How often a leader tells its counters of unconfirmed starts, seconds.
+pub const UNCONFIRMED_LOG_S: f64 = 60.0;
 
 // --- state service --------------------------------------------------------
 
@@ -152,8 +153,8 @@
 pub const PAGE_LIMIT: u32 = 200;
 /// Conditions of a transaction per change allowed (protocol page).
 pub const CONDS_PER_OP: usize = 4;
-/// Conditions that a check of one DAG dependency takes: its spec and its last
-/// word, both absent (version 0).
+/// Conditions that a check of one DAG dependency takes: its spec and its final
+/// state, both absent (version 0).
 pub const CONDS_PER_DEPENDENCY: usize = 2;
 /// Bytes of JSON of the values in a transaction, beyond which no more is added: below the
 /// 64 KiB limit with room for one more value and for the conditions.
@@ -210,15 +211,15 @@
 /// Added to a worker's lease before its tasks count as gone, seconds: our
 /// answer may leave a little after its time was noted.
 pub const LEASE_MARGIN_S: f64 = 0.5;
-/// A machine unheard for this many report intervals gets no new tasks.
-pub const SILENT_REPORTS: f64 = 2.5;
+/// A machine unheard for this many heartbeat intervals gets no new tasks.
+pub const SILENT_HEARTBEATS: f64 = 2.5;
 /// A machine whose lease ran out is kept this much longer, seconds: a cut ends,
 /// and a machine with its images is worth more than a new one.
 pub const LAPSED_KEPT_S: f64 = 30.0;
-/// A spot machine that is silent for this many report intervals,
+/// A spot machine that is silent for this many heartbeat intervals,
 /// while others report, is returned: mostly it was taken, and a
 /// completed release proves its tasks gone long before their lease does.
-pub const GONE_REPORTS: f64 = 2.5;
+pub const GONE_HEARTBEATS: f64 = 2.5;
 /// Added to that, seconds.
 pub const GONE_MARGIN_S: f64 = 1.0;
 /// A spot machine that a new leader couldn't reach so often, while most others
@@ -226,15 +227,15 @@
 pub const PROBES: u32 = 2;
 /// Pause between two of these tries, seconds.
 pub const PROBE_AGAIN_S: f64 = 0.8;
-/// A machine that was heard before and is silent for this many report
-/// intervals is asked directly: reports come within a quarter more than one.
-pub const QUIET_REPORTS: f64 = 1.3;
+/// A machine that was heard before and is silent for this many heartbeat
+/// intervals is asked directly: heartbeats come within a quarter more than one.
+pub const QUIET_HEARTBEATS: f64 = 1.3;
 /// Added to that, seconds.
 pub const QUIET_MARGIN_S: f64 = 0.6;
 /// Direct tries that must fail before a machine that serves is given up early.
 pub const QUIET_PROBES: u32 = 2;
-/// Within so many report intervals, of which each machine sends one, ...
-pub const HEARING_REPORTS: f64 = 0.6;
+/// Within so many heartbeat intervals, of which each machine sends one, ...
+pub const HEARING_HEARTBEATS: f64 = 0.6;
 /// ... so large a share of all machines must have been heard for us to be sure
 /// that we hear: half of what is expected, as a part of them may be dead.
 pub const HEARING_SHARE: f64 = 0.3;
@@ -244,27 +245,27 @@
 pub const ZONE_CUT_SHARE: f64 = 0.5;
 /// Share of the direct commands under way that may be to machines which did not
 /// answer the last: a crowd of silent ones must not hold up the others.
-pub const DOUBTFUL_SHARE: f64 = 0.5;
+pub const UNREACHED_SHARE: f64 = 0.5;
 /// Least time between two rounds of direct commands, seconds: a round looks at
 /// all machines.
 pub const PUSH_EVERY_S: f64 = 0.02;
 /// No machine is given up as silent so soon after a takeover, seconds: workers
-/// need a report's timeout and a try or two to find the new leader.
+/// need a heartbeat's timeout and a try or two to find the new leader.
 pub const GONE_AFTER_S: f64 = 6.5;
-/// After a direct command failed, reports carry the commands for this long,
+/// After a direct command failed, heartbeats carry the commands for this long,
 /// seconds.
 pub const DIRECT_BACKOFF_S: f64 = 3.0;
 /// A worker drops an answer that comes later than this after it sent its
 /// report, seconds (protocol page).
 pub const WORKER_DROPS_S: f64 = 4.0;
-/// A worker that got no answer sends its next report no sooner than this after
+/// A worker that got no answer sends its next heartbeat no sooner than this after
 /// the last, seconds (protocol page: 4 s, then 1 s).
 pub const WORKER_GIVES_UP_S: f64 = 5.0;
 /// Margin on either, seconds: clocks, and the way through our queue.
 pub const WORKER_MARGIN_S: f64 = 0.2;
-/// A machine that hasn't proven for this many report intervals, and a worker's
+/// A machine that hasn't proven for this many heartbeat intervals, and a worker's
 /// patience, that our words reach it, gets no new tasks.
-pub const REACH_REPORTS: f64 = 2.0;
+pub const REACH_HEARTBEATS: f64 = 2.0;
 /// After so much of that time it is asked directly.
 pub const PROBE_SHARE: f64 = 0.6;
 /// Commands in one message: an answer stays far below 64 KiB.
@@ -354,8 +355,8 @@
 /// Processor time of such a look per machine known, seconds of a core (measured: some
 /// 150 us for 400 machines) ...
 pub const LOOK_S: f64 = 0.000_000_4;
-/// ... and the share of our processor that they may take. With hundreds of reports a
-/// second, a look after each took as much of it as the reports themselves.
+/// ... and the share of our processor that they may take. With hundreds of heartbeats a
+/// second, a look after each took as much of it as the heartbeats themselves.
 pub const LOOK_SHARE: f64 = 0.06;
 /// Least time between two placement passes, seconds.
 pub const PLACE_EVERY_S: f64 = 0.04;
@@ -487,7 +488,7 @@
 /// of it: a machine may fetch an image, and some boots take longer.
 pub const START_AIM_SHARE: f64 = 0.5;
 /// Between a job's last task and the next job's start: the heartbeat that tells of it, the
-/// write of its last word, placing and the command, seconds. Each stage of a pipeline
+/// write of its final state, placing and the command, seconds. Each stage of a pipeline
 /// takes so much besides its tasks.
 pub const STAGE_LAG_S: f64 = 2.0;
 /// Renting reckons with this many times the mean for a job's last task: more
@@ -510,14 +511,14 @@
 /// Run time assumed for a task nobody knows anything of, seconds.
 pub const DEFAULT_RUN_S: f64 = 30.0;
 
-/// Most reads of dependencies' last words under way at once: a leader that takes over
+/// Most reads of dependencies' final states under way at once: a leader that takes over
 /// reads one for each job named that ended before it knew it, and must not crowd the
 /// store's request rate.
 pub const DEPENDENCY_READS_MAX: usize = 16;
-/// Seconds before a dependency's last word is read again when a read found none or
+/// Seconds before a dependency's final state is read again when a read found none or
 /// failed.
 pub const DEPENDENCY_READ_RETRY_S: f64 = 2.0;
-/// Conditions that a check behind a poll takes at most: the job's last word and its spec.
+/// Conditions that a check behind a poll takes at most: the job's final state and its spec.
 pub const CONDS_PER_POLL: usize = 2;
 /// How long a poll waits for a copy that lacks the latest cascade, seconds: users wait 2 s
 /// for an answer (protocol page), and a watch brings a change within tenths of one.
@@ -532,12 +533,12 @@
 /// Most cascade lists in one transaction: with the generation, five changes, the smallest
 /// limit of a transaction that was announced; they hold some 500 jobs.
 pub const CASCADE_LISTS_PER_TXN: usize = 4;
-/// Most last words of listed jobs under way at once; each is one transaction.
+/// Most final states of listed jobs under way at once; each is one transaction.
 pub const CASCADE_ENDS_MAX: usize = 2;
-/// Share of the store's change rate that the last words of listed jobs may take: users have
+/// Share of the store's change rate that the final states of listed jobs may take: users have
 /// their answers already, and starts and submissions need the rest.
 pub const CASCADE_ENDS_SHARE: f64 = 0.25;
 /// Most cascade cancellations under way at once; each is one transaction.
 pub const CASCADE_WRITES_MAX: usize = 4;
-/// Changes one cascade cancellation costs the store: the last word and the spec.
+/// Changes one cascade cancellation costs the store: the final state and the spec.
 pub const CASCADE_CHANGES: f64 = 2.0;
--- a/crates/core/src/deprovision/consolidation.rs
+++ b/crates/core/src/deprovision/consolidation.rs
@@ -37,7 +37,7 @@
     let spec = job.spec();
     let settled = |live: &Live| {
         let ran_long = live.ran_from.is_some_and(|from| now - from > CONSOLIDATE_AGE_S);
-        live.stop.is_none() && !live.doubt && ran_long
+        live.stop.is_none() && !live.unconfirmed && ran_long
     };
     spec.kind == Kind::Service
         && !spec.spread
@@ -87,7 +87,9 @@
 
     /// Whether a machine is an ordinary one that runs replicas and could start more.
     fn keeps_replicas(&self, machine: &Machine, now: Secs) -> bool {
-        !machine.info.spot && machine.services > 0 && machine.usable(now, self.facts.report_s)
+        !machine.info.spot
+            && machine.services > 0
+            && machine.usable(now, self.facts.heartbeat_interval_s)
     }
 
     /// Whether all that is on a machine fits on others that run replicas and hold the images.
--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -4,23 +4,23 @@
 use crate::event::{DirectResult, OpId, Secs};
 use crate::jobs::{Phase, live_attempt_mut};
 use crate::leader::Leader;
-use crate::start_doubts::AttemptKey;
+use crate::unconfirmed_starts::AttemptKey;
 use marblebarrow_proto::ids::MachineId;
-use marblebarrow_proto::wire::Report;
+use marblebarrow_proto::wire::Heartbeat;
 
 /// Direct commands under way.
 #[derive(Debug)]
 pub(crate) struct DirectSent {
     pub machine: MachineId,
-    pub session: u64,
-    pub token: u64,
+    pub agent_epoch: u64,
+    pub fencing_token: u64,
     /// When it was sent.
     pub at: Secs,
-    /// Session and number of the newest message known at sending.
+    /// Epoch and number of the newest message known at sending.
     pub known: (u64, u64),
     pub starts: Vec<AttemptKey>,
     /// The machine didn't answer the last.
-    pub doubtful: bool,
+    pub unreached: bool,
 }
 
 impl Leader {
@@ -36,32 +36,32 @@
             m.direct = None;
         }
         match result {
-            DirectResult::Report(_, report) => self.direct_answered(now, &sent, &report),
+            DirectResult::Heartbeat(_, heartbeat) => self.direct_answered(now, &sent, &heartbeat),
             DirectResult::Unknown => {
-                self.doubt_starts(now, &sent);
+                self.note_unconfirmed_starts(now, &sent);
                 self.direct_failed(now, sent);
             }
             DirectResult::NotSent => self.direct_failed(now, sent),
         }
     }
 
-    fn direct_answered(&mut self, now: Secs, sent: &DirectSent, report: &Report) {
+    fn direct_answered(&mut self, now: Secs, sent: &DirectSent, heartbeat: &Heartbeat) {
         let Some(m) = self.machines.get_mut(&sent.machine) else {
             return;
         };
         m.reached = Some(now);
         m.unreached = 0;
         m.probe_due = false;
-        if (report.session, report.seq) <= sent.known {
+        if (heartbeat.agent_epoch, heartbeat.seq) <= sent.known {
             return self.worker_began_anew(now, &sent.machine);
         }
-        self.apply_report(now, report);
+        self.apply_heartbeat(now, heartbeat);
         self.place_due = true;
     }
 
     /// The answer to a question of ours can't be a late copy, and yet it counts from below what
     /// we knew: the worker itself began anew. Its numbers no longer tell old from new, and
-    /// orders held back for the one before match its session, so nothing but its release
+    /// orders held back for the one before match its epoch, so nothing but its release
     /// proves what doesn't run there. (A copy of its former self's list once was believed, and
     /// a task ran twice.)
     fn worker_began_anew(&mut self, now: Secs, id: &MachineId) {
@@ -85,7 +85,7 @@
         m.direct_failed = Some(now);
         let again = if m.unreached < PROBES { PROBE_AGAIN_S } else { DIRECT_BACKOFF_S };
         m.direct_after = now + again;
-        if m.session != sent.session {
+        if m.agent_epoch != sent.agent_epoch {
             return;
         }
         for key in sent.starts {
@@ -95,9 +95,9 @@
                 && live.machine == sent.machine
                 && live.attempt == *attempt
             {
-                // May still arrive, minutes later: it is in doubt until the worker has shown
+                // May still arrive, minutes later: it is unconfirmed until the worker has shown
                 // a higher token, and its attempt must not be cleared before.
-                live.doubt = m.start_doubts.contains(&key);
+                live.unconfirmed = m.unconfirmed_starts.contains(&key);
                 if live.phase == Phase::Sent {
                     live.phase = Phase::Ready;
                 }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -4,8 +4,8 @@
 use marblebarrow_proto::ids::{CellName, JobId, MachineId, NodeId};
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::wire::{
-    Command, Item, ItemPage, JobStatus, MachineList, MachineType, Rent, Report, ReportAnswer, Txn,
-    WatchEvent,
+    Command, Heartbeat, HeartbeatAnswer, Item, ItemPage, JobStatus, MachineList, MachineType, Rent,
+    Txn, WatchEvent,
 };
 
 /// Seconds of the steady clock since the process began.
@@ -43,7 +43,7 @@
     /// Healthy.
     Healthy,
     /// Commands for a worker.
-    Report(ReportAnswer),
+    Heartbeat(HeartbeatAnswer),
     /// Ask that controller (421).
     Elsewhere(Option<NodeId>),
     /// No such job.
@@ -74,12 +74,12 @@
         /// Begin after this key.
         after: String,
     },
-    /// A new grant of so many milliseconds.
-    Grant(u64),
-    /// Renew a grant.
-    Touch(u64),
-    /// End a grant.
-    Revoke(u64),
+    /// A new lease of so many milliseconds.
+    GrantLease(u64),
+    /// Renew a lease.
+    KeepAlive(u64),
+    /// End a lease.
+    RevokeLease(u64),
 }
 
 /// How a request to the state service went.
@@ -93,12 +93,12 @@
     Value(Option<Item>),
     /// A page.
     Page(ItemPage),
-    /// A grant.
-    Granted(u64),
-    /// The grant lives on.
-    Touched,
-    /// The grant is gone.
-    NoGrant,
+    /// A lease.
+    LeaseGranted(u64),
+    /// The lease lives on, or was ended as asked.
+    LeaseRenewed,
+    /// The lease is gone.
+    NoLease,
     /// Not executed: refused, limited or unreachable.
     Refused,
     /// Not executed, and never will be as it stands.
@@ -145,8 +145,8 @@
 /// How direct commands went.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DirectResult {
-    /// Executed (true) or refused for token or session (false), with a report.
-    Report(bool, Box<Report>),
+    /// Executed (true) or refused for token or epoch (false), with a heartbeat.
+    Heartbeat(bool, Box<Heartbeat>),
     /// The worker never got it.
     NotSent,
     /// Perhaps executed, perhaps later.
@@ -256,8 +256,8 @@
 pub enum Event {
     /// A user asks.
     User(ReplyTo, UserRequest),
-    /// A worker reports.
-    Report(ReplyTo, Box<Report>),
+    /// A heartbeat of a worker.
+    Heartbeat(ReplyTo, Box<Heartbeat>),
     /// The store answered.
     Store(OpId, StoreResult),
     /// The watch brought something.
@@ -294,14 +294,14 @@
         /// Where the worker listens.
         addr: String,
         /// Our term.
-        token: u64,
-        /// Session meant.
-        session: u64,
+        fencing_token: u64,
+        /// Agent epoch meant.
+        agent_epoch: u64,
         /// The commands.
         commands: Vec<Command>,
     },
     /// Tell the peers whether the store serves us and whether we lead.
-    Heartbeat {
+    PeerHeartbeat {
         /// The store serves us.
         store_ok: bool,
         /// We hold the leadership.
--- a/crates/core/src/reports/absence.rs
+++ b/crates/core/src/heartbeats/absence.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of booked tasks that a report doesn't list: they are gone, unless their
+//! Reconciliation of booked tasks that a heartbeat doesn't list: they are gone, unless their
 //! start may still arrive.
 
 use crate::consts::{WORKER_DROPS_S, WORKER_MARGIN_S};
@@ -8,7 +8,7 @@
 use marblebarrow_proto::ids::{MachineId, TaskId};
 use std::collections::BTreeSet;
 
-/// What the absence of an attempt from a report says of it.
+/// What the absence of an attempt from a heartbeat says of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Absence {
     /// Nothing yet.
@@ -28,25 +28,25 @@
             Phase::Placed | Phase::Ready => Self::of_unsent(live, now),
             Phase::Sent if direct_under_way => Self::Inconclusive,
             Phase::Sent if live.stop.is_none() => Self::NotStarted,
-            Phase::Sent if live.doubt || may_be_under_way(live, now) => Self::Inconclusive,
-            Phase::Sent | Phase::Seen | Phase::Running if live.doubt => Self::MayStartAgain,
+            Phase::Sent if live.unconfirmed || may_be_under_way(live, now) => Self::Inconclusive,
+            Phase::Sent | Phase::Seen | Phase::Running if live.unconfirmed => Self::MayStartAgain,
             Phase::Sent | Phase::Seen | Phase::Running => Self::Gone,
         }
     }
 
     fn of_unsent(live: &Live, now: Secs) -> Self {
-        let to_stop = live.stop.is_some() && !live.doubt;
+        let to_stop = live.stop.is_some() && !live.unconfirmed;
         if to_stop && live.never_sent(now) { Self::Gone } else { Self::Inconclusive }
     }
 }
 
-/// Whether an answer to a report that carries the start may still arrive.
+/// Whether an answer to a heartbeat that carries the start may still arrive.
 fn may_be_under_way(live: &Live, now: Secs) -> bool {
     live.sent.is_some_and(|at| now < at + WORKER_DROPS_S + WORKER_MARGIN_S)
 }
 
 impl Leader {
-    /// Takes what a report says of the tasks that are booked on its machine and not listed.
+    /// Takes what a heartbeat says of the tasks that are booked on its machine and not listed.
     pub(super) fn apply_absence(&mut self, now: Secs, id: &MachineId, listed: &BTreeSet<TaskId>) {
         // A list from before the worker saw our token says nothing of what an earlier
         // leader's commands did to it since.
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's state and what moves it. Its parts: `recover` (taking over), `reports`,
+//! The leader's state and what moves it. Its parts: `recover` (taking over), `heartbeats`,
 //! `orders` and `direct_results` (workers), `attempts` and `revocation` (what may run), `place`,
 //! `gangs` and `preempt` (who runs where), `writer` (records), `cloud_requests`, `provision`
 //! and `deprovision` (machines).
@@ -25,7 +25,7 @@
 use marblebarrow_proto::ids::{JobId, MachineId, Term};
 use marblebarrow_proto::job::Kind;
 use marblebarrow_proto::records::{EndRecord, SpecRecord};
-use marblebarrow_proto::wire::Report;
+use marblebarrow_proto::wire::Heartbeat;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -108,11 +108,11 @@
     /// The format that every controller was heard to run at least; 0 while one was not heard.
     pub common_format: u32,
     pub(crate) fencing: FencingToken,
-    /// Machines with starts in doubt.
-    pub(crate) doubtful_machines: BTreeSet<MachineId>,
+    /// Machines with unconfirmed starts.
+    pub(crate) machines_with_unconfirmed_starts: BTreeSet<MachineId>,
     /// What came of them.
     pub revocations: RevocationCounters,
-    pub(crate) next_doubt_log: Secs,
+    pub(crate) next_unconfirmed_log: Secs,
     /// Lines for the log: what was decided, and why.
     pub log: Log,
 }
@@ -165,16 +165,16 @@
             knowledge: Knowledge::default(),
             common_format: 0,
             fencing: FencingToken::new(term.0, version),
-            doubtful_machines: BTreeSet::new(),
+            machines_with_unconfirmed_starts: BTreeSet::new(),
             revocations: RevocationCounters::default(),
-            next_doubt_log: now + DOUBT_LOG_S,
+            next_unconfirmed_log: now + UNCONFIRMED_LOG_S,
             log,
         };
         leader.start_loading(out);
         leader
     }
 
-    /// Last words written since the last call.
+    /// Final states written since the last call.
     pub fn take_terminal_states(&mut self) -> Vec<(JobId, EndRecord)> {
         std::mem::take(&mut self.terminal_states)
     }
@@ -195,8 +195,8 @@
             self.drain_noticed(now);
             self.check_reach(now);
             self.unplace(now);
-            self.revoke_doubts(now, out);
-            self.log_doubts(now);
+            self.revoke_unconfirmed_starts(now, out);
+            self.log_unconfirmed_starts(now);
         }
         let pause = PLACE_EVERY_S.max(self.machines.len() as f64 * PLACE_PER_MACHINE_S);
         let placing = self.place_due && now >= self.placed_at + pause;
@@ -298,16 +298,16 @@
         }
     }
 
-    /// A worker reports.
-    pub fn report(
+    /// A heartbeat of a worker.
+    pub fn heartbeat(
         &mut self,
         now: Secs,
         to: ReplyTo,
-        report: &Report,
+        heartbeat: &Heartbeat,
         replica: &Replica,
         out: &mut ActionSink,
     ) {
-        let answer = self.answer_report(now, report, replica);
+        let answer = self.answer_heartbeat(now, heartbeat, replica);
         out.reply(to, answer.unwrap_or(Answer::Unavailable(RETRY_STORE_S)));
     }
 
@@ -328,7 +328,7 @@
         if self.dependency_answered(now, op, &result) {
             return true;
         }
-        let mut outcome = self.token_answered(now, op, &result, out);
+        let mut outcome = self.fencing_token_answered(now, op, &result, out);
         if outcome == WriteOutcome::NotOurs {
             outcome = self.cells_written(now, wall_ms, op, &result, replica, out);
         }
@@ -378,7 +378,8 @@
     /// (A leader short of processor time once heard nobody for seconds, and resigned;
     /// so did the next, which had all the work of taking over besides.)
     pub fn workers_unreachable(&self, now: Secs) -> bool {
-        let silence = self.facts.report_s * WORKERS_SILENT_REPORTS + WORKERS_SILENT_MARGIN_S;
+        let silence =
+            self.facts.heartbeat_interval_s * WORKERS_SILENT_HEARTBEATS + WORKERS_SILENT_MARGIN_S;
         // Answers to the direct commands of a new leader count as heard, and then workers may
         // wait for their last leader until they give it up. (One that resigned after 3.5 s
         // left them to their leases.)
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -5,7 +5,7 @@
 use crate::event::{Action, ActionSink, Secs};
 use crate::jobs::{Job, Phase, live_attempt};
 use crate::leader::Leader;
-use crate::start_doubts::AttemptKey;
+use crate::unconfirmed_starts::AttemptKey;
 use marblebarrow_proto::ids::{MachineId, TaskId};
 use marblebarrow_proto::wire::{Command, Why};
 use std::cmp::Ordering;
@@ -13,7 +13,7 @@
 /// A machine that waits for a direct order.
 struct WaitingOrder {
     /// It didn't answer the last one.
-    doubtful: bool,
+    unreached: bool,
     /// Nothing is to be done there: it is only asked whether it hears us.
     only_probe: bool,
     /// Since when, at the longest.
@@ -27,8 +27,8 @@
     /// longest. (In order of names, the last machines of a fleet with few threads were
     /// never asked at all.)
     fn compare(&self, other: &Self) -> Ordering {
-        self.doubtful
-            .cmp(&other.doubtful)
+        self.unreached
+            .cmp(&other.unreached)
             .then(self.only_probe.cmp(&other.only_probe))
             .then(self.since.total_cmp(&other.since))
     }
@@ -69,7 +69,7 @@
                 None => true,
                 Some(j) => *why != Why::Done || j.stored_finished.contains(task.index),
             };
-            if safe && !m.start_doubts.contains(key) {
+            if safe && !m.unconfirmed_starts.contains(key) {
                 commands.push(Command::Forget { task: task.to_string(), attempt: *attempt });
             }
         }
@@ -114,7 +114,7 @@
         });
     }
 
-    /// Sends directly what shouldn't wait for the next report.
+    /// Sends directly what shouldn't wait for the next heartbeat.
     pub(crate) fn push_direct(&mut self, now: Secs, out: &mut ActionSink) {
         if now < self.next_push {
             return;
@@ -130,33 +130,33 @@
             .filter(|(_, m)| {
                 m.direct.is_none()
                     && now >= m.direct_after
-                    && (m.push && m.session != 0 && m.lapsed.is_none() || m.probe_due)
+                    && (m.push && m.agent_epoch != 0 && m.lapsed.is_none() || m.probe_due)
             })
             .map(|(id, m)| WaitingOrder {
-                doubtful: m.unreached > 0,
+                unreached: m.unreached > 0,
                 only_probe: !m.push,
                 since: m.waiting_since(),
                 machine: id.clone(),
             })
             .collect();
         ready.sort_by(WaitingOrder::compare);
-        let mut doubtful = self.directs.values().filter(|d| d.doubtful).count();
-        let most_doubtful = ((most as f64 * DOUBTFUL_SHARE) as usize).max(1);
-        for WaitingOrder { doubtful: doubt, machine: id, .. } in ready {
-            if self.directs.len() >= most || doubt && doubtful >= most_doubtful {
+        let mut unreached = self.directs.values().filter(|d| d.unreached).count();
+        let most_unreached = ((most as f64 * UNREACHED_SHARE) as usize).max(1);
+        for WaitingOrder { unreached: is_unreached, machine: id, .. } in ready {
+            if self.directs.len() >= most || is_unreached && unreached >= most_unreached {
                 break;
             }
-            let Some((session, probe_due)) =
-                self.machines.get(&id).map(|m| (m.session, m.probe_due))
+            let Some((agent_epoch, probe_due)) =
+                self.machines.get(&id).map(|m| (m.agent_epoch, m.probe_due))
             else {
                 continue;
             };
             let (commands, starts) =
-                if session != 0 { self.compose(&id) } else { (Vec::new(), Vec::new()) };
+                if agent_epoch != 0 { self.compose(&id) } else { (Vec::new(), Vec::new()) };
             if probe_due || commands.iter().any(is_urgent) {
-                doubtful += usize::from(doubt);
-                // An unknown session is refused, with the report we want.
-                self.send_direct(now, &id, session.max(1), commands, starts, out);
+                unreached += usize::from(is_unreached);
+                // An unknown epoch is refused, with the heartbeat we want.
+                self.send_direct(now, &id, agent_epoch.max(1), commands, starts, out);
             }
         }
     }
@@ -165,12 +165,12 @@
         &mut self,
         now: Secs,
         id: &MachineId,
-        session: u64,
+        agent_epoch: u64,
         commands: Vec<Command>,
         starts: Vec<AttemptKey>,
         out: &mut ActionSink,
     ) {
-        let Some(token) = self.machines.get(id).map(|m| self.token_for(m)) else {
+        let Some(token) = self.machines.get(id).map(|m| self.fencing_token_for(m)) else {
             return;
         };
         let Some(m) = self.machines.get_mut(id) else {
@@ -178,28 +178,37 @@
         };
         let op = out.op();
         m.direct = Some(op);
-        let known = (m.session, m.seq);
-        let doubtful = m.unreached > 0;
+        let known = (m.agent_epoch, m.seq);
+        let unreached = m.unreached > 0;
         out.actions.push(Action::Direct {
             op,
             addr: m.info.addr.clone(),
-            token,
-            session,
+            fencing_token: token,
+            agent_epoch,
             commands,
         });
         let machine = id.clone();
-        let sent = DirectSent { machine, session, token, at: now, known, starts, doubtful };
+        let sent = DirectSent {
+            machine,
+            agent_epoch,
+            fencing_token: token,
+            at: now,
+            known,
+            starts,
+            unreached,
+        };
         self.directs.insert(op, sent);
     }
 
     /// Machines that are heard but haven't shown for long that they hear us are
-    /// asked directly, and so are those that missed a report.
+    /// asked directly, and so are those that missed a heartbeat.
     pub(crate) fn check_reach(&mut self, now: Secs) {
-        let ask = (self.facts.report_s * REACH_REPORTS + WORKER_GIVES_UP_S) * PROBE_SHARE;
-        let quiet = self.facts.report_s * QUIET_REPORTS + QUIET_MARGIN_S;
+        let ask =
+            (self.facts.heartbeat_interval_s * REACH_HEARTBEATS + WORKER_GIVES_UP_S) * PROBE_SHARE;
+        let quiet = self.facts.heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
         for m in self.machines.values_mut() {
             let Some(since) = m.heard.map(|h| now - h) else { continue };
-            let heard = since < self.facts.report_s * SILENT_REPORTS;
+            let heard = since < self.facts.heartbeat_interval_s * SILENT_HEARTBEATS;
             let unsure = heard && m.reached.is_none_or(|at| now - at > ask);
             let missed = since > quiet && m.unreached < QUIET_PROBES && m.lapsed.is_none();
             if unsure || missed && !m.releasing {
@@ -219,7 +228,7 @@
             .collect();
         for id in lapsed {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.lapsed = Some(m.session);
+                m.lapsed = Some(m.agent_epoch);
                 m.probe_due = false;
                 m.confirmed = true;
             }
@@ -230,7 +239,7 @@
 }
 
 /// Whether a command is worth a direct order. A worker's list of exited tasks may wait for
-/// the answer to its next report. (A machine whose next start wasn't recorded yet once got
+/// the answer to its next heartbeat. (A machine whose next start wasn't recorded yet once got
 /// an order that cleared its list and nothing else: a third of all direct orders, and the
 /// start waited until that one was answered.)
 fn is_urgent(command: &Command) -> bool {
--- a/crates/core/src/writer/batch.rs
+++ b/crates/core/src/writer/batch.rs
@@ -38,7 +38,7 @@
         self.bytes += bytes;
         self.largest_value = self.largest_value.max(bytes);
         self.txn.conds.push(Cond { key: key.clone(), version });
-        self.txn.writes.push(Write::Put { key, value, grant: None });
+        self.txn.writes.push(Write::Put { key, value, lease: None });
     }
     fn drop_key(&mut self, key: String, version: u64) {
         self.txn.conds.push(Cond { key: key.clone(), version });
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -28,7 +28,7 @@
         deadlines: Vec::new(),
         finishes: Vec::new(),
         starts: Vec::new(),
-        report_s: 1.0,
+        heartbeat_interval_s: 1.0,
         lease_s,
         cancel_s,
         core_share: 1.0,
@@ -58,7 +58,7 @@
 }
 
 fn lead_record() -> ciborium::Value {
-    to_value(&LeaderRecord { node: NodeId::new("c0"), term: 1, grant: 7, boot: 0 })
+    to_value(&LeaderRecord { node: NodeId::new("c0"), term: 1, lease: 7, boot: 0 })
 }
 
 /// The store's answers to a controller that it serves: it wins the first election.
@@ -67,10 +67,10 @@
     for action in node.take_actions() {
         let Action::Store(op, req) = action else { continue };
         let result = match req {
-            StoreRequest::Grant(_) => StoreResult::Granted(7),
+            StoreRequest::GrantLease(_) => StoreResult::LeaseGranted(7),
             StoreRequest::Get(_) => StoreResult::Value(None),
             StoreRequest::Commit(_) => StoreResult::Committed(5),
-            StoreRequest::Touch(_) => StoreResult::Touched,
+            StoreRequest::KeepAlive(_) => StoreResult::LeaseRenewed,
             StoreRequest::Range { .. } if load => {
                 StoreResult::Page(ItemPage { items: Vec::new(), more: false, revision: 5 })
             }
@@ -169,7 +169,7 @@
         for peer in [1, 2] {
             pledged(&mut node, now, peer, 11.0, good());
         }
-        // Its grant was touched shortly before 10 s.
+        // Its lease was renewed shortly before 10 s.
         assert!(until(&node) <= 10.0 + 3.0, "at {now}: {}", until(&node));
     }
     pledged(&mut node, now, 1, now, good());
@@ -212,7 +212,7 @@
         refuse(&mut peer, at);
         peer.tick(at, 0);
     }
-    // Long after its grant: what it may do hangs on the pledges alone.
+    // Long after its lease: what it may do hangs on the pledges alone.
     now = 15.0;
     node.tick(now, 0);
     refuse(&mut node, now);
@@ -241,17 +241,17 @@
     }
     assert_eq!(answers, 3);
     assert!(node.may_act(now));
-    let task = |n: u32| ReportTask {
+    let task = |n: u32| HeartbeatTask {
         task: format!("req-{n:06}/0"),
         attempt: Attempt(1),
         state: TaskState::Running,
         why: None,
     };
-    let report = report(1, 1, vec![task(0), task(many - 1), task(many)]);
+    let heartbeat = heartbeat(1, 1, vec![task(0), task(many - 1), task(many)]);
     node.take_actions();
-    node.handle(now, 0, Event::Report(ReplyTo(9), Box::new(report)));
+    node.handle(now, 0, Event::Heartbeat(ReplyTo(9), Box::new(heartbeat)));
     let told = node.take_actions().into_iter().find_map(|a| match a {
-        Action::Reply(_, Answer::Report(answer)) => Some(answer.commands),
+        Action::Reply(_, Answer::Heartbeat(answer)) => Some(answer.commands),
         _ => None,
     });
     let commands = told.expect("renews the lease");
@@ -262,16 +262,16 @@
     assert!(stopped(0) && stopped(many - 1) && !stopped(many), "{commands:?}");
 }
 
-fn report(machine: u32, seq: u64, tasks: Vec<ReportTask>) -> Report {
-    Report {
+fn heartbeat(machine: u32, seq: u64, tasks: Vec<HeartbeatTask>) -> Heartbeat {
+    Heartbeat {
         machine: MachineId::new(&format!("n-{machine:04}")),
         addr: "a".into(),
         kind: "k".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        agent_epoch: 1,
         seq,
-        token: 1,
+        fencing_token: 1,
         notice_s: None,
         tasks,
     }
@@ -286,8 +286,8 @@
     let mut node = elected(10.0, true);
     let mut now = 10.0;
     for machine in 1..=5 {
-        let report = Box::new(report(machine, 1, Vec::new()));
-        node.handle(now, 0, Event::Report(ReplyTo(u64::from(machine)), report));
+        let heartbeat = Box::new(heartbeat(machine, 1, Vec::new()));
+        node.handle(now, 0, Event::Heartbeat(ReplyTo(u64::from(machine)), heartbeat));
     }
     let step = |node: &mut Node, now: Secs| {
         node.tick(now, 0);
--- a/crates/core/tests/cluster/main.rs
+++ b/crates/core/tests/cluster/main.rs
@@ -86,7 +86,7 @@
         (1u32..250).prop_map(Trouble::StoreDown),
         (1usize..8).prop_map(Trouble::CancelNow),
         (1u32..200).prop_map(Trouble::AnswersLost),
-        (1u32..200).prop_map(Trouble::KeptReports),
+        (1u32..200).prop_map(Trouble::KeptHeartbeats),
         (1u32..100).prop_map(Trouble::CloseLooks),
         (1u32..300).prop_map(Trouble::CancelAtEnd),
         (0usize..8, 1u32..300).prop_map(|(m, s)| Trouble::MachineMute(m, s)),
@@ -206,7 +206,7 @@
     meet(&[crash(160), crash(230), crash(300), crash(370), crash(440), crash(510)], changes, 60);
 }
 
-/// Old reports arrive after newer ones, also from earlier sessions and attempts.
+/// Old heartbeats arrive after newer ones, also from earlier epochs and attempts.
 #[test]
 fn old_reports_arrive_after_newer_ones() {
     meet(
@@ -346,8 +346,8 @@
     }
 }
 
-/// A worker whose lease ran out while it heard nothing begins a new session,
-/// known from an answer to a direct order only: the session's lease counts from
+/// A worker whose lease ran out while it heard nothing begins a new epoch,
+/// known from an answer to a direct order only: the epoch's lease counts from
 /// then. It once counted from the last answer before, and tasks ran twice.
 #[test]
 fn a_new_session_has_its_lease_whole() {
@@ -377,7 +377,7 @@
     assert_eq!(world.broken, Vec::<String>::new());
 }
 
-/// Each controller in turn stands still, for less and for more than a grant, a
+/// Each controller in turn stands still, for less and for more than a lease, a
 /// pledge and a lease, while others crash or the store is down; then it goes on
 /// with what waited for it.
 #[test]
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -35,7 +35,7 @@
 
 /// A direct command whose answer the test decides on.
 struct SentDirect {
-    token: u64,
+    fencing_token: u64,
     commands: Vec<Command>,
 }
 
@@ -52,11 +52,11 @@
     held: Option<SentDirect>,
     given_up: Vec<(f64, OpId)>,
     next_reply: u64,
-    next_report: f64,
-    worker: Report,
+    next_heartbeat: f64,
+    worker: Heartbeat,
     /// When the last answered report was sent, and the token of the answer.
     renewed: (f64, u64),
-    /// When a report was last refused.
+    /// When a heartbeat was last refused.
     refused: Option<f64>,
     closed: bool,
 }
@@ -69,7 +69,7 @@
         deadlines: Vec::new(),
         finishes: Vec::new(),
         starts: Vec::new(),
-        report_s: REPORT_S,
+        heartbeat_interval_s: REPORT_S,
         lease_s: LEASE_S,
         cancel_s: CANCEL_S,
         core_share: 1.0,
@@ -138,15 +138,15 @@
 impl Scene {
     /// A leader in office, a machine that reports to it, and a start that is on its way.
     fn with_a_start_under_way() -> Self {
-        let worker = Report {
+        let worker = Heartbeat {
             machine: MachineId::new("n-000001"),
             addr: "n-000001".into(),
             kind: "k".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
+            agent_epoch: 1,
             seq: 0,
-            token: 0,
+            fencing_token: 0,
             notice_s: None,
             tasks: Vec::new(),
         };
@@ -160,7 +160,7 @@
             held: None,
             given_up: Vec::new(),
             next_reply: 0,
-            next_report: 3.0,
+            next_heartbeat: 3.0,
             worker,
             renewed: (0.0, 0),
             refused: None,
@@ -217,19 +217,19 @@
         for (_, op) in due {
             self.node.handle(now, 0, Event::Direct(op, DirectResult::Unknown));
         }
-        if self.now >= self.next_report {
-            self.report();
+        if self.now >= self.next_heartbeat {
+            self.heartbeat();
         }
         self.node.tick(self.now, 0);
         self.act();
     }
 
-    fn report(&mut self) {
-        self.next_report = self.now + REPORT_S;
+    fn heartbeat(&mut self) {
+        self.next_heartbeat = self.now + REPORT_S;
         self.next_reply += 1;
         self.worker.seq += 1;
-        let report = Box::new(self.worker.clone());
-        self.node.handle(self.now, 0, Event::Report(ReplyTo(self.next_reply), report));
+        let heartbeat = Box::new(self.worker.clone());
+        self.node.handle(self.now, 0, Event::Heartbeat(ReplyTo(self.next_reply), heartbeat));
     }
 
     fn act(&mut self) {
@@ -243,43 +243,45 @@
                     let types = CloudResult::Types(vec![machine_type()]);
                     self.node.handle(self.now, 0, Event::Cloud(op, types));
                 }
-                Action::Direct { op, token, commands, .. } => self.direct(op, token, commands),
-                Action::Reply(_, Answer::Report(answer)) => self.answered(answer),
+                Action::Direct { op, fencing_token, commands, .. } => {
+                    self.direct(op, fencing_token, commands)
+                }
+                Action::Reply(_, Answer::Heartbeat(answer)) => self.answered(answer),
                 Action::Reply(_, Answer::Unavailable(_)) => self.refused = Some(self.now),
                 _ => {}
             }
         }
     }
 
-    fn answered(&mut self, answer: ReportAnswer) {
-        if answer.token >= self.worker.token {
-            self.worker.token = answer.token;
-            self.renewed = (self.now, answer.token);
+    fn answered(&mut self, answer: HeartbeatAnswer) {
+        if answer.fencing_token >= self.worker.fencing_token {
+            self.worker.fencing_token = answer.fencing_token;
+            self.renewed = (self.now, answer.fencing_token);
             self.execute(&answer.commands);
         }
     }
 
     fn direct(&mut self, op: OpId, token: u64, commands: Vec<Command>) {
         if self.held.is_none() && commands.iter().any(is_start) {
-            self.held = Some(SentDirect { token, commands });
+            self.held = Some(SentDirect { fencing_token: token, commands });
             self.given_up.push((self.now + GIVEN_UP_S, op));
             return;
         }
-        let good = token >= self.worker.token;
+        let good = token >= self.worker.fencing_token;
         if good {
-            self.worker.token = token;
+            self.worker.fencing_token = token;
             self.execute(&commands);
         }
         self.worker.seq += 1;
-        let report = Box::new(self.worker.clone());
-        self.node.handle(self.now, 0, Event::Direct(op, DirectResult::Report(good, report)));
+        let heartbeat = Box::new(self.worker.clone());
+        self.node.handle(self.now, 0, Event::Direct(op, DirectResult::Heartbeat(good, heartbeat)));
     }
 
     fn execute(&mut self, commands: &[Command]) {
         for command in commands {
             if let Command::Start { task, attempt } = command {
                 let (task, attempt) = (task.clone(), *attempt);
-                let running = ReportTask { task, attempt, state: TaskState::Running, why: None };
+                let running = HeartbeatTask { task, attempt, state: TaskState::Running, why: None };
                 self.worker.tasks.push(running);
             }
         }
@@ -287,8 +289,8 @@
 
     fn store(&mut self, request: &StoreRequest) -> StoreResult {
         match request {
-            StoreRequest::Grant(_) => StoreResult::Granted(7),
-            StoreRequest::Touch(_) | StoreRequest::Revoke(_) => StoreResult::Touched,
+            StoreRequest::GrantLease(_) => StoreResult::LeaseGranted(7),
+            StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_) => StoreResult::LeaseRenewed,
             StoreRequest::Get(key) if key == TERM => self.read_counter(),
             StoreRequest::Get(_) => StoreResult::Value(None),
             StoreRequest::Range { .. } => {
@@ -318,7 +320,7 @@
         if puts.contains_key(LEADER) {
             self.revision = ELECTED;
             self.counter = (1, ELECTED);
-            let record = LeaderRecord { node: NodeId::new("c0"), term: 1, grant: 7, boot: 0 };
+            let record = LeaderRecord { node: NodeId::new("c0"), term: 1, lease: 7, boot: 0 };
             let value = to_value(&record);
             let event = WatchEvent::Put { key: LEADER.into(), value, version: ELECTED };
             self.news(WatchContent::Events(vec![event]));
@@ -359,19 +361,19 @@
     fn held_start_counts(&self) -> bool {
         let held = self.held.as_ref().expect("a start is held");
         assert!(held.commands.iter().any(is_start));
-        held.token >= self.worker.token && self.now - self.renewed.0 <= LEASE_S
+        held.fencing_token >= self.worker.fencing_token && self.now - self.renewed.0 <= LEASE_S
     }
 }
 
 /// The token is raised, the worker takes it in with the answer that renews its lease, and the
 /// start can't be carried out any more, long before the tasks must be gone; the job is closed.
 #[test]
-fn a_cancelled_start_in_doubt_is_taken_back_by_a_higher_token() {
+fn a_cancelled_unconfirmed_start_is_taken_back_by_a_higher_token() {
     let mut scene = Scene::with_a_start_under_way();
     let cancelled = scene.cancel();
     assert!(scene.held_start_counts());
-    scene.run(CANCEL_S, |s| s.worker.token == 2);
-    assert_eq!((scene.raised.as_slice(), scene.worker.token), ([2].as_slice(), 2));
+    scene.run(CANCEL_S, |s| s.worker.fencing_token == 2);
+    assert_eq!((scene.raised.as_slice(), scene.worker.fencing_token), ([2].as_slice(), 2));
     assert!(!scene.held_start_counts());
     let most = GIVEN_UP_S + RAISE_CANCELLED_EVERY_S + SWEEP_EVERY_S + REPORT_S + 3.0 * STEP_S;
     assert!(scene.now - cancelled <= most, "took {} s", scene.now - cancelled);
@@ -410,8 +412,8 @@
     let mut scene = Scene::with_a_start_under_way();
     scene.cancel();
     scene.raises = Raises::AnswerLost;
-    scene.run(CANCEL_S, |s| s.worker.token > 1);
-    assert_eq!((scene.raised.as_slice(), scene.worker.token), ([2, 3].as_slice(), 3));
+    scene.run(CANCEL_S, |s| s.worker.fencing_token > 1);
+    assert_eq!((scene.raised.as_slice(), scene.worker.fencing_token), ([2, 3].as_slice(), 3));
 }
 
 /// A raise that fails as the leader key has changed ends the leadership.
@@ -422,15 +424,15 @@
     scene.raises = Raises::Deposed;
     scene.run(6.0, |s| s.node.leader().is_none());
     assert!(scene.node.leader().is_none());
-    assert_eq!(scene.worker.token, 1);
+    assert_eq!(scene.worker.fencing_token, 1);
 }
 
 /// A start that is still wanted is sent again under the same token: nothing is raised for it.
 #[test]
-fn a_start_in_doubt_that_is_wanted_raises_nothing() {
+fn an_unconfirmed_start_that_is_wanted_raises_nothing() {
     let mut scene = Scene::with_a_start_under_way();
     scene.run(10.0, |_| false);
     assert_eq!(scene.worker.tasks.len(), 1, "it was sent again");
     assert!(scene.raised.is_empty());
-    assert_eq!((scene.worker.token, scene.refused), (1, None));
+    assert_eq!((scene.worker.fencing_token, scene.refused), (1, None));
 }
--- a/crates/proto/src/records.rs
+++ b/crates/proto/src/records.rs
@@ -78,7 +78,8 @@
     /// Its term.
     pub term: u64,
     /// Its lease in the state service.
-    pub grant: u64,
+    #[serde(rename = "grant")]
+    pub lease: u64,
     /// Distinguishes this process from an earlier one of the same name.
     pub boot: u64,
 }
@@ -112,7 +113,7 @@
 }
 
 /// Jobs cancelled by a cascade: a job that each of them needs was cancelled. Durable the
-/// moment it is written, long before each job has its own last word. An older version
+/// moment it is written, long before each job has its own final state. An older version
 /// ignores these keys; the leader writes them only where every controller knows them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CascadeRecord {
--- a/crates/proto/src/wire/workers.rs
+++ b/crates/proto/src/wire/workers.rs
@@ -7,8 +7,8 @@
 //! | `build` | machine type (`kind`) |
 //! | `quarter` | zone |
 //! | `loaners` | spot |
-//! | `shift` | session: the agent's epoch, which rises as its lease runs out |
-//! | `tally` | sequence number within the session (`seq`) |
+//! | `shift` | the agent's epoch, which rises as its lease runs out |
+//! | `tally` | sequence number within the agent epoch (`seq`) |
 //! | `baton` | fencing token, which is the leader's term |
 //! | `warning_s` | notice before a spot machine is taken |
 //! | `pieces`, `piece` | tasks, task |
@@ -83,7 +83,7 @@
 
 /// One task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportTask {
+pub struct HeartbeatTask {
     /// `job/index`.
     #[serde(rename = "piece")]
     pub task: String,
@@ -100,7 +100,7 @@
 
 /// A worker's heartbeat, with the whole state of its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "barrow")]
     pub machine: MachineId,
@@ -117,19 +117,19 @@
     pub spot: bool,
     /// Epoch of the worker: rises each time its lease runs out, as all its tasks are gone then.
     #[serde(rename = "shift")]
-    pub session: u64,
-    /// Order of messages within the session.
+    pub agent_epoch: u64,
+    /// Order of messages within the agent epoch.
     #[serde(rename = "tally")]
     pub seq: u64,
     /// Highest fencing token seen.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Seconds until a spot machine is taken.
     #[serde(rename = "warning_s", default, deserialize_with = "opt_f64_lax")]
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "pieces")]
-    pub tasks: Vec<ReportTask>,
+    pub tasks: Vec<HeartbeatTask>,
 }
 
 /// A command to a worker.
@@ -173,10 +173,10 @@
 
 /// Answer to a heartbeat. It renews the worker's lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatAnswer {
     /// Fencing token: the leader's term.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Commands, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -187,10 +187,10 @@
 pub struct DirectCommands {
     /// Fencing token: the leader's term.
     #[serde(rename = "baton")]
-    pub token: u64,
-    /// The session meant: in any other one nothing is executed.
+    pub fencing_token: u64,
+    /// The agent epoch meant: in any other one nothing is executed.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Commands, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/crates/rehearsal/src/world/messages.rs
+++ b/crates/rehearsal/src/world/messages.rs
@@ -29,14 +29,14 @@
         event: Event,
     },
     Direct(DirectOnWay),
-    Report {
+    Heartbeat {
         node: usize,
-        report: Report,
+        heartbeat: Heartbeat,
         sent: f64,
     },
-    ReportAnswer {
+    HeartbeatAnswer {
         machine: MachineId,
-        session: u64,
+        agent_epoch: u64,
         sent: f64,
         answer: Answer,
     },
@@ -51,9 +51,9 @@
 
 /// Who waits for an answer of a controller.
 pub(super) enum Asked {
-    Report {
+    Heartbeat {
         machine: MachineId,
-        session: u64,
+        agent_epoch: u64,
         sent: f64,
     },
     User {
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -74,8 +74,8 @@
     kv: BTreeMap<String, (ciborium::Value, u64, Option<u64>)>,
     history: Vec<(u64, String, Option<ciborium::Value>)>,
     revision: u64,
-    grants: BTreeMap<u64, (f64, f64)>,
-    next_grant: u64,
+    leases: BTreeMap<u64, (f64, f64)>,
+    next_lease: u64,
     store_down_until: u32,
     store_slow_until: u32,
     cloud_down_until: u32,
@@ -89,7 +89,7 @@
     /// How direct commands are held up, and until when.
     held: Option<(Held, u32)>,
     /// Reports kept for the next leader.
-    kept: Vec<(Report, f64)>,
+    kept: Vec<(Heartbeat, f64)>,
     /// Jobs to be looked at closely, and since when.
     looks: Vec<(JobId, u32)>,
     /// Jobs that their users will want to call off, and when.
@@ -102,7 +102,7 @@
     last_term: u64,
     /// How long boots take, in tenths of the usual, and until when.
     boots: (u32, u32),
-    /// Until when reports are copied, and how late the copies may come.
+    /// Until when heartbeats are copied, and how late the copies may come.
     copies: (u32, u32),
     /// When the last trouble ends.
     calm_from: u32,
@@ -190,7 +190,7 @@
     pub rented: u32,
     /// No services at all.
     pub no_services: bool,
-    /// Sessions that ended as their lease ran out.
+    /// Agent epochs that ended as their lease ran out.
     pub lapses: u32,
     /// The job of this number is idle work, of so many tasks that run a minute each.
     pub idle: Option<(u32, u32)>,
--- a/src/event_loop.rs
+++ b/src/event_loop.rs
@@ -77,7 +77,7 @@
     /// The right to act as leader, as of now.
     fn leadership(&self) -> Option<Leadership> {
         let (term, until) = self.core.authority()?;
-        let highest_fencing_token = self.core.highest_token().max(term);
+        let highest_fencing_token = self.core.highest_fencing_token().max(term);
         Some(Leadership { term, highest_fencing_token, valid_until: self.clock.at(until) })
     }
 
@@ -102,7 +102,7 @@
         let reply_to = self.pending.insert(PendingReply::Question(responder));
         match question {
             Question::User(request) => Event::User(reply_to, request),
-            Question::Heartbeat(heartbeat) => Event::Report(reply_to, heartbeat),
+            Question::Heartbeat(heartbeat) => Event::Heartbeat(reply_to, heartbeat),
             Question::Members => Event::Members(reply_to),
         }
     }
@@ -127,13 +127,13 @@
         match action {
             Action::Store(op, request) => links.store.send(op, request),
             Action::Cloud(op, request) => links.cloud.send(op, request),
-            Action::Direct { op, addr, token, session, commands } => {
-                links.workers.send(op, &addr, DirectCommands { token, session, commands })
-            }
+            Action::Direct { op, addr, fencing_token, agent_epoch, commands } => links
+                .workers
+                .send(op, &addr, DirectCommands { fencing_token, agent_epoch, commands }),
             Action::CellCall { op, cell, request } => {
                 links.cells.as_ref().and_then(|cells| cells.send(op, &cell, *request))
             }
-            Action::Heartbeat { store_ok, leading } => {
+            Action::PeerHeartbeat { store_ok, leading } => {
                 links.peers.send_heartbeat(store_ok, leading);
                 None
             }
--- a/src/links/worker.rs
+++ b/src/links/worker.rs
@@ -9,10 +9,10 @@
 use crate::pool::Pool;
 use marblebarrow_core::event::{DirectResult, Event, OpId};
 use marblebarrow_proto::cbor;
-use marblebarrow_proto::wire::{DirectCommands, Report};
+use marblebarrow_proto::wire::{DirectCommands, Heartbeat};
 use std::net::SocketAddr;
 
-/// Commands for a worker, with fencing token and agent epoch (the wire's session), and where
+/// Commands for a worker, with fencing token and agent epoch, and where
 /// it listens.
 struct WorkerCall {
     op: OpId,
@@ -51,7 +51,7 @@
     }
     // Checked last of all: connecting takes its time, and so may a process
     // that stands still.
-    if !authority.permits(worker_call.commands.token) {
+    if !authority.permits(worker_call.commands.fencing_token) {
         return DirectResult::NotSent;
     }
     let body = cbor::encode(&worker_call.commands);
@@ -64,8 +64,8 @@
 
 fn read_response(status: u16, body: &[u8]) -> DirectResult {
     match status {
-        200 | 409 => cbor::decode::<Report>(body).map_or(DirectResult::Unknown, |heartbeat| {
-            DirectResult::Report(status == 200, Box::new(heartbeat))
+        200 | 409 => cbor::decode::<Heartbeat>(body).map_or(DirectResult::Unknown, |heartbeat| {
+            DirectResult::Heartbeat(status == 200, Box::new(heartbeat))
         }),
         400 => DirectResult::NotSent,
         _ => DirectResult::Unknown,
--- a/src/server/handler.rs
+++ b/src/server/handler.rs
@@ -101,8 +101,8 @@
             return Response::retry_later(503, RETRY_STORE_S, "can't decide now");
         }
         // Nor may a worker be held by a leader whose time ran out.
-        if let Answer::Report(heartbeat) = &answer
-            && !self.authority.permits(heartbeat.token)
+        if let Answer::Heartbeat(heartbeat) = &answer
+            && !self.authority.permits(heartbeat.fencing_token)
         {
             return Response::misdirected(None);
         }
--- a/src/tests/event_queue.rs
+++ b/src/tests/event_queue.rs
@@ -3,11 +3,11 @@
 use marblebarrow_proto::ids::JobId;
 
 fn answered(op: u64) -> Event {
-    Event::Store(OpId(op), StoreResult::Touched)
+    Event::Store(OpId(op), StoreResult::LeaseRenewed)
 }
 
-/// The word that a grant lives on doesn't wait behind what came before it, and
-/// submissions wait for reports and polls.
+/// The word that a lease lives on doesn't wait behind what came before it, and
+/// submissions wait for heartbeats and polls.
 #[test]
 fn what_is_urgent_goes_before_all_that_waits() {
     let (events, receiver) = channel();
--- a/tests/stand_in/worker.rs
+++ b/tests/stand_in/worker.rs
@@ -20,9 +20,9 @@
 struct Worker {
     id: MachineId,
     addr: String,
-    session: u64,
+    agent_epoch: u64,
     seq: u64,
-    token: u64,
+    fencing_token: u64,
     leased: Instant,
     lease: Duration,
     tasks: BTreeMap<TaskId, Running>,
@@ -61,10 +61,10 @@
     }
 
     /// The highest token that the worker has seen.
-    pub fn token_of_worker(&self) -> u64 {
+    pub fn fencing_token_of_worker(&self) -> u64 {
         let answer = ask(&self.addr, "GET", "/show", &[], Duration::from_secs(5));
-        let report = answer.and_then(|(_, body)| cbor::decode::<Report>(&body).ok());
-        report.map_or(0, |report| report.token)
+        let heartbeat = answer.and_then(|(_, body)| cbor::decode::<Heartbeat>(&body).ok());
+        heartbeat.map_or(0, |heartbeat| heartbeat.fencing_token)
     }
 }
 
@@ -191,7 +191,7 @@
             for task in std::mem::take(&mut self.tasks).into_keys() {
                 self.live(&task, false);
             }
-            self.session += 1;
+            self.agent_epoch += 1;
             self.leased = now;
         }
         let ended: Vec<TaskId> = self
@@ -210,24 +210,24 @@
         }
     }
 
-    fn report(&mut self) -> Report {
+    fn heartbeat(&mut self) -> Heartbeat {
         self.settle();
         self.seq += 1;
-        let task = |(t, r): (&TaskId, &Running)| ReportTask {
+        let task = |(t, r): (&TaskId, &Running)| HeartbeatTask {
             task: t.to_string(),
             attempt: r.attempt,
             state: if r.why.is_some() { TaskState::Exited } else { TaskState::Running },
             why: r.why,
         };
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             addr: self.addr.clone(),
             kind: "k".into(),
             zone: "a".into(),
             spot: false,
-            session: self.session,
+            agent_epoch: self.agent_epoch,
             seq: self.seq,
-            token: self.token,
+            fencing_token: self.fencing_token,
             notice_s: None,
             tasks: self.tasks.iter().map(task).collect(),
         }
@@ -280,9 +280,9 @@
     let state = Arc::new(Mutex::new(Worker {
         id: id.clone(),
         addr: String::new(),
-        session: 1,
+        agent_epoch: 1,
         seq: 0,
-        token: 0,
+        fencing_token: 0,
         leased: Instant::now(),
         lease: Duration::from_secs_f64(plan.times.lease_s),
         tasks: BTreeMap::new(),
@@ -296,35 +296,35 @@
         }
         w.settle();
         if path == "/show" {
-            let report = w.report();
-            return Reply::Answer(200, cbor::encode(&report));
+            let heartbeat = w.heartbeat();
+            return Reply::Answer(200, cbor::encode(&heartbeat));
         }
         let cmd: DirectCommands = cbor::decode(body).expect("commands");
         if w.fleet.keep(&w.addr, &cmd) {
             return Reply::Close;
         }
-        let good = cmd.token >= w.token && cmd.session == w.session;
+        let good = cmd.fencing_token >= w.fencing_token && cmd.agent_epoch == w.agent_epoch;
         if good {
-            w.token = cmd.token;
+            w.fencing_token = cmd.fencing_token;
             w.execute(&cmd.commands);
         }
-        let report = w.report();
-        Reply::Answer(if good { 200 } else { 409 }, cbor::encode(&report))
+        let heartbeat = w.heartbeat();
+        Reply::Answer(if good { 200 } else { 409 }, cbor::encode(&heartbeat))
     });
     state.lock().expect("worker").addr = addr;
     let mut at = 0;
     let mut connection = Connection::default();
     while !fleet.has_ended(&id) {
         let sent = Instant::now();
-        let report = state.lock().expect("worker").report();
-        let (body, wait) = (cbor::encode(&report), Duration::from_secs(4));
+        let heartbeat = state.lock().expect("worker").heartbeat();
+        let (body, wait) = (cbor::encode(&heartbeat), Duration::from_secs(4));
         let answer = connection.ask(&nodes[at], "POST", "/hello", &body, wait);
         let mut w = state.lock().expect("worker");
         match answer {
-            Some((200, body)) if report.session == w.session => {
-                let a: ReportAnswer = cbor::decode(&body).expect("answer");
-                if a.token >= w.token {
-                    w.token = a.token;
+            Some((200, body)) if heartbeat.agent_epoch == w.agent_epoch => {
+                let a: HeartbeatAnswer = cbor::decode(&body).expect("answer");
+                if a.fencing_token >= w.fencing_token {
+                    w.fencing_token = a.fencing_token;
                     w.leased = sent;
                     w.execute(&a.commands);
                 }
