--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -140,7 +140,7 @@
 pub const VALUE_BYTES_LEAST: usize = 1024;
 /// Share of the store's change rate that records may take which only list images: a
 /// new leader that lacks them fetches an image again. (At 15 changes a second and six
-/// machines a block, a fleet of hundreds took the whole rate for them.)
+/// machines a block, a fleet of hundreds would take the whole rate for them.)
 pub const IMAGES_WRITE_SHARE: f64 = 0.2;
 /// Share of the store's request rate for the checks behind polls, over all
 /// controllers.
--- a/crates/core/src/record_shape.rs
+++ b/crates/core/src/record_shape.rs
@@ -112,9 +112,9 @@
 
 /// Bytes of `{"machines":[]}`.
 const BLOCK_FRAME_BYTES: usize = 15;
-/// Bytes of a machine's entry in a block besides its texts: field names, punctuation, the
-/// number and the flag.
-const ENTRY_FRAME_BYTES: usize = 90;
+/// Bytes of a machine's entry in a block besides its texts, at most: field names, brackets,
+/// commas, a flag of five letters and a number of ten digits.
+const ENTRY_FRAME_BYTES: usize = 74;
 
 /// Leaves out the images held longest ago until the record takes no more than its share
 /// of a value; returns the bytes that it takes at most, with the comma after it.
--- a/crates/core/src/tests/jobs.rs
+++ b/crates/core/src/tests/jobs.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::inheritance::DeadlineAhead;
 use marblebarrow_proto::ids::JobId;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -15,24 +15,23 @@
 //! every job it names is proven accepted; see [`crate::dependency_check`].
 
 use crate::consts::*;
-use crate::dependency_check::{
-    DependencyCheck, DependencyStep, FinalState, KnownDependency, absence_transaction,
-};
+use crate::dependency_check::{DependencyCheck, FinalState};
 use crate::event::{
     ActionSink, Answer, NOBODY, OpId, ReplyTo, Secs, StoreRequest, StoreResult, TaskCounts,
     UserRequest,
 };
 use crate::facts::Facts;
 use crate::replica::Replica;
-use marblebarrow_proto::cbor::{from_value, to_value};
+use marblebarrow_proto::cbor::from_value;
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::job::{JobSpec, Kind};
-use marblebarrow_proto::records::{EndRecord, SpecRecord, cancel_key, end_key, spec_key};
-use marblebarrow_proto::transfer::cancel_wanted_key;
-use marblebarrow_proto::wire::{Cond, JobStatus, MachineType, Stage, Txn, Write};
+use marblebarrow_proto::records::{EndRecord, SpecRecord, end_key};
+use marblebarrow_proto::wire::{JobStatus, MachineType, Stage};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
+mod cancellations;
 mod polls;
+mod submissions;
 
 use polls::{CheckedPoll, Poll};
 
@@ -150,219 +149,6 @@
         }
     }
 
-    fn submit(
-        &mut self,
-        context: &RequestContext<'_>,
-        to: ReplyTo,
-        spec: JobSpec,
-        out: &mut ActionSink,
-    ) {
-        if let Some(end) = self.terminal_states.get(&spec.id) {
-            return out.reply(to, Answer::Job(200, terminal_status(&spec.id, end)));
-        }
-        if context.replica.cascaded.contains(&spec.id) {
-            return out.reply(to, Answer::Job(200, cancelled_status(spec.id)));
-        }
-        if context.store_bad || !context.replica.synced {
-            return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
-        }
-        if context.replica.specs.contains_key(&spec.id) {
-            // Known: an accepted job is never refused, whatever it says now.
-            return self.check_open(context, Poll { job: spec.id, to, since: context.now }, out);
-        }
-        let Some(types) = context.types else {
-            return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
-        };
-        if let Some(why) = never_runs(&spec, context.facts, types) {
-            return out.reply(to, Answer::NeverRuns(why));
-        }
-        if !spec.dependencies.is_empty() && !context.dependencies_allowed {
-            return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
-        }
-        if self.writes >= USER_WRITES_MAX {
-            return out.reply(to, Answer::Full(RETRY_FULL_S));
-        }
-        self.writes += 1;
-        if spec.dependencies.is_empty() {
-            return self.write_submission(context, to, spec, out);
-        }
-        self.check_dependencies(context, to, spec, out);
-    }
-
-    /// The transaction that accepts a job: its spec, if there is no record yet.
-    fn write_submission(
-        &mut self,
-        context: &RequestContext<'_>,
-        to: ReplyTo,
-        spec: JobSpec,
-        out: &mut ActionSink,
-    ) {
-        let id = spec.id.clone();
-        let record = SpecRecord::submitted(spec, context.wall_ms);
-        let txn = Txn {
-            conds: vec![
-                Cond { key: spec_key(&id), version: 0 },
-                Cond { key: end_key(&id), version: 0 },
-            ],
-            writes: vec![Write::Put { key: spec_key(&id), value: to_value(&record), lease: None }],
-        };
-        let op = out.store(StoreRequest::Commit(txn));
-        self.pending.insert(op, Pending::Submit(id, to));
-    }
-
-    /// Starts proving a submission's dependencies accepted: what is known
-    /// here proves it at once, the rest is asked of the store.
-    fn check_dependencies(
-        &mut self,
-        context: &RequestContext<'_>,
-        to: ReplyTo,
-        spec: JobSpec,
-        out: &mut ActionSink,
-    ) {
-        let most = context.facts.store_txn_ops * CONDS_PER_OP;
-        let known = |dependency: &JobId| self.known_dependency(context, dependency);
-        let check = Box::new(DependencyCheck::new(spec, to, most, known));
-        self.advance(context, check, out);
-    }
-
-    fn known_dependency(
-        &self,
-        context: &RequestContext<'_>,
-        dependency: &JobId,
-    ) -> KnownDependency {
-        let cascaded = context.replica.cascaded.contains(dependency);
-        match self.terminal_states.get(dependency) {
-            Some(end) if end.cancelled => KnownDependency::Cancelled,
-            _ if cascaded => KnownDependency::Cancelled,
-            Some(_) => KnownDependency::Accepted,
-            None if context.replica.specs.contains_key(dependency) => KnownDependency::Accepted,
-            None => KnownDependency::Unproven,
-        }
-    }
-
-    /// Takes the next step of a dependency check, or ends it.
-    fn advance(
-        &mut self,
-        context: &RequestContext<'_>,
-        mut check: Box<DependencyCheck>,
-        out: &mut ActionSink,
-    ) {
-        match check.next_step() {
-            DependencyStep::ProveAbsent(batch) => {
-                let op = out.store(StoreRequest::Commit(absence_transaction(&batch)));
-                self.pending.insert(op, Pending::DependencyCheck(check, batch));
-            }
-            DependencyStep::ReadEnd(dependency) => {
-                let op = out.store(StoreRequest::Get(end_key(&dependency)));
-                self.pending.insert(op, Pending::DependencyEnd(check, dependency));
-            }
-            DependencyStep::Refuse(unknown) => {
-                self.writes -= 1;
-                out.reply(check.to, Answer::UnknownDependencies(unknown));
-            }
-            DependencyStep::Accept => self.write_submission(context, check.to, check.spec, out),
-            DependencyStep::AcceptCancelled => {
-                let DependencyCheck { spec, to, .. } = *check;
-                self.write_cancelled_submission(spec.id, to, spec.tasks, out);
-            }
-        }
-    }
-
-    /// Ends a dependency check that the store did not answer.
-    fn dependencies_unanswered(&mut self, to: ReplyTo, out: &mut ActionSink) {
-        self.writes -= 1;
-        out.reply(to, Answer::Unavailable(RETRY_STORE_S));
-    }
-
-    /// Accepts a job that names a cancelled dependency as cancelled itself:
-    /// its final state and no spec, if there is no record of it yet.
-    fn write_cancelled_submission(
-        &mut self,
-        id: JobId,
-        to: ReplyTo,
-        tasks: u32,
-        out: &mut ActionSink,
-    ) {
-        let end = EndRecord { cancelled: true, tasks };
-        let txn = Txn {
-            conds: vec![
-                Cond { key: spec_key(&id), version: 0 },
-                Cond { key: end_key(&id), version: 0 },
-            ],
-            writes: vec![Write::Put { key: end_key(&id), value: to_value(&end), lease: None }],
-        };
-        let op = out.store(StoreRequest::Commit(txn));
-        self.pending.insert(op, Pending::SubmitCancelled(id, to, tasks));
-    }
-
-    fn cancel(
-        &mut self,
-        context: &RequestContext<'_>,
-        to: ReplyTo,
-        id: JobId,
-        out: &mut ActionSink,
-    ) {
-        if let Some(end) = self.terminal_states.get(&id) {
-            return out.reply(to, Answer::Job(200, terminal_status(&id, end)));
-        }
-        // It has no task (it waits for a job that is never done), so nothing is to be stopped.
-        if context.replica.cascaded.contains(&id) {
-            return out.reply(to, Answer::Job(200, cancelled_status(id)));
-        }
-        if context.store_bad {
-            return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
-        }
-        if self.writes >= USER_WRITES_MAX {
-            return out.reply(to, Answer::Full(RETRY_FULL_S));
-        }
-        self.writes += 1;
-        match context.replica.specs.get(&id) {
-            Some((record, version)) => {
-                let record = record.clone();
-                let wanted = context.replica.cancel_wanted.contains(&id);
-                self.cancel_known(id, to, &record, *version, wanted, out);
-            }
-            None => {
-                let op = out.store(StoreRequest::Get(spec_key(&id)));
-                self.pending.insert(op, Pending::CancelRead(id, to));
-            }
-        }
-    }
-
-    /// Cancels a job here, or has its leader cancel it where it may be.
-    fn cancel_known(
-        &mut self,
-        id: JobId,
-        to: ReplyTo,
-        record: &SpecRecord,
-        version: u64,
-        wanted: bool,
-        out: &mut ActionSink,
-    ) {
-        if record.forward.is_none() {
-            return self.write_cancel(id, to, version, record.spec.tasks, out);
-        }
-        // Only the cell that owns it can confirm: the user comes again until it has.
-        self.writes -= 1;
-        if !wanted {
-            self.want_cancel(&id, version, out);
-        }
-        out.reply(to, Answer::Unavailable(RETRY_ELSEWHERE_S));
-    }
-
-    fn want_cancel(&mut self, id: &JobId, version: u64, out: &mut ActionSink) {
-        let txn = Txn {
-            conds: vec![Cond { key: spec_key(id), version }, Cond { key: end_key(id), version: 0 }],
-            writes: vec![Write::Put {
-                key: cancel_wanted_key(id),
-                value: to_value(&true),
-                lease: None,
-            }],
-        };
-        let op = out.store(StoreRequest::Commit(txn));
-        self.pending.insert(op, Pending::CancelWanted);
-    }
-
     /// Reads a final state, to be known from then on.
     pub fn learn_end(&mut self, id: JobId, out: &mut ActionSink) {
         self.read_end(id, NOBODY, Absent::Unclear, out);
@@ -373,29 +159,6 @@
         self.terminal_states.get(id)
     }
 
-    fn write_cancel(
-        &mut self,
-        id: JobId,
-        to: ReplyTo,
-        version: u64,
-        tasks: u32,
-        out: &mut ActionSink,
-    ) {
-        let end = EndRecord { cancelled: true, tasks };
-        let txn = Txn {
-            conds: vec![
-                Cond { key: spec_key(&id), version },
-                Cond { key: end_key(&id), version: 0 },
-            ],
-            writes: vec![
-                Write::Put { key: end_key(&id), value: to_value(&end), lease: None },
-                Write::Put { key: cancel_key(&id), value: to_value(&true), lease: None },
-            ],
-        };
-        let op = out.store(StoreRequest::Commit(txn));
-        self.pending.insert(op, Pending::Cancel(id, to, tasks));
-    }
-
     fn read_end(&mut self, id: JobId, to: ReplyTo, absent: Absent, out: &mut ActionSink) {
         let op = out.store(StoreRequest::Get(end_key(&id)));
         self.pending.insert(op, Pending::End(id, to, absent));
--- /dev/null
+++ b/crates/core/src/user_api/cancellations.rs
@@ -0,0 +1,103 @@
+//! Cancellations: recorded here, or wanted of the cell that has the job.
+
+use super::{Pending, RequestContext, UserApi, cancelled_status, terminal_status};
+use crate::consts::*;
+use crate::event::{ActionSink, Answer, ReplyTo, StoreRequest};
+use marblebarrow_proto::cbor::to_value;
+use marblebarrow_proto::ids::JobId;
+use marblebarrow_proto::records::{EndRecord, SpecRecord, cancel_key, end_key, spec_key};
+use marblebarrow_proto::transfer::cancel_wanted_key;
+use marblebarrow_proto::wire::{Cond, Txn, Write};
+
+impl UserApi {
+    pub(super) fn cancel(
+        &mut self,
+        context: &RequestContext<'_>,
+        to: ReplyTo,
+        id: JobId,
+        out: &mut ActionSink,
+    ) {
+        if let Some(end) = self.terminal_states.get(&id) {
+            return out.reply(to, Answer::Job(200, terminal_status(&id, end)));
+        }
+        // It has no task (it waits for a job that is never done), so nothing is to be stopped.
+        if context.replica.cascaded.contains(&id) {
+            return out.reply(to, Answer::Job(200, cancelled_status(id)));
+        }
+        if context.store_bad {
+            return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
+        }
+        if self.writes >= USER_WRITES_MAX {
+            return out.reply(to, Answer::Full(RETRY_FULL_S));
+        }
+        self.writes += 1;
+        match context.replica.specs.get(&id) {
+            Some((record, version)) => {
+                let record = record.clone();
+                let wanted = context.replica.cancel_wanted.contains(&id);
+                self.cancel_known(id, to, &record, *version, wanted, out);
+            }
+            None => {
+                let op = out.store(StoreRequest::Get(spec_key(&id)));
+                self.pending.insert(op, Pending::CancelRead(id, to));
+            }
+        }
+    }
+
+    /// Cancels a job here, or has its leader cancel it where it may be.
+    pub(super) fn cancel_known(
+        &mut self,
+        id: JobId,
+        to: ReplyTo,
+        record: &SpecRecord,
+        version: u64,
+        wanted: bool,
+        out: &mut ActionSink,
+    ) {
+        if record.forward.is_none() {
+            return self.write_cancel(id, to, version, record.spec.tasks, out);
+        }
+        // Only the cell that owns it can confirm: the user comes again until it has.
+        self.writes -= 1;
+        if !wanted {
+            self.want_cancel(&id, version, out);
+        }
+        out.reply(to, Answer::Unavailable(RETRY_ELSEWHERE_S));
+    }
+
+    pub(super) fn want_cancel(&mut self, id: &JobId, version: u64, out: &mut ActionSink) {
+        let txn = Txn {
+            conds: vec![Cond { key: spec_key(id), version }, Cond { key: end_key(id), version: 0 }],
+            writes: vec![Write::Put {
+                key: cancel_wanted_key(id),
+                value: to_value(&true),
+                lease: None,
+            }],
+        };
+        let op = out.store(StoreRequest::Commit(txn));
+        self.pending.insert(op, Pending::CancelWanted);
+    }
+
+    pub(super) fn write_cancel(
+        &mut self,
+        id: JobId,
+        to: ReplyTo,
+        version: u64,
+        tasks: u32,
+        out: &mut ActionSink,
+    ) {
+        let end = EndRecord { cancelled: true, tasks };
+        let txn = Txn {
+            conds: vec![
+                Cond { key: spec_key(&id), version },
+                Cond { key: end_key(&id), version: 0 },
+            ],
+            writes: vec![
+                Write::Put { key: end_key(&id), value: to_value(&end), lease: None },
+                Write::Put { key: cancel_key(&id), value: to_value(&true), lease: None },
+            ],
+        };
+        let op = out.store(StoreRequest::Commit(txn));
+        self.pending.insert(op, Pending::Cancel(id, to, tasks));
+    }
+}
--- /dev/null
+++ b/crates/core/src/user_api/submissions.rs
@@ -0,0 +1,161 @@
+//! Submissions: checked against the settings, proven to name accepted jobs only, and recorded.
+
+use super::polls::Poll;
+use super::{Pending, RequestContext, UserApi, cancelled_status, never_runs, terminal_status};
+use crate::consts::*;
+use crate::dependency_check::{
+    DependencyCheck, DependencyStep, KnownDependency, absence_transaction,
+};
+use crate::event::{ActionSink, Answer, ReplyTo, StoreRequest};
+use marblebarrow_proto::cbor::to_value;
+use marblebarrow_proto::ids::JobId;
+use marblebarrow_proto::job::JobSpec;
+use marblebarrow_proto::records::{EndRecord, SpecRecord, end_key, spec_key};
+use marblebarrow_proto::wire::{Cond, Txn, Write};
+
+impl UserApi {
+    pub(super) fn submit(
+        &mut self,
+        context: &RequestContext<'_>,
+        to: ReplyTo,
+        spec: JobSpec,
+        out: &mut ActionSink,
+    ) {
+        if let Some(end) = self.terminal_states.get(&spec.id) {
+            return out.reply(to, Answer::Job(200, terminal_status(&spec.id, end)));
+        }
+        if context.replica.cascaded.contains(&spec.id) {
+            return out.reply(to, Answer::Job(200, cancelled_status(spec.id)));
+        }
+        if context.store_bad || !context.replica.synced {
+            return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
+        }
+        if context.replica.specs.contains_key(&spec.id) {
+            // Known: an accepted job is never refused, whatever it says now.
+            return self.check_open(context, Poll { job: spec.id, to, since: context.now }, out);
+        }
+        let Some(types) = context.types else {
+            return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
+        };
+        if let Some(why) = never_runs(&spec, context.facts, types) {
+            return out.reply(to, Answer::NeverRuns(why));
+        }
+        if !spec.dependencies.is_empty() && !context.dependencies_allowed {
+            return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
+        }
+        if self.writes >= USER_WRITES_MAX {
+            return out.reply(to, Answer::Full(RETRY_FULL_S));
+        }
+        self.writes += 1;
+        if spec.dependencies.is_empty() {
+            return self.write_submission(context, to, spec, out);
+        }
+        self.check_dependencies(context, to, spec, out);
+    }
+
+    /// The transaction that accepts a job: its spec, if there is no record yet.
+    pub(super) fn write_submission(
+        &mut self,
+        context: &RequestContext<'_>,
+        to: ReplyTo,
+        spec: JobSpec,
+        out: &mut ActionSink,
+    ) {
+        let id = spec.id.clone();
+        let record = SpecRecord::submitted(spec, context.wall_ms);
+        let txn = Txn {
+            conds: vec![
+                Cond { key: spec_key(&id), version: 0 },
+                Cond { key: end_key(&id), version: 0 },
+            ],
+            writes: vec![Write::Put { key: spec_key(&id), value: to_value(&record), lease: None }],
+        };
+        let op = out.store(StoreRequest::Commit(txn));
+        self.pending.insert(op, Pending::Submit(id, to));
+    }
+
+    /// Starts proving a submission's dependencies accepted: what is known
+    /// here proves it at once, the rest is asked of the store.
+    pub(super) fn check_dependencies(
+        &mut self,
+        context: &RequestContext<'_>,
+        to: ReplyTo,
+        spec: JobSpec,
+        out: &mut ActionSink,
+    ) {
+        let most = context.facts.store_txn_ops * CONDS_PER_OP;
+        let known = |dependency: &JobId| self.known_dependency(context, dependency);
+        let check = Box::new(DependencyCheck::new(spec, to, most, known));
+        self.advance(context, check, out);
+    }
+
+    pub(super) fn known_dependency(
+        &self,
+        context: &RequestContext<'_>,
+        dependency: &JobId,
+    ) -> KnownDependency {
+        let cascaded = context.replica.cascaded.contains(dependency);
+        match self.terminal_states.get(dependency) {
+            Some(end) if end.cancelled => KnownDependency::Cancelled,
+            _ if cascaded => KnownDependency::Cancelled,
+            Some(_) => KnownDependency::Accepted,
+            None if context.replica.specs.contains_key(dependency) => KnownDependency::Accepted,
+            None => KnownDependency::Unproven,
+        }
+    }
+
+    /// Takes the next step of a dependency check, or ends it.
+    pub(super) fn advance(
+        &mut self,
+        context: &RequestContext<'_>,
+        mut check: Box<DependencyCheck>,
+        out: &mut ActionSink,
+    ) {
+        match check.next_step() {
+            DependencyStep::ProveAbsent(batch) => {
+                let op = out.store(StoreRequest::Commit(absence_transaction(&batch)));
+                self.pending.insert(op, Pending::DependencyCheck(check, batch));
+            }
+            DependencyStep::ReadEnd(dependency) => {
+                let op = out.store(StoreRequest::Get(end_key(&dependency)));
+                self.pending.insert(op, Pending::DependencyEnd(check, dependency));
+            }
+            DependencyStep::Refuse(unknown) => {
+                self.writes -= 1;
+                out.reply(check.to, Answer::UnknownDependencies(unknown));
+            }
+            DependencyStep::Accept => self.write_submission(context, check.to, check.spec, out),
+            DependencyStep::AcceptCancelled => {
+                let DependencyCheck { spec, to, .. } = *check;
+                self.write_cancelled_submission(spec.id, to, spec.tasks, out);
+            }
+        }
+    }
+
+    /// Ends a dependency check that the store did not answer.
+    pub(super) fn dependencies_unanswered(&mut self, to: ReplyTo, out: &mut ActionSink) {
+        self.writes -= 1;
+        out.reply(to, Answer::Unavailable(RETRY_STORE_S));
+    }
+
+    /// Accepts a job that names a cancelled dependency as cancelled itself:
+    /// its final state and no spec, if there is no record of it yet.
+    pub(super) fn write_cancelled_submission(
+        &mut self,
+        id: JobId,
+        to: ReplyTo,
+        tasks: u32,
+        out: &mut ActionSink,
+    ) {
+        let end = EndRecord { cancelled: true, tasks };
+        let txn = Txn {
+            conds: vec![
+                Cond { key: spec_key(&id), version: 0 },
+                Cond { key: end_key(&id), version: 0 },
+            ],
+            writes: vec![Write::Put { key: end_key(&id), value: to_value(&end), lease: None }],
+        };
+        let op = out.store(StoreRequest::Commit(txn));
+        self.pending.insert(op, Pending::SubmitCancelled(id, to, tasks));
+    }
+}
