--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -457,3 +457,15 @@
 pub const WAVES_MAX: f64 = 2.0;
 /// Run time assumed for a task nobody knows anything of, seconds.
 pub const DEFAULT_RUN_S: f64 = 30.0;
+
+/// Most reads of dependencies' last words under way at once: a leader that takes over
+/// reads one for each job named that ended before it knew it, and must not crowd the
+/// store's request rate.
+pub const DEPENDENCY_READS_MAX: usize = 16;
+/// Seconds before a dependency's last word is read again when a read found none or
+/// failed.
+pub const DEPENDENCY_READ_RETRY_S: f64 = 2.0;
+/// Most cascade cancellations under way at once; each is one transaction.
+pub const CASCADE_WRITES_MAX: usize = 4;
+/// Changes one cascade cancellation costs the store: the last word and the spec.
+pub const CASCADE_CHANGES: f64 = 2.0;
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -127,6 +127,14 @@
     pub finish_s: Option<Secs>,
     /// A gang found itself incomplete: the tasks that are done are needed too.
     pub whole_gang: bool,
+    /// Some job it names as a DAG dependency is not durably done yet: start nothing,
+    /// and hold no part of the team's quota or guarantee.
+    pub waits_for_dependencies: bool,
+    /// The highest priority of the jobs that need it, if higher than its own.
+    inherited_priority: Option<Priority>,
+    /// When it must be done, on our clock, so that the jobs that need it can still be
+    /// done by their deadlines.
+    inherited_due: Option<Secs>,
     failed_on: BTreeSet<MachineId>,
     /// Some task of it completed, so that what fails of it speaks of the machine.
     successes: u32,
@@ -181,6 +189,9 @@
             aimed: false,
             finish_s: None,
             whole_gang: false,
+            waits_for_dependencies: false,
+            inherited_priority: None,
+            inherited_due: None,
             failed_on: BTreeSet::new(),
             successes: 0,
             errors: 0,
@@ -203,7 +214,7 @@
     /// when it should be done.
     pub fn spare(&self) -> bool {
         let s = self.spec();
-        s.kind == Kind::Array && s.priority == Priority::Low && !self.aimed
+        s.kind == Kind::Array && self.priority() == Priority::Low && !self.aimed
     }
 
     /// Work for spare capacity that waits for spot machines, as it hasn't waited for
@@ -272,7 +283,12 @@
     }
 
     fn may_start(&self, now: Secs) -> bool {
-        if self.cancelled || self.away || self.closing || now < self.not_before {
+        if self.cancelled
+            || self.away
+            || self.closing
+            || self.waits_for_dependencies
+            || now < self.not_before
+        {
             return false;
         }
         // Taken for mistaken: one task at a time goes on trying.
@@ -329,7 +345,7 @@
 
     /// Tasks that wait, backoffs and doubts included.
     pub fn waiting(&self) -> u32 {
-        if self.cancelled || self.away || self.closing {
+        if self.cancelled || self.away || self.closing || self.waits_for_dependencies {
             return 0;
         }
         let busy = self.finished.len() + self.live.len() as u32 + self.maybe_running.len() as u32;
@@ -352,9 +368,53 @@
     /// five seconds counted as late when they came, and hundreds of machines were
     /// rented for a minute, though minutes were left.)
     pub fn due(&self) -> Secs {
+        if let Some(due) = self.deadline_at() {
+            return due;
+        }
         let aim = self.finish_s.map(|s| s * FINISH_SHARE);
         let waves = self.likely_run() * (1.0 + WAVES_MAX);
-        self.arrived + self.spec().deadline_s.or(aim).unwrap_or(waves)
+        self.arrived + aim.unwrap_or(waves)
+    }
+
+    /// Its deadline on our clock: its own, counted from its submission however long it
+    /// waited, or the earliest that the jobs that need it inherit to it.
+    pub fn deadline_at(&self) -> Option<Secs> {
+        let own = self.spec().deadline_s.map(|deadline| self.arrived + deadline);
+        match (own, self.inherited_due) {
+            (Some(own), Some(inherited)) => Some(own.min(inherited)),
+            (own, inherited) => own.or(inherited),
+        }
+    }
+
+    /// Its deadline in seconds after it arrived, as [`Job::deadline_at`] tells it.
+    pub fn deadline_s(&self) -> Option<Secs> {
+        self.deadline_at().map(|due| due - self.arrived)
+    }
+
+    /// Its priority, or the higher one that a job that needs it passed on.
+    pub fn priority(&self) -> Priority {
+        self.inherited_priority.map_or(self.spec().priority, |p| p.max(self.spec().priority))
+    }
+
+    /// A job that needs it passes on its priority and the time by which this one must
+    /// be done.
+    pub fn inherit(&mut self, priority: Priority, due: Option<Secs>) {
+        if priority > self.priority() {
+            self.inherited_priority = Some(priority);
+        }
+        if let Some(due) = due {
+            self.inherited_due = Some(self.inherited_due.map_or(due, |d| d.min(due)));
+        }
+    }
+
+    /// Every job it needs is durably done. Times without a deadline of its own count
+    /// from now (kit/change/LATER.md: they count from when the last job it needs is
+    /// done); a deadline counts from its submission all the same.
+    pub fn dependencies_done(&mut self, now: Secs) {
+        self.waits_for_dependencies = false;
+        if self.deadline_at().is_none() {
+            self.arrived = self.arrived.max(now);
+        }
     }
 
     /// Whether a backlog of it presses nobody: no deadline, and time enough.
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -6,6 +6,7 @@
 use crate::cells::Cells;
 use crate::cloud_requests::CloudRequests;
 use crate::consts::*;
+use crate::dependencies::DependencyGraph;
 use crate::direct_results::DirectSent;
 use crate::event::{
     ActionSink, Answer, CloudResult, JobCounts, OpId, ReplyTo, Secs, StoreResult, TaskCounts,
@@ -61,6 +62,8 @@
     pub(crate) rng: StdRng,
     pub(crate) loading: Option<Loading>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
+    /// DAG dependencies among them, and the cascade of cancellations.
+    pub(crate) dependencies: DependencyGraph,
     pub(crate) machines: Machines,
     pub(crate) released_machines: BTreeMap<MachineId, Secs>,
     pub(crate) directs: HashMap<OpId, DirectSent>,
@@ -125,6 +128,7 @@
             rng: StdRng::seed_from_u64(term.0),
             loading: None,
             jobs: BTreeMap::new(),
+            dependencies: DependencyGraph::default(),
             machines: Machines::new(),
             released_machines: BTreeMap::new(),
             directs: HashMap::new(),
@@ -189,6 +193,7 @@
             self.place(now, None);
         }
         self.flush(now, replica, out);
+        self.dependencies_tick(now, out);
         self.cloud_tick(now, replica, out);
         self.cells_tick(now, wall_ms, replica, out);
         self.push_direct(now, out);
@@ -229,6 +234,7 @@
             return self.learn_record(now, record, *version);
         }
         self.add_job(now, wall_ms, record.clone(), *version, replica.is_cancelled(id));
+        self.track_dependencies(now, id, replica);
     }
 
     /// A job that isn't known yet, as the watch brings it, or as this leader recorded it.
@@ -305,6 +311,9 @@
             self.loaded(now, wall_ms, op, result, replica, out);
             return true;
         }
+        if self.dependency_answered(now, op, &result) {
+            return true;
+        }
         let mut outcome = self.token_answered(now, op, &result, out);
         if outcome == WriteOutcome::NotOurs {
             outcome = self.cells_written(now, wall_ms, op, &result, replica, out);
--- /dev/null
+++ b/crates/core/src/pipelines.rs
@@ -0,0 +1,201 @@
+//! The leader's side of job pipelines: jobs with DAG dependencies wait until every job
+//! they need is durably done, inherit the urgency of the jobs that need them, and are
+//! cancelled by cascade when a job they need is cancelled.
+//!
+//! The graph lives in [`crate::dependencies`]; this module connects it to the leader's
+//! picture of jobs and to the store. A cascade cancellation writes the job's last word
+//! `cancelled` and removes its spec in one compare-and-swap transaction: a job that waits
+//! has never started a task (every job it needs would have had to be done), so no
+//! cancel mark is needed to stop tasks, and two changes per job are all the store pays.
+
+use crate::consts::*;
+use crate::dependencies::{DependencyState, Outcome};
+use crate::event::{ActionSink, OpId, Secs, StoreRequest, StoreResult};
+use crate::leader::Leader;
+use crate::replica::Replica;
+use marblebarrow_proto::cbor::{from_value, to_value};
+use marblebarrow_proto::ids::JobId;
+use marblebarrow_proto::records::{EndRecord, cancel_key, end_key, spec_key};
+use marblebarrow_proto::wire::{Cond, Txn, Write};
+use std::collections::BTreeSet;
+
+impl Leader {
+    /// A job that names dependencies joined the picture: it waits for those not yet
+    /// done, and is cancelled by cascade if one of them was cancelled.
+    pub(crate) fn track_dependencies(&mut self, now: Secs, id: &JobId, replica: &Replica) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let dependencies = job.spec().dependencies.clone();
+        if dependencies.is_empty() {
+            return;
+        }
+        let jobs = &self.jobs;
+        let state = |dependency: &JobId| match jobs.get(dependency) {
+            Some(known) if known.cancelled => DependencyState::Cancelled,
+            Some(_) => DependencyState::Unfinished,
+            None if replica.is_cancelled(dependency) => DependencyState::Cancelled,
+            None if replica.specs.contains_key(dependency) => DependencyState::Unfinished,
+            None => DependencyState::Unknown,
+        };
+        let waits = self.dependencies.add(id, &dependencies, now, state);
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.waits_for_dependencies = waits;
+        }
+        self.inherit_urgency(id);
+        self.log.push(|| {
+            format!(
+                "event=dependencies job={id} named={} waits={waits} term={}",
+                dependencies.len(),
+                self.term.0
+            )
+        });
+    }
+
+    /// Jobs that a job needs, directly or through others, are treated as having its
+    /// priority if that is higher, and as due early enough that it can still be done by
+    /// its deadline: each level ahead of it takes off one run time, as the pilots
+    /// measured it (or the user's estimate before they ran).
+    fn inherit_urgency(&mut self, id: &JobId) {
+        let mut stack = vec![id.clone()];
+        let mut seen = BTreeSet::new();
+        while let Some(next) = stack.pop() {
+            let Some(job) = self.jobs.get(&next) else { continue };
+            let priority = job.priority();
+            let due_ahead = job.deadline_at().map(|due| due - job.likely_run());
+            for dependency in job.spec().dependencies.clone() {
+                let Some(upstream) = self.jobs.get_mut(&dependency) else { continue };
+                upstream.inherit(priority, due_ahead);
+                if seen.insert(dependency.clone()) {
+                    stack.push(dependency);
+                }
+            }
+        }
+    }
+
+    /// A job's last word is durable: the jobs that wait for it may start, or, if it
+    /// was cancelled, are cancelled too.
+    pub(crate) fn dependency_finished(&mut self, now: Secs, id: &JobId, cancelled: bool) {
+        self.dependencies.forget(id);
+        let outcome = if cancelled { Outcome::Cancelled } else { Outcome::Done };
+        let ready = self.dependencies.finished(id, outcome);
+        self.start_ready(now, ready);
+    }
+
+    /// The leader learned that a job is cancelled (its cancel mark): the jobs that need
+    /// it are cancelled at once, without waiting for its tasks to be gone.
+    pub(crate) fn dependency_cancelled(&mut self, id: &JobId) {
+        // A cancellation makes no job ready; it only queues the cascade.
+        let _ = self.dependencies.finished(id, Outcome::Cancelled);
+    }
+
+    fn start_ready(&mut self, now: Secs, ready: Vec<JobId>) {
+        for id in ready {
+            let Some(job) = self.jobs.get_mut(&id) else { continue };
+            job.dependencies_done(now);
+            self.place_due = true;
+            self.log.push(|| format!("event=dependencies_done job={id} term={}", self.term.0));
+        }
+    }
+
+    /// Reads the last words of dependencies that ended before this leader knew them,
+    /// and writes cascade cancellations.
+    pub(crate) fn dependencies_tick(&mut self, now: Secs, out: &mut ActionSink) {
+        for id in self.dependencies.reads_due(now, DEPENDENCY_READS_MAX) {
+            let op = out.store(StoreRequest::Get(end_key(&id)));
+            self.dependencies.read_sent(op, id);
+        }
+        for id in self.dependencies.cancels_due(CASCADE_WRITES_MAX) {
+            match self.cascade_transaction(&id) {
+                Some(txn) => {
+                    let op = out.store(StoreRequest::Commit(txn));
+                    self.writer.saw_user_changes(CASCADE_CHANGES);
+                    self.dependencies.cancel_sent(op, id);
+                }
+                None => self.dependencies.cancel_dropped(&id),
+            }
+        }
+    }
+
+    /// The transaction that cancels a job by cascade, if it is still to be cancelled.
+    fn cascade_transaction(&self, id: &JobId) -> Option<Txn> {
+        let job = self.jobs.get(id)?;
+        if job.cancelled || job.closing {
+            return None;
+        }
+        let tasks = job.spec().tasks;
+        let end = Write::Put {
+            key: end_key(id),
+            value: to_value(&EndRecord { cancelled: true, tasks }),
+            grant: None,
+        };
+        // A job that never started needs no cancel mark: nothing of it can run.
+        // Should any start be recorded, the mark stops its tasks as a user's would.
+        let then = if job.started.is_empty() && job.live.is_empty() {
+            Write::Delete { key: spec_key(id) }
+        } else {
+            Write::Put { key: cancel_key(id), value: to_value(&true), grant: None }
+        };
+        Some(Txn {
+            conds: vec![
+                Cond { key: spec_key(id), version: job.spec_version },
+                Cond { key: end_key(id), version: 0 },
+            ],
+            writes: vec![end, then],
+        })
+    }
+
+    /// Whether an answer of the store was for the dependency part; if so, takes it.
+    pub(crate) fn dependency_answered(
+        &mut self,
+        now: Secs,
+        op: OpId,
+        result: &StoreResult,
+    ) -> bool {
+        if let Some(outcome) = self.read_outcome(op, result) {
+            if let Some(resolved) =
+                self.dependencies.read_answered(op, outcome, now, DEPENDENCY_READ_RETRY_S)
+            {
+                self.start_ready(now, resolved.ready);
+            }
+            return true;
+        }
+        let committed = matches!(result, StoreResult::Committed(_));
+        let Some(id) = self.dependencies.cancel_answered(op, committed) else {
+            return false;
+        };
+        if committed {
+            self.cascade_committed(now, &id);
+        }
+        true
+    }
+
+    /// What a read of ours found: `Some(None)` for nothing usable, `None` if the answer
+    /// was not for a read of ours.
+    fn read_outcome(&self, op: OpId, result: &StoreResult) -> Option<Option<Outcome>> {
+        if !self.dependencies.is_read(op) {
+            return None;
+        }
+        let StoreResult::Value(Some(item)) = result else { return Some(None) };
+        let outcome = from_value::<EndRecord>(&item.value)
+            .ok()
+            .map(|end| if end.cancelled { Outcome::Cancelled } else { Outcome::Done });
+        Some(outcome)
+    }
+
+    fn cascade_committed(&mut self, now: Secs, id: &JobId) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let tasks = job.spec().tasks;
+        let size = self.dependencies.waiting_count();
+        self.log.push(|| {
+            format!(
+                "event=cascade_cancelled job={id} tasks={tasks} waiting={size} term={}",
+                self.term.0
+            )
+        });
+        if job.started.is_empty() && job.live.is_empty() {
+            self.closed(now, id, true, tasks);
+        } else {
+            // The cancel mark comes by the watch and stops what may run.
+            self.cancel(now, id);
+        }
+    }
+}
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -286,7 +286,7 @@
             .jobs
             .iter()
             .filter(|(_, j)| j.spec().kind == kind && j.waiting() > 0)
-            .map(|(id, j)| (Reverse(j.spec().priority), j.arrived, id.clone()))
+            .map(|(id, j)| (Reverse(j.priority()), j.arrived, id.clone()))
             .collect();
         ids.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
         ids.into_iter().map(|(_, _, id)| id).collect()
@@ -337,7 +337,7 @@
             }
             // A rank above the usual goes first in its queue.
             let order = self.press(job, now);
-            let rank = 3 - job.spec().priority as u8;
+            let rank = 3 - job.priority() as u8;
             let serve = if job.queue.is_none() { Serve::Pilots } else { Serve::All };
             // Sized by its work, a wide job waits behind all smaller ones; one
             // whose time runs out moves up, or its deadline means nothing.
@@ -428,7 +428,7 @@
     /// there is time (or none is set), 2 if it is missed whatever is done, so
     /// that it takes no other along.
     fn press(&self, job: &Job, now: Secs) -> u8 {
-        let Some(deadline) = job.spec().deadline_s else { return 1 };
+        let Some(deadline) = job.deadline_s() else { return 1 };
         let run = job.likely_run();
         let slack = |times: f64| job.arrived + deadline * times - now - run;
         let aims = self.facts.deadlines.iter().filter(|a| a.class == job.spec().class);
