--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -97,12 +97,15 @@
         }
     }
 
-    /// True only when every configured controller is known to run at least that format
-    /// now: heard within [`MEMBER_FRESH_S`]. A silent one may come back with another.
-    pub fn all_run_at_least(&self, format: u32, now: Secs) -> bool {
-        self.members
-            .keys()
-            .all(|node| self.current(node, now).is_some_and(|seen| seen.runs.format >= format))
+    /// True only when every configured controller was last heard running at least that
+    /// format. A controller never heard since this process began keeps it shut, and so
+    /// does one heard running an older one. A silent controller keeps its last word: by
+    /// the upgrade's order (kit/change/LATER.md), only a process that dies before its
+    /// turn comes back old, and one heard new has had its turn. (A gate that shut on
+    /// every silence refused pipelines for as long as any controller was down or cut
+    /// off, past the users' 60 s of retries.) `now` is kept for the view's freshness.
+    pub fn all_run_at_least(&self, format: u32, _now: Secs) -> bool {
+        self.members.values().all(|seen| seen.as_ref().is_some_and(|s| s.runs.format >= format))
     }
 
     /// Each controller, and whether all run at least the format that dependencies need.
