--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -177,8 +177,8 @@
 pub const PRODUCTION_FORMAT: u32 = 1;
 /// The format that users' DAG dependencies need on every controller.
 pub const DEPENDENCIES_FORMAT: u32 = 2;
-/// A peer's announced version counts for this long, seconds: as long as its word on the
-/// store, over two beats; a process that ends may come back with another version.
+/// A controller silent for longer is shown as such, and its sighting begins anew when it is
+/// heard again, seconds: as long as its word on the store, over two beats.
 pub const MEMBER_FRESH_S: f64 = HEARTBEAT_FRESH_S;
 
 // --- workers --------------------------------------------------------------
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -98,6 +98,8 @@
     progress_sent: BTreeMap<JobId, TaskCounts>,
     /// What its decisions rest on.
     pub knowledge: Knowledge,
+    /// The format that every controller was heard to run at least; 0 while one was not heard.
+    pub common_format: u32,
     pub(crate) fencing: FencingToken,
     /// Machines with starts in doubt.
     pub(crate) doubtful_machines: BTreeSet<MachineId>,
@@ -151,6 +153,7 @@
             progress_rounds: 0,
             progress_sent: BTreeMap::new(),
             knowledge: Knowledge::default(),
+            common_format: 0,
             fencing: FencingToken::new(term.0, version),
             doubtful_machines: BTreeSet::new(),
             revocations: RevocationCounters::default(),
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,6 +1,7 @@
-//! Who the configured controllers are and what each is known to run now: the version gate
-//! of a rolling upgrade. Peers announce their version in their heartbeats (see
-//! docs/design.md, "Versions during an upgrade"); this module only keeps what was heard.
+//! Who the configured controllers are and what each was last heard to run: the version gate
+//! of a rolling upgrade. Peers announce their version in their heartbeats; once a leader has
+//! heard all run a format, it records that in the store, and the record stands in for what
+//! later processes have not heard yet (see docs/design.md, "Versions during an upgrade").
 
 use crate::consts::{DEPENDENCIES_FORMAT, FORMAT, MEMBER_FRESH_S, PRODUCTION_FORMAT};
 use crate::event::Secs;
@@ -44,7 +45,7 @@
     pub format: u32,
     /// For how long it has been heard running this, without a gap, seconds.
     pub seen_for_s: f64,
-    /// Whether it was heard recently enough to count for the gate.
+    /// Whether it was heard lately. A silent one counts for the gate with its last word.
     pub current: bool,
 }
 
@@ -53,6 +54,8 @@
 pub struct MembershipView {
     /// Each configured controller, in the order of names.
     pub controllers: Vec<MemberView>,
+    /// The format that the store records every controller to run at least; 0: no record.
+    pub format_in_store: u32,
     /// Whether users' DAG dependencies are taken now; see [`Membership::all_run_at_least`].
     pub dependencies_allowed: bool,
 }
@@ -97,21 +100,35 @@
         }
     }
 
-    /// True only when every configured controller was last heard running at least that
-    /// format. A controller never heard since this process began keeps it shut, and so
-    /// does one heard running an older one. A silent controller keeps its last word: by
-    /// the upgrade's order (kit/change/LATER.md), only a process that dies before its
-    /// turn comes back old, and one heard new has had its turn. (A gate that shut on
-    /// every silence refused pipelines for as long as any controller was down or cut
-    /// off, past the users' 60 s of retries.) `now` is kept for the view's freshness.
-    pub fn all_run_at_least(&self, format: u32, _now: Secs) -> bool {
-        self.members.values().all(|seen| seen.as_ref().is_some_and(|s| s.runs.format >= format))
+    /// The lowest format that any configured controller was last heard running; 0 while one
+    /// was never heard since this process began.
+    pub fn common_format(&self) -> u32 {
+        self.members.values().map(|seen| last_format(seen).unwrap_or(0)).min().unwrap_or(0)
+    }
+
+    /// True only when every configured controller is known to run at least that format.
+    ///
+    /// One heard since this process began counts with its last word, also while it is
+    /// silent: by the upgrade's order only a process that dies before its turn comes back
+    /// old, and one heard new has had its turn. (A gate that shut on every silence refused
+    /// pipelines for as long as any controller was down or cut off, past the users' 60 s
+    /// of retries.) One heard running an older format shuts the gate, whatever the store
+    /// says.
+    ///
+    /// One never heard counts with `format_in_store`, the record of what all of them ran at
+    /// least at some time (0: there is none). (Without it a controller that was restarted
+    /// while another was down refused pipelines until that one was back.)
+    pub fn all_run_at_least(&self, format: u32, format_in_store: u32) -> bool {
+        self.members.values().all(|seen| last_format(seen).unwrap_or(format_in_store) >= format)
     }
 
     /// Each controller, and whether all run at least the format that dependencies need.
-    pub fn view(&self, now: Secs) -> MembershipView {
-        let dependencies_allowed = self.all_run_at_least(DEPENDENCIES_FORMAT, now);
-        MembershipView { controllers: self.members(now), dependencies_allowed }
+    pub fn view(&self, now: Secs, format_in_store: u32) -> MembershipView {
+        MembershipView {
+            controllers: self.members(now),
+            format_in_store,
+            dependencies_allowed: self.all_run_at_least(DEPENDENCIES_FORMAT, format_in_store),
+        }
     }
 
     /// Each controller, in the order of names.
@@ -134,3 +151,7 @@
         (*node == self.me || now - seen.heard_at <= MEMBER_FRESH_S).then_some(seen)
     }
 }
+
+fn last_format(seen: &Option<Sighting>) -> Option<u32> {
+    seen.as_ref().map(|sighting| sighting.runs.format)
+}
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -91,10 +91,11 @@
     }
 
     /// The version gate of DAG dependencies: whether every configured controller is known
-    /// to run a version that keeps `waits_on` now. Until then users' dependencies are
-    /// refused, lest an old leader start a job before what it waits on is done.
-    pub fn dependencies_allowed(&self, now: Secs) -> bool {
-        self.membership.all_run_at_least(DEPENDENCIES_FORMAT, now)
+    /// to run a version that keeps `waits_on`, as it was heard or as the store records it.
+    /// Until then users' dependencies are refused, lest an old leader start a job before
+    /// what it waits on is done.
+    pub fn dependencies_allowed(&self) -> bool {
+        self.membership.all_run_at_least(DEPENDENCIES_FORMAT, self.replica.format_in_store())
     }
 
     /// What every configured controller is known to run.
@@ -211,7 +212,8 @@
             Event::Peer(news) => self.peer(now, news),
             Event::CellRequest(to, request) => self.cell_request(now, wall_ms, to, *request),
             Event::Members(to) => {
-                self.out.reply(to, Answer::Members(Box::new(self.membership.view(now))));
+                let view = self.membership.view(now, self.replica.format_in_store());
+                self.out.reply(to, Answer::Members(Box::new(view)));
             }
             Event::CellAnswer(op, answer) => {
                 // Whatever comes of it depends on the leader key in the store.
@@ -247,6 +249,7 @@
         if self.may_act(now)
             && let Some(l) = &mut self.leader
         {
+            l.common_format = self.membership.common_format();
             l.tick(now, wall_ms, &self.replica, &mut self.out);
             for (id, end) in l.take_terminal_states() {
                 self.user_api.remember(&id, end);
@@ -306,7 +309,7 @@
         wall_ms: u64,
         f: impl FnOnce(&mut UserApi, &RequestContext<'_>, &mut ActionSink),
     ) {
-        let dependencies_allowed = self.dependencies_allowed(now);
+        let dependencies_allowed = self.dependencies_allowed();
         let around = RequestContext {
             now,
             wall_ms,
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -6,7 +6,7 @@
 use ciborium::Value;
 use marblebarrow_proto::cbor::from_value;
 use marblebarrow_proto::ids::{CellName, JobId};
-use marblebarrow_proto::records::{self, LeaderRecord, SpecRecord};
+use marblebarrow_proto::records::{self, FormatRecord, LeaderRecord, SpecRecord};
 use marblebarrow_proto::transfer::{self, AcknowledgeRecord, InboundRecord};
 use marblebarrow_proto::wire::{MachineType, WatchEvent};
 use std::collections::{BTreeMap, BTreeSet};
@@ -52,6 +52,8 @@
     pub types: Option<Vec<MachineType>>,
     /// Version of their key; 0: none.
     pub types_version: u64,
+    /// The format that every controller runs at least, and the version of its key.
+    pub common_format: Option<(FormatRecord, u64)>,
     /// Jobs accepted from other cells whose end their home may not have yet, and the
     /// versions of these records.
     pub inbound: BTreeMap<JobId, (InboundRecord, u64)>,
@@ -91,6 +93,11 @@
         changes
     }
 
+    /// The format that the store says every controller runs at least; 0 without a record.
+    pub fn format_in_store(&self) -> u32 {
+        self.common_format.as_ref().map_or(0, |(record, _)| record.format)
+    }
+
     /// Whether a job is known to be cancelled.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.marked.contains_key(id) || self.confirmed_cancellations.contains_key(id)
@@ -160,6 +167,11 @@
             self.types = from_value(value).ok();
             self.types_version = version;
             None
+        } else if key == records::COMMON_FORMAT {
+            if let Ok(record) = from_value(value) {
+                self.common_format = Some((record, version));
+            }
+            None
         } else if let Some(id) = key.strip_prefix(records::SPECS) {
             let id = JobId::new(id);
             let record = from_value::<SpecRecord>(value).ok()?;
--- a/crates/core/src/writer.rs
+++ b/crates/core/src/writer.rs
@@ -37,6 +37,8 @@
     /// A record of no more use, and its version.
     Garbage(String, u64),
     Types,
+    /// The format that every controller runs at least.
+    Format(u32),
 }
 
 /// A record that is out of date.
@@ -82,6 +84,8 @@
     refilled: Secs,
     next: Secs,
     types_key: String,
+    /// The common format last sent to the store.
+    format_sent: u32,
 }
 
 impl Writer {
@@ -101,6 +105,7 @@
             refilled: now,
             next: now,
             types_key: String::new(),
+            format_sent: 0,
         }
     }
 
@@ -269,6 +274,7 @@
             // all ends for minutes.
             return b;
         }
+        self.format_entry(replica, &mut b);
         self.batch_blocks(now, true, &mut b);
         self.batch_parts(now, &mut b);
         self.batch_closes(now, 0.0, &mut b);
@@ -406,6 +412,20 @@
         b.entries.push(Entry::Types);
     }
 
+    /// The common format, once it is higher than the record shows: one write in an upgrade,
+    /// for which pipelines wait.
+    fn format_entry(&mut self, replica: &Replica, b: &mut Batch) {
+        let format = self.common_format;
+        let known = replica.format_in_store().max(self.writer.format_sent).max(PRODUCTION_FORMAT);
+        if b.full() || format <= known {
+            return;
+        }
+        self.writer.format_sent = format;
+        let version = replica.common_format.as_ref().map_or(0, |(_, version)| *version);
+        b.put(COMMON_FORMAT.into(), version, to_value(&FormatRecord { format }));
+        b.entries.push(Entry::Format(format));
+    }
+
     /// A transaction or a read of ours was answered. False: we don't lead.
     pub(crate) fn written(
         &mut self,
@@ -460,6 +480,7 @@
                         Entry::Close { job, .. } => spec_key(job),
                         Entry::Garbage(key, _) => key.clone(),
                         Entry::Types => TYPES.into(),
+                        Entry::Format(_) => COMMON_FORMAT.into(),
                     };
                     self.writer.resync.push_back((key, entry));
                 }
@@ -499,7 +520,7 @@
                 }
             }
             Entry::Close { job, cancelled, tasks } => self.closed(now, &job, cancelled, tasks),
-            Entry::Garbage(..) | Entry::Types => {}
+            Entry::Garbage(..) | Entry::Types | Entry::Format(_) => {}
         }
     }
 
@@ -578,6 +599,14 @@
                 }
             }
             Entry::Types => {}
+            Entry::Format(format) => {
+                let lower = |record: &FormatRecord| record.format < format;
+                let stored = value.as_ref().map(from_value::<FormatRecord>);
+                // One that can't be read is left as it is.
+                if stored.is_none_or(|read| read.as_ref().is_ok_and(lower)) {
+                    self.entry_again(now, entry);
+                }
+            }
         }
     }
 
@@ -599,6 +628,7 @@
             }
             Entry::Garbage(key, version) => self.writer.discard(key, version),
             Entry::Types => self.writer.types_key.clear(),
+            Entry::Format(_) => self.writer.format_sent = 0,
         }
     }
 }
--- a/crates/core/tests/cluster/main.rs
+++ b/crates/core/tests/cluster/main.rs
@@ -7,6 +7,7 @@
 mod large_fleet;
 mod meetings;
 mod pipelines;
+mod upgrade;
 
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_rehearsal::world::{Held, Met, Trouble, World};
--- a/crates/proto/src/records.rs
+++ b/crates/proto/src/records.rs
@@ -17,6 +17,8 @@
 pub const TERM: &str = "term";
 /// The machine types, for starts while the cloud is down.
 pub const TYPES: &str = "w/types";
+/// The format that every controller is known to run at least; see [`FormatRecord`].
+pub const COMMON_FORMAT: &str = "w/format";
 /// Prefix of specs.
 pub const SPECS: &str = "w/spec/";
 /// Prefix of cancel marks.
@@ -78,6 +80,18 @@
     pub term: u64,
 }
 
+/// That every configured controller runs at least this format. The leader writes it once
+/// its process has heard so of each, and it only ever rises.
+///
+/// The version in production (6fad5c8e, which announces no format) passes over the key: its
+/// `Replica::put` hands a watched key that it doesn't know to `put_transfer`, which matches
+/// prefixes of its own and drops the rest.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct FormatRecord {
+    /// The lowest format of them all.
+    pub format: u32,
+}
+
 /// A job's last word.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndRecord {
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -8,6 +8,7 @@
 mod direct;
 mod store;
 mod troubles;
+mod upgrade;
 mod users;
 mod workers;
 
@@ -16,6 +17,7 @@
 
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest};
 use marblebarrow_cells::settings::CellsSettings;
+use marblebarrow_core::consts::FORMAT;
 use marblebarrow_core::event::*;
 use marblebarrow_core::facts::{Facts, Team, Tuning};
 use marblebarrow_core::log::{Level, LogLine};
@@ -53,6 +55,8 @@
     cut_until: u32,
     alone_until: u32,
     frozen_until: u32,
+    /// The format that its processes announce.
+    format: u32,
 }
 
 #[derive(Clone)]
@@ -377,6 +381,9 @@
     /// Arrays form pipelines of this many jobs: each names the ones before it in its
     /// pipeline as DAG dependencies, and is submitted once they are accepted.
     pub pipeline: Option<u32>,
+    /// Controllers learn what the others run from their heartbeats, and the store holds no
+    /// record of it yet. Otherwise the upgrade was complete before the day began.
+    upgrading: bool,
 }
 impl World {
     /// A cell that has just begun, with what will go wrong and when, in steps.
@@ -396,6 +403,7 @@
             cut_until: 0,
             alone_until: 0,
             frozen_until: 0,
+            format: FORMAT,
         };
         Self {
             rng: StdRng::seed_from_u64(seed),
@@ -461,6 +469,7 @@
             accepted_at: BTreeMap::new(),
             wide: None,
             pipeline: None,
+            upgrading: false,
             lapses: 0,
             mistaken: None,
             gaps: false,
@@ -563,6 +572,9 @@
     /// One step of a run of so many.
     pub fn advance(&mut self, steps: u32) {
         self.step += 1;
+        if self.step == 1 && !self.upgrading {
+            self.record_upgrade();
+        }
         self.trouble();
         self.users(steps);
         self.expire();
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -259,6 +259,9 @@
 #[derive(serde::Deserialize)]
 struct MembershipView {
     controllers: Vec<Member>,
+    /// Absent from the answers of versions before the record: read as 0.
+    #[serde(default)]
+    format_in_store: u32,
     dependencies_allowed: bool,
 }
 
@@ -289,6 +292,7 @@
         let (format, seen) = (m.format, m.seen_for_s);
         println!("{} version={version} format={format} seen_for_s={seen:.1} {heard}", m.node);
     }
+    println!("format_in_store={}", view.format_in_store);
     println!("dependencies_allowed={}", view.dependencies_allowed);
     ExitCode::SUCCESS
 }
