--- a/crates/core/src/gangs.rs
+++ b/crates/core/src/gangs.rs
@@ -1,4 +1,4 @@
-//! Gang scheduling: all tasks of a gang are placed at once, or none.
+//! Gang scheduling: the tasks of a gang are placed all at once or not at all.
 
 use crate::fleet::Machine;
 use crate::jobs::Job;
@@ -12,21 +12,21 @@
 struct Candidate<'a> {
     id: &'a MachineId,
     zone: &'a str,
-    /// CPUs, GPUs, memory (GB).
+    /// Free CPUs, GPUs and memory (GB).
     free: [f64; 3],
     has_image: bool,
 }
 
-/// Where a member of a gang is to run.
+/// The machine chosen for a member of a gang.
 struct Assignment {
-    /// The task's index.
+    /// Index of the member's task.
     member: u32,
     machine: MachineId,
 }
 
 impl Leader {
-    /// Places gangs whose tasks all fit at once; until then the others of the queue are
-    /// served.
+    /// Places the gangs whose members all fit now. A gang that doesn't fit does not hold up
+    /// other jobs of its queue.
     pub(crate) fn place_gangs(&mut self, pass: &mut SchedulingPass) {
         for id in self.waiting_by_priority(Kind::Gang) {
             let Some(job) = self.jobs.get(&id) else { continue };
@@ -34,7 +34,7 @@
             if members.is_empty() {
                 continue;
             }
-            // The members of a gang find each other by their common attempt.
+            // Members of a gang find each other by their common attempt number.
             let assignments = self.assign_members(pass, job, &members);
             let attempt = self.new_attempt();
             for Assignment { member, machine } in assignments {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Machines for all members, or none.
+    /// Machines for all members; empty if they don't all fit.
     fn assign_members(&self, pass: &SchedulingPass, job: &Job, members: &[u32]) -> Vec<Assignment> {
         let spec = job.spec();
         let size = members.len() as f64;
@@ -61,7 +61,7 @@
         Vec::new()
     }
 
-    /// The zones to try one after the other; `None` is all at once.
+    /// The zones to try one after another; `None` stands for all zones together.
     fn gang_zones(&self, spec: &JobSpec) -> Vec<Option<&str>> {
         if !spec.one_zone {
             return vec![None];
@@ -73,7 +73,8 @@
         zones
     }
 
-    /// Machines that may run members: those with the image first, then the fullest.
+    /// Machines that may run members: those that hold the image first, then those with the
+    /// fewest free CPUs.
     fn gang_candidates(
         &self,
         pass: &SchedulingPass,
@@ -104,19 +105,19 @@
     }
 }
 
-/// Packs members onto the candidates, first fit; fewer than all if they don't fit.
+/// Packs members onto the candidates by first fit; stops at the first member that doesn't fit.
 fn pack_members(
     spec: &JobSpec,
     members: &[u32],
     mut candidates: Vec<Candidate>,
 ) -> Vec<Assignment> {
-    let most_in_zone = if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX };
+    let max_in_zone = if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX };
     let mut in_zone: BTreeMap<&str, u32> = BTreeMap::new();
     let mut assignments = Vec::new();
     for &member in members {
         let candidate = candidates.iter_mut().find(|candidate| {
             let placed = in_zone.get(candidate.zone).copied().unwrap_or(0);
-            fits(spec, &candidate.free) && placed < most_in_zone
+            fits(spec, &candidate.free) && placed < max_in_zone
         });
         let Some(candidate) = candidate else { break };
         candidate.free[0] -= spec.cpus;
