--- a/crates/core/src/dependency_check.rs
+++ b/crates/core/src/dependency_check.rs
@@ -1,14 +1,14 @@
-//! A submission with DAG dependencies, while their acceptance is proven. No I/O: the user
-//! API asks for the next step, carries it out and hands back what the store answered.
+//! The acceptance check of a submission with DAG dependencies. This module does no I/O: the
+//! user API asks for the next step, performs it and passes the store's reply back.
 //!
 //! Why this is safe: a job accepted at controller A a millisecond ago was committed to the
-//! store before its user got 201, and B's check transaction is ordered after that commit by
-//! the store; so a check that commits proves that the job was never accepted. No cache is
-//! trusted for absence: the replica and the remembered final states only prove presence, which
-//! never goes back (records are monotonic).
+//! store before its user got 201, and the store orders controller B's check transaction after
+//! that commit; so a check that commits proves that the job was never accepted. No cache is
+//! trusted for absence: the replica and the remembered final states only prove that a job was
+//! accepted, which stays true as records are monotonic.
 //!
-//! Why no cycle can arise: a job may only name jobs accepted before its own check, and
-//! nobody can name a job not yet accepted; so every edge points to an older job, and the
+//! Why no cycle can arise: a job may only name jobs accepted before its own check, and no
+//! submission can name a job not yet accepted; so every edge points to an older job, and the
 //! graph is acyclic by construction.
 
 use crate::consts::CONDS_PER_DEPENDENCY;
@@ -20,61 +20,61 @@
 use marblebarrow_proto::wire::{Cond, Txn};
 use std::collections::VecDeque;
 
-/// What this controller knows of a named job without asking the store.
+/// What this controller knows of a dependency without asking the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum KnownDependency {
     /// It was accepted, and is not known to be cancelled.
     Accepted,
     /// It is cancelled.
     Cancelled,
-    /// Nothing: the store has to prove it accepted, or not.
+    /// Unknown here: the store has to prove whether it was accepted.
     Unproven,
 }
 
-/// What a check needs next.
+/// The next step of a check.
 #[derive(Debug, PartialEq)]
 pub(crate) enum DependencyStep {
-    /// Commit [`absence_transaction`] of these jobs.
+    /// Commit the [`absence_transaction`] of these jobs.
     ProveAbsent(Vec<JobId>),
     /// Read the final state of this job.
     ReadEnd(JobId),
     /// Refuse the submission: these jobs were never accepted.
     Refuse(Vec<JobId>),
-    /// Accept the job.
+    /// Accept the submission.
     Accept,
-    /// Accept the job as cancelled, like a job that it names.
+    /// Accept the submission as a cancelled job, as one of its dependencies is cancelled.
     AcceptCancelled,
 }
 
-/// The store did not answer what it was asked: the user has to come again.
+/// The store gave no usable reply, so the user has to retry the submission.
 #[derive(Debug)]
 pub(crate) struct Unanswered;
 
-/// A submission and what is known of the jobs that it names.
+/// A submission and what is known of its dependencies.
 #[derive(Debug)]
 pub(crate) struct DependencyCheck {
-    /// The submission.
+    /// The submitted spec.
     pub spec: JobSpec,
-    /// Who gets the answer.
+    /// Where the answer goes.
     pub to: ReplyTo,
-    /// Dependencies whose acceptance is not proven either way yet.
+    /// Dependencies for which neither acceptance nor its absence is proven yet.
     unproven: VecDeque<JobId>,
-    /// Dependencies that have a final state not known here yet.
-    ends_to_read: Vec<JobId>,
-    /// Dependencies that a committed check proved never accepted.
+    /// Accepted dependencies whose final state, if any, has to be read.
+    final_states_to_read: Vec<JobId>,
+    /// Dependencies that were never accepted, as a committed check proved.
     unknown: Vec<JobId>,
-    /// Whether some dependency is cancelled: then so is this job.
+    /// Whether some dependency is cancelled; the submitted job is then cancelled too.
     cancelled_dependency: bool,
-    /// Most dependencies in one check transaction (two conditions each).
-    per_check: usize,
+    /// Maximum number of dependencies in one check transaction, with two conditions each.
+    max_per_check: usize,
 }
 
-/// A dependency's final state as the store holds it.
+/// A dependency's final state as recorded in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct FinalState {
-    /// The record.
+    /// The final state record.
     pub(crate) end: EndRecord,
-    /// Version of its key.
+    /// Version of the record's key.
     pub(crate) version: u64,
 }
 
@@ -85,11 +85,12 @@
 }
 
 impl DependencyCheck {
-    /// Begins a check, with transactions of so many conditions at most.
+    /// Starts a check whose transactions have at most `max_conditions` conditions. `known`
+    /// returns what is known of a dependency without the store.
     pub(crate) fn new(
         spec: JobSpec,
         to: ReplyTo,
-        most_conditions: usize,
+        max_conditions: usize,
         known: impl Fn(&JobId) -> KnownDependency,
     ) -> Self {
         let states: Vec<_> = spec.dependencies.iter().map(|d| (d.clone(), known(d))).collect();
@@ -97,19 +98,19 @@
         let unproven = states.into_iter().filter(|(_, s)| *s == KnownDependency::Unproven);
         Self {
             unproven: unproven.map(|(dependency, _)| dependency).collect(),
-            ends_to_read: Vec::new(),
+            final_states_to_read: Vec::new(),
             unknown: Vec::new(),
             cancelled_dependency,
-            per_check: (most_conditions / CONDS_PER_DEPENDENCY).max(1),
+            max_per_check: (max_conditions / CONDS_PER_DEPENDENCY).max(1),
             spec,
             to,
         }
     }
 
-    /// What to do next.
+    /// The next step to perform.
     pub(crate) fn next_step(&mut self) -> DependencyStep {
         if !self.unproven.is_empty() {
-            let take = self.per_check.min(self.unproven.len());
+            let take = self.max_per_check.min(self.unproven.len());
             return DependencyStep::ProveAbsent(self.unproven.drain(..take).collect());
         }
         if !self.unknown.is_empty() {
@@ -118,51 +119,53 @@
         if self.cancelled_dependency {
             return DependencyStep::AcceptCancelled;
         }
-        self.ends_to_read.pop().map_or(DependencyStep::Accept, DependencyStep::ReadEnd)
+        self.final_states_to_read.pop().map_or(DependencyStep::Accept, DependencyStep::ReadEnd)
     }
 
-    /// The store answered the absence transaction of `batch`.
+    /// Handles the store's reply to the absence transaction of `batch`.
     pub(crate) fn absence_answered(
         &mut self,
         batch: Vec<JobId>,
         result: &StoreResult,
     ) -> Result<(), Unanswered> {
         match result {
-            // Neither spec nor final state exists: never accepted.
+            // Neither a spec nor a final state exists: these jobs were never accepted.
             StoreResult::Committed(_) => self.unknown.extend(batch),
-            StoreResult::Conflict(keys) => self.some_exist(&batch, keys),
+            StoreResult::Conflict(keys) => self.absence_conflict(&batch, keys),
             _ => return Err(Unanswered),
         }
         Ok(())
     }
 
-    /// Some job of the batch exists, as the failed conditions tell.
-    fn some_exist(&mut self, batch: &[JobId], failed_keys: &[String]) {
-        let mut unlisted = Vec::new();
+    /// Handles a conflict, which shows that some job of the batch exists. The store may name
+    /// only some of the failed conditions.
+    fn absence_conflict(&mut self, batch: &[JobId], failed_keys: &[String]) {
+        let mut unnamed = Vec::new();
         for dependency in batch {
             if failed_keys.contains(&end_key(dependency)) {
-                self.ends_to_read.push(dependency.clone());
+                self.final_states_to_read.push(dependency.clone());
             } else if !failed_keys.contains(&spec_key(dependency)) {
-                unlisted.push(dependency.clone());
+                unnamed.push(dependency.clone());
             }
         }
-        if batch.len() == 1 && unlisted.len() == 1 {
-            // Alone in a failed check, it exists; whether it has a final state is read.
-            self.ends_to_read.extend(unlisted);
+        if batch.len() == 1 && unnamed.len() == 1 {
+            // The only job of a failed check exists; a read shows whether it has a final state.
+            self.final_states_to_read.extend(unnamed);
             return;
         }
-        if unlisted.len() == batch.len() {
-            // The store named none of them: one at a time then.
-            self.per_check = 1;
+        if unnamed.len() == batch.len() {
+            // The store named none of the jobs, so they are checked one at a time.
+            self.max_per_check = 1;
         }
-        for dependency in unlisted.into_iter().rev() {
+        for dependency in unnamed.into_iter().rev() {
             self.unproven.push_front(dependency);
         }
     }
 
-    /// The store answered the read of a dependency's final state. Returns it, if
-    /// it has one. (If not, its acceptance is proven already.)
-    pub(crate) fn end_answered(
+    /// Handles the reply to the read of a dependency's final state, and returns that state if
+    /// there is one. A dependency without one needs no further check: its acceptance is
+    /// already proven.
+    pub(crate) fn final_state_read(
         &mut self,
         result: &StoreResult,
     ) -> Result<Option<FinalState>, Unanswered> {
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -1,18 +1,17 @@
-//! Users' requests, answered the same way on every controller.
+//! Handling of users' requests; every controller gives the same answers.
 //!
-//! A job's final state (`end/`) is written once, by whoever comes first: the
-//! leader with *done* or any controller with *cancelled*. Before a user is told
-//! anything else, the store confirms in a transaction without changes that no
-//! final state exists; many polls share one such check. So no answer is ever
-//! older than one that any controller gave before.
+//! A job's final state (`end/`) is written once, by the first writer: the leader with *done*
+//! or any controller with *cancelled*. Before a user gets any other answer, the store confirms
+//! in a transaction without changes that no final state exists; many polls share one such
+//! check. So no answer is older than one that any controller gave before.
 //!
-//! A job that a cascade cancelled is `aborted` from the moment its list is durable,
-//! though its final state comes later. So each such check also requires the cascade
-//! generation known here; see [`crate::cascaded_jobs`]. Where the copy is behind, users
-//! wait for it a little, and then are asked to come again.
+//! A job that a cascade cancelled is `aborted` from the moment its list is durable, although
+//! its final state is written later. So each check also requires the cascade generation known
+//! here; see [`crate::cascaded_jobs`]. If the local copy is behind, the request waits for it
+//! briefly, and then the user is asked to retry.
 //!
-//! A submission that names DAG dependencies (`waits_on`) is accepted only once
-//! every job it names is proven accepted; see [`crate::dependency_check`].
+//! A submission that names DAG dependencies (`waits_on`) is accepted only once each of these
+//! jobs is proven accepted; see [`crate::dependency_check`].
 
 use crate::consts::*;
 use crate::dependency_check::{DependencyCheck, FinalState};
@@ -37,80 +36,88 @@
 use cascade_reads::CascadeReads;
 use polls::{CheckedPoll, Poll};
 
+/// What a store request in flight is for.
 #[derive(Debug)]
 enum Pending {
-    /// A check behind polls.
+    /// A check transaction shared by these polls.
     Check(Vec<CheckedPoll>),
-    /// A page of the cascade lists.
+    /// The read of a page of the cascade lists.
     CascadePage,
-    /// A check that an accepted job is neither over nor cancelled by a cascade.
+    /// A check that an accepted job neither has a final state nor is cancelled by a cascade.
     OpenCheck(Poll),
-    /// The transaction of a submission.
+    /// The transaction that accepts a submission.
     Submit(JobId, ReplyTo),
-    /// Reads the spec's version for a cancel.
+    /// The read of a job's spec and its version, before the job is cancelled.
     CancelRead(JobId, ReplyTo),
-    /// The transaction of a cancel.
+    /// The transaction that cancels a job; the number is the job's task count.
     Cancel(JobId, ReplyTo, u32),
-    /// Reads a final state.
-    End(JobId, ReplyTo, Absent),
-    /// Records that a cancellation is wanted of a job that may be in another cell.
+    /// The read of a final state.
+    End(JobId, ReplyTo, OnMissing),
+    /// The transaction that requests the cancellation of a job that may be in another cell.
     CancelWanted,
-    /// A check transaction that proves some DAG dependencies accepted, or not.
+    /// A check transaction that proves whether these DAG dependencies were accepted.
     DependencyCheck(Box<DependencyCheck>, Vec<JobId>),
-    /// Reads the final state of a DAG dependency that has one.
+    /// The read of the final state of a DAG dependency.
     DependencyEnd(Box<DependencyCheck>, JobId),
-    /// The transaction that accepts a job already cancelled with a dependency.
+    /// The transaction that accepts a job as cancelled, because a dependency is; the number is
+    /// the job's task count.
     SubmitCancelled(JobId, ReplyTo, u32),
 }
 
-/// What it means that a job has no final state.
+/// What a user is told if a job has no final state.
 #[derive(Debug, Clone, Copy)]
-enum Absent {
-    /// There was no spec either, so the job never was: the final state is
-    /// written in the transaction that removes the spec.
-    Never,
-    /// Nothing: let the user ask again.
-    Unclear,
+enum OnMissing {
+    /// That the job isn't found: there was no spec either, and the final state is written no
+    /// later than in the transaction that removes the spec, so the job never existed.
+    NotFound,
+    /// To retry the request, as nothing is proven.
+    Retry,
 }
 
-/// The user_api.
+/// The user API of a controller: pending requests, polls and remembered final states.
 #[derive(Debug, Default)]
 pub struct UserApi {
+    /// Store requests in flight.
     pending: HashMap<OpId, Pending>,
+    /// Polls that wait for the next check.
     polls: VecDeque<Poll>,
-    check_running: bool,
+    check_in_flight: bool,
+    /// Earliest time of the next check.
     next_check: Secs,
-    /// The cascade lists, as read where the watch doesn't bring them.
+    /// Cascade lists read from the store when the watch is too slow to deliver them.
     cascade_reads: CascadeReads,
+    /// Submissions and cancellations in progress, limited by [`USER_WRITES_MAX`].
     writes: usize,
+    /// Remembered final states; all of them are in the store.
     terminal_states: HashMap<JobId, EndRecord>,
+    /// The jobs in `terminal_states`, oldest first.
     terminal_order: VecDeque<JobId>,
-    /// Cancellations that users are about to be told of, and their revisions.
+    /// Cancellations that users are about to be told of, with their revisions.
     confirmed: Vec<(JobId, u64)>,
-    /// Done and running tasks of unfinished jobs, for display.
+    /// Counts of done and running tasks of unfinished jobs, for display only.
     pub progress: BTreeMap<JobId, TaskCounts>,
 }
 
-/// What a request needs to know of its surroundings.
+/// The controller state that the handling of a request needs.
 pub struct RequestContext<'a> {
-    /// Now.
+    /// The current time on this controller's monotonic clock.
     pub now: Secs,
     /// Time of day, milliseconds since 1970.
     pub wall_ms: u64,
-    /// The settings.
+    /// The deployment's settings.
     pub facts: &'a Facts,
-    /// The watched keys.
+    /// The local replica of the watched keys.
     pub replica: &'a Replica,
-    /// Machine types, if known.
+    /// The machine types that the cloud offers, if known.
     pub types: Option<&'a [MachineType]>,
-    /// Whether the store has been refusing us.
+    /// Whether the store is refusing this controller's requests.
     pub store_bad: bool,
-    /// Whether submissions may name DAG dependencies: only once every
-    /// controller runs a version that knows them.
+    /// Whether submissions may name DAG dependencies: only once every controller runs a version
+    /// that supports them.
     pub dependencies_allowed: bool,
 }
 
-/// Why a job can never run, if so.
+/// The reason why a job can never run; `None` if it can.
 pub fn never_runs(spec: &JobSpec, facts: &Facts, types: &[MachineType]) -> Option<&'static str> {
     let Some(team) = facts.teams.iter().find(|t| t.name == spec.team) else {
         return Some("unknown team");
@@ -119,7 +126,7 @@
     if !fits {
         return Some("no allowed machine type holds a task");
     }
-    // Gangs and services need all their tasks at once.
+    // Gangs and services need capacity for all their tasks at the same time.
     let at_once = if spec.kind == Kind::Array { 1.0 } else { f64::from(spec.tasks) };
     let over = |need: f64, limit: f64| limit > 0.0 && need * at_once > limit + 1e-9;
     if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
@@ -128,7 +135,7 @@
     None
 }
 
-/// Whether a machine type may hold a task of a job.
+/// Whether a machine type is allowed for a job and large enough for one of its tasks.
 pub fn type_allows(spec: &JobSpec, t: &MachineType) -> bool {
     spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
         && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
@@ -139,7 +146,7 @@
 }
 
 impl UserApi {
-    /// A user asks.
+    /// Handles a user's request; the answer goes to `to`.
     pub fn ask(
         &mut self,
         context: &RequestContext<'_>,
@@ -155,22 +162,22 @@
         }
     }
 
-    /// Reads a final state, to be known from then on.
+    /// Reads a job's final state from the store and remembers it.
     pub fn learn_end(&mut self, id: JobId, out: &mut ActionSink) {
-        self.read_end(id, NOBODY, Absent::Unclear, out);
+        self.read_end(id, NOBODY, OnMissing::Retry, out);
     }
 
-    /// A final state that is surely in the store, if it is known here.
+    /// The remembered final state of a job, which is confirmed to be in the store.
     pub fn terminal_state(&self, id: &JobId) -> Option<&EndRecord> {
         self.terminal_states.get(id)
     }
 
-    fn read_end(&mut self, id: JobId, to: ReplyTo, absent: Absent, out: &mut ActionSink) {
+    fn read_end(&mut self, id: JobId, to: ReplyTo, on_missing: OnMissing, out: &mut ActionSink) {
         let op = out.store(StoreRequest::Get(end_key(&id)));
-        self.pending.insert(op, Pending::End(id, to, absent));
+        self.pending.insert(op, Pending::End(id, to, on_missing));
     }
 
-    /// Whether an answer of the store is for us; if so, takes it.
+    /// Handles a store reply if it belongs to a request of the user API. Returns whether it did.
     pub fn store(
         &mut self,
         context: &RequestContext<'_>,
@@ -182,29 +189,29 @@
             return false;
         };
         match pending {
-            Pending::Check(asked) => self.checked(context, asked, result, out),
-            // The user asks again, whatever came of it.
+            Pending::Check(asked) => self.polls_checked(context, asked, result, out),
+            // The user retries the cancellation, whatever the result.
             Pending::CancelWanted => {}
             Pending::CascadePage => self.cascade_page_read(context, result, out),
             Pending::OpenCheck(poll) => self.open_checked(context, poll, result, out),
             Pending::DependencyCheck(mut check, batch) => {
                 match check.absence_answered(batch, result) {
                     Ok(()) => self.advance(context, check, out),
-                    Err(_) => self.dependencies_unanswered(check.to, out),
+                    Err(_) => self.fail_dependency_check(check.to, out),
                 }
             }
-            Pending::DependencyEnd(mut check, dependency) => match check.end_answered(result) {
+            Pending::DependencyEnd(mut check, dependency) => match check.final_state_read(result) {
                 Ok(final_state) => {
                     if let Some(FinalState { end, version }) = final_state {
                         if end.cancelled {
-                            // Users may be told from memory from now on.
+                            // From now on, users may get this answer from memory.
                             self.confirmed.push((dependency.clone(), version));
                         }
                         self.remember(&dependency, end);
                     }
                     self.advance(context, check, out);
                 }
-                Err(_) => self.dependencies_unanswered(check.to, out),
+                Err(_) => self.fail_dependency_check(check.to, out),
             },
             Pending::SubmitCancelled(id, to, tasks) => {
                 self.writes -= 1;
@@ -215,8 +222,8 @@
                         self.remember(&id, end.clone());
                         out.reply(to, Answer::Job(201, terminal_status(&id, &end)));
                     }
-                    // Accepted before, perhaps over since.
-                    StoreResult::Conflict(keys) => self.known_before(context, id, to, keys, out),
+                    // Accepted before, and perhaps ended since.
+                    StoreResult::Conflict(keys) => self.resubmitted(context, id, to, keys, out),
                     _ => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
                 }
             }
@@ -229,8 +236,8 @@
                             JobStatus { id, stage, done: 0, running: 0, waits_on: Vec::new() };
                         out.reply(to, Answer::Job(201, status));
                     }
-                    // Accepted before, perhaps over since.
-                    StoreResult::Conflict(keys) => self.known_before(context, id, to, keys, out),
+                    // Accepted before, and perhaps ended since.
+                    StoreResult::Conflict(keys) => self.resubmitted(context, id, to, keys, out),
                     StoreResult::Rejected => out.reply(to, Answer::NeverRuns("too large to store")),
                     _ => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
                 }
@@ -244,7 +251,7 @@
                 },
                 StoreResult::Value(None) => {
                     self.writes -= 1;
-                    self.read_end(id, to, Absent::Never, out);
+                    self.read_end(id, to, OnMissing::NotFound, out);
                 }
                 _ => {
                     self.writes -= 1;
@@ -260,11 +267,11 @@
                         self.remember(&id, end.clone());
                         out.reply(to, Answer::Job(200, terminal_status(&id, &end)));
                     }
-                    StoreResult::Conflict(_) => self.read_end(id, to, Absent::Unclear, out),
+                    StoreResult::Conflict(_) => self.read_end(id, to, OnMissing::Retry, out),
                     _ => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
                 }
             }
-            Pending::End(id, to, absent) => match result {
+            Pending::End(id, to, on_missing) => match result {
                 StoreResult::Value(Some(item)) => match from_value::<EndRecord>(&item.value) {
                     Ok(end) => {
                         if end.cancelled {
@@ -275,9 +282,9 @@
                     }
                     Err(_) => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
                 },
-                StoreResult::Value(None) => match absent {
-                    Absent::Never => out.reply(to, Answer::NotFound),
-                    Absent::Unclear => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
+                StoreResult::Value(None) => match on_missing {
+                    OnMissing::NotFound => out.reply(to, Answer::NotFound),
+                    OnMissing::Retry => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
                 },
                 _ => out.reply(to, Answer::Unavailable(RETRY_STORE_S)),
             },
@@ -285,12 +292,13 @@
         true
     }
 
-    /// Cancellations confirmed since the last call, with their revisions.
+    /// Returns the cancellations confirmed since the last call, with their revisions.
     pub fn take_confirmed(&mut self) -> Vec<(JobId, u64)> {
         std::mem::take(&mut self.confirmed)
     }
 
-    /// Keeps a final state that is surely in the store.
+    /// Remembers a final state that is confirmed to be in the store. Of more than
+    /// [`FINALS_KEPT`], the oldest is dropped.
     pub fn remember(&mut self, id: &JobId, end: EndRecord) {
         self.progress.remove(id);
         if self.terminal_states.insert(id.clone(), end).is_none() {
--- a/crates/core/src/user_api/cancellations.rs
+++ b/crates/core/src/user_api/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations: recorded here, or wanted of the cell that has the job.
+//! Cancellations: recorded in this cell's store, or requested from the cell that owns the job.
 
 use super::{Pending, RequestContext, UserApi, cancelled_status, terminal_status};
 use crate::consts::*;
@@ -20,7 +20,7 @@
         if let Some(end) = self.terminal_states.get(&id) {
             return out.reply(to, Answer::Job(200, terminal_status(&id, end)));
         }
-        // It has no task (it waits for a job that is never done), so nothing is to be stopped.
+        // The job waits for a dependency that is never done, so it has no task to stop.
         if self.cascaded(context).contains(&id) {
             return out.reply(to, Answer::Job(200, cancelled_status(id)));
         }
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Cancels a job here, or has its leader cancel it where it may be.
+    /// Cancels a job whose spec is known. If the job may be in another cell, the cancellation is
+    /// requested from that cell, unless it was before (`wanted`).
     pub(super) fn cancel_known(
         &mut self,
         id: JobId,
@@ -57,15 +58,16 @@
         if record.forward.is_none() {
             return self.write_cancel(id, to, version, record.spec.tasks, out);
         }
-        // Only the cell that owns it can confirm: the user comes again until it has.
+        // Only the cell that owns the job can confirm; the user has to retry until it has.
         self.writes -= 1;
         if !wanted {
-            self.want_cancel(&id, version, out);
+            self.request_remote_cancel(&id, version, out);
         }
         out.reply(to, Answer::Unavailable(RETRY_ELSEWHERE_S));
     }
 
-    pub(super) fn want_cancel(&mut self, id: &JobId, version: u64, out: &mut ActionSink) {
+    /// Records for the leader that a job in another cell is to be cancelled.
+    pub(super) fn request_remote_cancel(&mut self, id: &JobId, version: u64, out: &mut ActionSink) {
         let txn = Txn {
             conds: vec![Cond { key: spec_key(id), version }, Cond { key: end_key(id), version: 0 }],
             writes: vec![Write::Put {
@@ -78,6 +80,7 @@
         self.pending.insert(op, Pending::CancelWanted);
     }
 
+    /// Sends the transaction that cancels a job: its final state and its cancel mark.
     pub(super) fn write_cancel(
         &mut self,
         id: JobId,
--- a/crates/core/src/user_api/cascade_reads.rs
+++ b/crates/core/src/user_api/cascade_reads.rs
@@ -1,9 +1,10 @@
-//! Reads of the cascade lists by a controller whose copy is behind.
+//! Reads of the cascade lists by a controller whose local copy is behind.
 //!
-//! A poll is answered on the strength of the cascade generation that is known here. Usually the
-//! watch brings a new one within tenths of a second. Where it doesn't, the lists are read from
-//! the store: the generation key sorts before them, so a list that is added while they are read
-//! has a newer generation than the one read, and one that is removed leaves final states behind.
+//! The check behind a poll requires the cascade generation that this controller knows. Usually
+//! the watch delivers a new generation within tenths of a second. Otherwise the lists are read
+//! from the store. The generation key sorts before them, so a list that is added during the
+//! read has a newer generation than the one read; and the jobs of a list that is removed during
+//! the read have final states.
 
 use super::{Pending, RequestContext, UserApi};
 use crate::cascaded_jobs::CascadedJobs;
@@ -13,24 +14,28 @@
 use marblebarrow_proto::records::{CASCADE_GENERATION, CASCADE_RECORDS, CASCADES};
 use marblebarrow_proto::wire::Item;
 
-/// The lists as they were last read, and the read under way.
+/// The cascade lists as last read from the store, and the read in flight.
 #[derive(Debug, Default)]
 pub(super) struct CascadeReads {
+    /// The lists of the last complete read, while they are newer than the watch's.
     latest: Option<CascadedJobs>,
+    /// The pages received so far of the read in flight.
     reading: Option<CascadedJobs>,
-    /// No read begins before.
+    /// No new read is started before this time.
     next: Secs,
 }
 
 impl UserApi {
-    /// The newest lists known here: the watch's, or those that were read since.
+    /// The newest known cascade lists: those of the watch, or those read from the store if they
+    /// are newer.
     pub(super) fn cascaded<'a>(&'a self, context: &RequestContext<'a>) -> &'a CascadedJobs {
         let watched = &context.replica.cascaded;
         let read = self.cascade_reads.latest.as_ref();
         read.filter(|read| read.generation() > watched.generation()).unwrap_or(watched)
     }
 
-    /// Reads the lists, unless a read is under way.
+    /// Starts a read of the lists, unless one is in flight or the pause after a failed read
+    /// lasts.
     pub(super) fn read_cascades(&mut self, context: &RequestContext<'_>, out: &mut ActionSink) {
         let reads = &mut self.cascade_reads;
         if reads.reading.is_some() || context.now < reads.next {
@@ -45,7 +50,7 @@
         self.pending.insert(op, Pending::CascadePage);
     }
 
-    /// A page of the lists came, or didn't.
+    /// Handles the reply to the read of a page of the lists.
     pub(super) fn cascade_page_read(
         &mut self,
         context: &RequestContext<'_>,
@@ -58,7 +63,7 @@
             return;
         };
         for item in &page.items {
-            take_item(&mut lists, item);
+            apply_item(&mut lists, item);
         }
         let last = page.items.last().filter(|_| page.more);
         if let Some(last) = last {
@@ -70,7 +75,7 @@
         self.check(context, out);
     }
 
-    /// Forgets lists that were read once the watch shows as much.
+    /// Drops the lists that were read once the watch has delivered a generation as new.
     pub(super) fn drop_old_cascade_reads(&mut self, context: &RequestContext<'_>) {
         let watched = context.replica.cascaded.generation();
         let reads = &mut self.cascade_reads;
@@ -78,8 +83,8 @@
     }
 }
 
-/// Takes a record in; a list that can't be read is passed over, as the watch does.
-fn take_item(lists: &mut CascadedJobs, item: &Item) {
+/// Adds a record to the lists. A list that can't be decoded is skipped, as the watch does.
+fn apply_item(lists: &mut CascadedJobs, item: &Item) {
     if item.key == CASCADE_GENERATION {
         lists.set_generation(item.version);
     } else if item.key.starts_with(CASCADES)
--- a/crates/core/src/user_api/polls.rs
+++ b/crates/core/src/user_api/polls.rs
@@ -1,10 +1,11 @@
-//! Polls: how jobs are, proven by transactions without changes that many of them share.
+//! Polls of the state of jobs. Each answer is proven by a transaction without changes, which
+//! many polls share.
 //!
-//! A job is open, and so `queued` or `running`, if it has no final state and no cascade was
-//! added beyond those in this controller's copy, which doesn't name it; see
+//! A job is open, and so `queued` or `running`, if it has no final state, this controller's
+//! copy of the cascade lists doesn't contain it, and no list was added since that copy; see
 //! [`crate::cascaded_jobs`].
 
-use super::{Absent, Pending, RequestContext, UserApi, cancelled_status, terminal_status};
+use super::{OnMissing, Pending, RequestContext, UserApi, cancelled_status, terminal_status};
 use crate::consts::*;
 use crate::event::{ActionSink, Answer, ReplyTo, Secs, StoreRequest, StoreResult, TaskCounts};
 use marblebarrow_proto::ids::JobId;
@@ -12,20 +13,21 @@
 use marblebarrow_proto::wire::{Cond, JobStatus, Stage, Txn};
 use std::collections::BTreeSet;
 
-/// A user who wants to know how a job is.
+/// A user's query for the state of a job.
 #[derive(Debug)]
 pub(super) struct Poll {
     pub(super) job: JobId,
     pub(super) to: ReplyTo,
-    /// When the user asked.
+    /// When the query arrived.
     pub(super) since: Secs,
 }
 
-/// A poll in a check under way.
+/// A poll that is part of the check in flight.
 #[derive(Debug)]
 pub(super) struct CheckedPoll {
     poll: Poll,
-    /// Whether the job was known when the check was sent: what it proves depends on that.
+    /// Whether the job's spec was known here when the check was sent. If not, the check also
+    /// required its absence, so that success proves that the job doesn't exist.
     known: bool,
 }
 
@@ -53,25 +55,26 @@
         self.check(context, out);
     }
 
-    /// Steps with time.
+    /// Performs the work that is due at this time.
     pub fn tick(&mut self, context: &RequestContext<'_>, out: &mut ActionSink) {
         self.drop_old_cascade_reads(context);
         self.check(context, out);
     }
 
-    /// When [`UserApi::tick`] next has something to do.
+    /// When [`UserApi::tick`] next has work; `None` if it waits for the store or for requests.
     pub fn wake(&self) -> Option<Secs> {
-        (!self.check_running && !self.polls.is_empty()).then_some(self.next_check)
+        (!self.check_in_flight && !self.polls.is_empty()).then_some(self.next_check)
     }
 
+    /// Sends the check transaction for as many waiting polls as it may hold, if one is due.
     pub(super) fn check(&mut self, context: &RequestContext<'_>, out: &mut ActionSink) {
-        if self.check_running || self.polls.is_empty() || context.now < self.next_check {
+        if self.check_in_flight || self.polls.is_empty() || context.now < self.next_check {
             return;
         }
         let nodes = (context.facts.others.len() + 1) as f64;
         self.next_check =
             context.now + nodes / (context.facts.store_rps * POLL_CHECK_SHARE).max(0.1);
-        let most = context.facts.store_txn_ops * CONDS_PER_OP;
+        let limit = context.facts.store_txn_ops * CONDS_PER_OP;
         let mut keys: BTreeSet<String> = BTreeSet::new();
         let mut asked = Vec::new();
         while let Some(poll) = self.polls.pop_front() {
@@ -79,8 +82,8 @@
                 out.reply(poll.to, Answer::Job(200, cancelled_status(poll.job)));
                 continue;
             }
-            // One condition is the cascade generation.
-            if keys.len() + 1 + CONDS_PER_POLL > most && !keys.contains(&end_key(&poll.job)) {
+            // One condition is on the cascade generation.
+            if keys.len() + 1 + CONDS_PER_POLL > limit && !keys.contains(&end_key(&poll.job)) {
                 self.polls.push_front(poll);
                 break;
             }
@@ -97,12 +100,12 @@
         let mut conds: Vec<Cond> = keys.into_iter().map(|key| Cond { key, version: 0 }).collect();
         conds.push(self.generation_condition(context));
         let op = out.store(StoreRequest::Commit(Txn { conds, writes: Vec::new() }));
-        self.check_running = true;
+        self.check_in_flight = true;
         self.pending.insert(op, Pending::Check(asked));
     }
 
-    /// Asks the store to prove that an accepted job is neither over nor cancelled by a
-    /// cascade that this controller doesn't know.
+    /// Asks the store to prove that an accepted job has no final state and is not cancelled by
+    /// a cascade that this controller doesn't know.
     pub(super) fn check_open(
         &mut self,
         context: &RequestContext<'_>,
@@ -115,7 +118,7 @@
         self.pending.insert(op, Pending::OpenCheck(poll));
     }
 
-    /// The store answered [`UserApi::check_open`].
+    /// Handles the store's reply to [`UserApi::check_open`].
     pub(super) fn open_checked(
         &mut self,
         context: &RequestContext<'_>,
@@ -126,16 +129,17 @@
         match result {
             StoreResult::Committed(_) => self.answer_open(context, poll, out),
             StoreResult::Conflict(keys) if keys.contains(&end_key(&poll.job)) => {
-                self.read_end(poll.job, poll.to, Absent::Unclear, out);
+                self.read_end(poll.job, poll.to, OnMissing::Retry, out);
             }
-            StoreResult::Conflict(keys) if has_generation(keys) => {
-                self.poll_later(context, poll, out);
+            StoreResult::Conflict(keys) if names_generation(keys) => {
+                self.requeue_poll(context, poll, out);
             }
             _ => out.reply(poll.to, Answer::Unavailable(RETRY_STORE_S)),
         }
     }
 
-    /// Tells how a job is that a check proved open, unless the copy knows better by now.
+    /// Answers a poll for a job that a check proved open, unless the local copy of the cascade
+    /// lists contains the job by now.
     pub(super) fn answer_open(
         &self,
         context: &RequestContext<'_>,
@@ -150,9 +154,10 @@
         out.reply(poll.to, Answer::Job(200, status));
     }
 
-    /// A poll waits for this controller to learn of the latest cascade, for a while: from its
-    /// watch, or else by reading the lists.
-    pub(super) fn poll_later(
+    /// Queues a poll again, to wait until this controller learns of the latest cascade from its
+    /// watch or, after [`CASCADE_READ_AFTER_S`], from a read of the lists. After
+    /// [`CASCADE_WAIT_S`] the user is asked to retry.
+    pub(super) fn requeue_poll(
         &mut self,
         context: &RequestContext<'_>,
         poll: Poll,
@@ -168,8 +173,9 @@
         self.polls.push_back(poll);
     }
 
-    /// A submission met a record of its job: accepted before, perhaps over since.
-    pub(super) fn known_before(
+    /// Handles a submission of a job that already has a record: it was accepted before, and has
+    /// perhaps ended since.
+    pub(super) fn resubmitted(
         &mut self,
         context: &RequestContext<'_>,
         id: JobId,
@@ -178,19 +184,20 @@
         out: &mut ActionSink,
     ) {
         if failed_keys.contains(&end_key(&id)) {
-            return self.read_end(id, to, Absent::Unclear, out);
+            return self.read_end(id, to, OnMissing::Retry, out);
         }
         self.check_open(context, Poll { job: id, to, since: context.now }, out);
     }
 
-    pub(super) fn checked(
+    /// Handles the store's reply to [`UserApi::check`] and answers the polls that it covers.
+    pub(super) fn polls_checked(
         &mut self,
         context: &RequestContext<'_>,
         asked: Vec<CheckedPoll>,
         result: &StoreResult,
         out: &mut ActionSink,
     ) {
-        self.check_running = false;
+        self.check_in_flight = false;
         match result {
             StoreResult::Committed(_) => {
                 for CheckedPoll { poll, known } in asked {
@@ -202,18 +209,18 @@
                 }
             }
             StoreResult::Conflict(keys) => {
-                let behind = has_generation(keys);
+                let behind = names_generation(keys);
                 for CheckedPoll { poll, .. } in asked {
                     if keys.contains(&end_key(&poll.job)) {
-                        self.read_end(poll.job, poll.to, Absent::Unclear, out);
+                        self.read_end(poll.job, poll.to, OnMissing::Retry, out);
                     } else if behind {
-                        self.poll_later(context, poll, out);
+                        self.requeue_poll(context, poll, out);
                     } else if keys.contains(&spec_key(&poll.job)) {
-                        // A spec that is there though the watch hasn't shown it
-                        // means the same as a known one.
+                        // The spec exists although the watch hasn't delivered it yet, so
+                        // the job is treated as known.
                         self.check_open(context, poll, out);
                     } else {
-                        // Not proven by a failed check: again with the next.
+                        // The failed check proves nothing for this poll: it joins the next.
                         self.polls.push_back(poll);
                     }
                 }
@@ -227,6 +234,7 @@
         }
     }
 
+    /// The status of an open job, from the task counts known here.
     pub(super) fn open_status(&self, context: &RequestContext<'_>, id: JobId) -> JobStatus {
         let TaskCounts { done, running } = self.progress.get(&id).copied().unwrap_or_default();
         let stage = if running > 0 { Stage::Running } else { Stage::Queued };
@@ -234,14 +242,14 @@
         JobStatus { id, stage, done, running, waits_on }
     }
 
-    /// The condition that no cascade was added that this controller doesn't know.
+    /// The condition that no cascade list was added that this controller doesn't know.
     fn generation_condition(&self, context: &RequestContext<'_>) -> Cond {
         let version = self.cascaded(context).generation();
         Cond { key: CASCADE_GENERATION.into(), version }
     }
 
-    /// The DAG dependencies of a job that this controller still sees
-    /// unfinished: their spec is in the replica and no final state is known.
+    /// The DAG dependencies of a job that are unfinished as far as this controller knows: their
+    /// spec is in the replica, and neither a final state nor a cascade cancellation is known.
     pub(super) fn unfinished_dependencies(
         &self,
         context: &RequestContext<'_>,
@@ -259,6 +267,6 @@
     }
 }
 
-fn has_generation(failed_keys: &[String]) -> bool {
+fn names_generation(failed_keys: &[String]) -> bool {
     failed_keys.iter().any(|key| key == CASCADE_GENERATION)
 }
--- a/crates/core/src/user_api/submissions.rs
+++ b/crates/core/src/user_api/submissions.rs
@@ -1,4 +1,5 @@
-//! Submissions: checked against the settings, proven to name accepted jobs only, and recorded.
+//! Submissions: checked against the settings, proven to name only accepted jobs as dependencies,
+//! and recorded.
 
 use super::polls::Poll;
 use super::{Pending, RequestContext, UserApi, cancelled_status, never_runs, terminal_status};
@@ -14,6 +15,7 @@
 use marblebarrow_proto::wire::{Cond, Txn, Write};
 
 impl UserApi {
+    /// Handles a submission: answers it at once, or starts the requests that accept it.
     pub(super) fn submit(
         &mut self,
         context: &RequestContext<'_>,
@@ -31,7 +33,7 @@
             return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
         }
         if context.replica.specs.contains_key(&spec.id) {
-            // Known: an accepted job is never refused, whatever it says now.
+            // The job was accepted before, so it isn't refused even if the new spec is invalid.
             return self.check_open(context, Poll { job: spec.id, to, since: context.now }, out);
         }
         let Some(types) = context.types else {
@@ -53,7 +55,7 @@
         self.check_dependencies(context, to, spec, out);
     }
 
-    /// The transaction that accepts a job: its spec, if there is no record yet.
+    /// Sends the transaction that accepts a job: it writes the spec if the job has no record.
     pub(super) fn write_submission(
         &mut self,
         context: &RequestContext<'_>,
@@ -74,8 +76,8 @@
         self.pending.insert(op, Pending::Submit(id, to));
     }
 
-    /// Starts proving a submission's dependencies accepted: what is known
-    /// here proves it at once, the rest is asked of the store.
+    /// Starts the check that a submission's dependencies were accepted. State known here proves
+    /// it at once; for the rest the store is asked.
     pub(super) fn check_dependencies(
         &mut self,
         context: &RequestContext<'_>,
@@ -83,12 +85,13 @@
         spec: JobSpec,
         out: &mut ActionSink,
     ) {
-        let most = context.facts.store_txn_ops * CONDS_PER_OP;
+        let limit = context.facts.store_txn_ops * CONDS_PER_OP;
         let known = |dependency: &JobId| self.known_dependency(context, dependency);
-        let check = Box::new(DependencyCheck::new(spec, to, most, known));
+        let check = Box::new(DependencyCheck::new(spec, to, limit, known));
         self.advance(context, check, out);
     }
 
+    /// What this controller knows of a dependency without asking the store.
     pub(super) fn known_dependency(
         &self,
         context: &RequestContext<'_>,
@@ -104,7 +107,8 @@
         }
     }
 
-    /// Takes the next step of a dependency check, or ends it.
+    /// Performs the next step of a dependency check, the last of which answers the user or
+    /// accepts the job.
     pub(super) fn advance(
         &mut self,
         context: &RequestContext<'_>,
@@ -132,14 +136,14 @@
         }
     }
 
-    /// Ends a dependency check that the store did not answer.
-    pub(super) fn dependencies_unanswered(&mut self, to: ReplyTo, out: &mut ActionSink) {
+    /// Ends a dependency check for which the store gave no usable reply; the user has to retry.
+    pub(super) fn fail_dependency_check(&mut self, to: ReplyTo, out: &mut ActionSink) {
         self.writes -= 1;
         out.reply(to, Answer::Unavailable(RETRY_STORE_S));
     }
 
-    /// Accepts a job that names a cancelled dependency as cancelled itself:
-    /// its final state and no spec, if there is no record of it yet.
+    /// Sends the transaction that accepts a job with a cancelled dependency as cancelled: it
+    /// writes the final state and no spec, if the job has no record.
     pub(super) fn write_cancelled_submission(
         &mut self,
         id: JobId,
--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -1,4 +1,4 @@
-//! Users at a controller that is asked more than it can take, or cut off.
+//! The user API: overload, a controller cut off from the store, and jobs with dependencies.
 
 use ciborium::Value;
 use marblebarrow_core::consts::{CONDS_PER_OP, FINALS_KEPT, RETRY_STORE_S, USER_WRITES_MAX};
@@ -19,14 +19,14 @@
 
 fn node() -> Node {
     let mut node = Node::new(facts(), 1, 0.0);
-    node.handle(0.0, 0, Event::Watch(fresh(0.0, Vec::new())));
+    node.handle(0.0, 0, Event::Watch(watch_reset(0.0, Vec::new())));
     node.tick(0.1, 0);
-    // It asks for the machine types before it takes a job.
+    // The node reads the machine types before it accepts a job.
     let types = node.take_actions().into_iter().find_map(|a| match a {
         Action::Cloud(op, CloudRequest::Types) => Some(op),
         _ => None,
     });
-    let op = types.expect("asks for types");
+    let op = types.expect("requests the machine types");
     node.handle(0.2, 0, Event::Cloud(op, CloudResult::Types(vec![machine_type()])));
     node
 }
@@ -72,8 +72,8 @@
     }
 }
 
-/// All watched keys, read anew.
-fn fresh(sent: Secs, items: Vec<Item>) -> WatchNews {
+/// Watch news that replaces all watched keys.
+fn watch_reset(sent: Secs, items: Vec<Item>) -> WatchNews {
     WatchNews { sent, revision: 0, content: WatchContent::Reset(items) }
 }
 
@@ -104,37 +104,37 @@
 }
 
 fn replies(node: &mut Node) -> Vec<(u64, Answer)> {
-    let told = |a| match a {
+    let reply = |a| match a {
         Action::Reply(to, answer) => Some((to.0, answer)),
         _ => None,
     };
-    node.take_actions().into_iter().filter_map(told).collect()
+    node.take_actions().into_iter().filter_map(reply).collect()
 }
 
-/// What can't be taken is told so in the same step, and nothing is held back.
+/// Submissions over the limit are refused in the same step; none is held back unanswered.
 #[test]
-fn too_many_submissions_are_told_at_once_when_to_come_back() {
+fn submissions_over_the_limit_get_retry_after_at_once() {
     let mut node = node();
     node.take_actions();
-    let most = USER_WRITES_MAX as u32;
-    for n in 0..most + 10 {
+    let limit = USER_WRITES_MAX as u32;
+    for n in 0..limit + 10 {
         let submit = UserRequest::Submit(Box::new(job(n)));
         node.handle(0.3, 0, Event::User(ReplyTo(u64::from(n)), submit));
     }
-    let told = replies(&mut node);
-    assert_eq!(told.len(), 10);
-    for (to, answer) in told {
-        assert!(to >= u64::from(most));
+    let reply = replies(&mut node);
+    assert_eq!(reply.len(), 10);
+    for (to, answer) in reply {
+        assert!(to >= u64::from(limit));
         assert!(matches!(answer, Answer::Full(after) if after > 0), "{answer:?}");
     }
 }
 
-/// A controller that neither the store serves nor any peer is heard by is the
-/// one cut off: its health check fails, and users are told to come back.
+/// A controller that the store refuses while a peer is served, or that hears no peer at all,
+/// is the one cut off: its health check fails, and users are told to retry.
 #[test]
-fn cut_off_alone_it_says_so() {
+fn a_controller_cut_off_alone_fails_its_health_check() {
     let mut node = node();
-    let beat = |at: f64, node: &mut Node, ok| {
+    let heartbeat = |at: f64, node: &mut Node, ok| {
         let news =
             PeerNews::Heartbeat { node: NodeId::new("c1"), store_ok: ok, leading: Some(false) };
         node.handle(at, 0, Event::Peer(news));
@@ -142,7 +142,7 @@
     let health = |at: f64, node: &mut Node| {
         node.take_actions();
         node.handle(at, 0, Event::User(ReplyTo(1), UserRequest::Health));
-        replies(node).pop().expect("told at once").1
+        replies(node).pop().expect("answered at once").1
     };
     // Every store request is refused from here on.
     let mut at = 0.3;
@@ -155,39 +155,39 @@
         }
         at += 0.1;
     }
-    // A peer that is refused too: an outage, and no controller is better.
-    beat(at, &mut node, false);
+    // The peer is refused too: the store has an outage, and no controller is better off.
+    heartbeat(at, &mut node, false);
     assert_eq!(health(at, &mut node), Answer::Healthy);
-    // A peer that is served is better.
-    beat(at, &mut node, true);
+    // The peer is served, so users are better off there.
+    heartbeat(at, &mut node, true);
     assert!(matches!(health(at, &mut node), Answer::Unavailable(_)));
-    // No peer heard at all.
+    // No peer is heard at all.
     assert!(matches!(health(at + 10.0, &mut node), Answer::Unavailable(_)));
     node.handle(at + 10.0, 0, Event::User(ReplyTo(2), UserRequest::Poll(JobId::new("req-1"))));
     assert!(matches!(replies(&mut node)[..], [(2, Answer::Unavailable(_))]));
 }
 
-/// Memory stays bounded over many finished jobs: the oldest final states are
-/// forgotten, and read from the store again when somebody asks.
+/// Memory stays bounded over many finished jobs: the oldest final states are dropped, and read
+/// from the store again when a user polls.
 #[test]
-fn forgotten_final_states_are_read_again() {
+fn dropped_final_states_are_read_again() {
     let mut node = node();
     node.take_actions();
     let id = |n: usize| JobId::new(&format!("req-{n}"));
-    // Asks; plays the store, which holds a final state for every job. The answer,
-    // and how often the store was asked.
+    // Polls a job, with a simulated store that holds a final state for every job. Returns the
+    // answer and the number of store requests.
     let ask = |at: f64, n: usize, node: &mut Node| {
         node.handle(at, 0, Event::User(ReplyTo(n as u64), UserRequest::Poll(id(n))));
         node.tick(at, 0);
-        let (mut asked, mut told) = (0, None);
+        let (mut asked, mut reply) = (0, None);
         loop {
             let actions = node.take_actions();
             if actions.is_empty() {
-                return (told, asked);
+                return (reply, asked);
             }
             for action in actions {
                 match action {
-                    Action::Reply(_, answer) => told = Some(answer),
+                    Action::Reply(_, answer) => reply = Some(answer),
                     Action::Store(op, StoreRequest::Commit(txn)) => {
                         asked += 1;
                         let keys = txn.conds.into_iter().map(|c| c.key).collect();
@@ -205,28 +205,28 @@
         }
     };
     let done =
-        |told: &Option<Answer>| matches!(told, Some(Answer::Job(200, s)) if s.stage == Stage::Done);
+        |r: &Option<Answer>| matches!(r, Some(Answer::Job(200, s)) if s.stage == Stage::Done);
     let mut at = 1.0;
     for n in 0..FINALS_KEPT + 5 {
         at += 1.0;
-        let (told, asked) = ask(at, n, &mut node);
-        assert!(done(&told) && asked == 2, "{n}: {told:?} after {asked}");
+        let (reply, asked) = ask(at, n, &mut node);
+        assert!(done(&reply) && asked == 2, "{n}: {reply:?} after {asked}");
     }
-    let (told, asked) = ask(at + 1.0, FINALS_KEPT + 4, &mut node);
-    assert!(done(&told) && asked == 0, "the newest is remembered");
-    let (told, asked) = ask(at + 2.0, 0, &mut node);
-    assert!(done(&told) && asked == 2, "the oldest is read again");
+    let (reply, asked) = ask(at + 1.0, FINALS_KEPT + 4, &mut node);
+    assert!(done(&reply) && asked == 0, "the newest is remembered");
+    let (reply, asked) = ask(at + 2.0, 0, &mut node);
+    assert!(done(&reply) && asked == 2, "the oldest is read again");
 }
 
 type Store = BTreeMap<String, Item>;
 
-/// The job whose submission comes while the version gate is shut, before
-/// every controller knows DAG dependencies.
+/// The job that is submitted while the version gate is closed, that is, before every controller
+/// supports DAG dependencies.
 const GATED: u32 = 0;
 
-/// The store's answer. Of the conditions that fail it names only the first, as
-/// a store may, and it holds transactions to `store_txn_ops = 1`.
-fn play(store: &mut Store, request: StoreRequest) -> StoreResult {
+/// A simulated store's reply. It names only the first failed condition, as a store may, and
+/// asserts that transactions keep to `store_txn_ops = 1`.
+fn simulate_store(store: &mut Store, request: StoreRequest) -> StoreResult {
     let txn = match request {
         StoreRequest::Get(key) => return StoreResult::Value(store.get(&key).cloned()),
         StoreRequest::Commit(txn) => txn,
@@ -245,12 +245,12 @@
     StoreResult::Committed(1)
 }
 
-/// What a user is told by one controller's user API, with the store played.
+/// The answer of one controller's user API to a request, with a simulated store.
 fn ask(api: &mut UserApi, replica: &Replica, store: &mut Store, request: UserRequest) -> Answer {
-    ask_with(api, replica, request, |asked| play(store, asked))
+    ask_with(api, replica, request, |asked| simulate_store(store, asked))
 }
 
-/// What a user is told when the store answers so.
+/// The answer of the user API to a request when the store replies as `store` does.
 fn ask_with(
     api: &mut UserApi,
     replica: &Replica,
@@ -270,7 +270,7 @@
     let mut out = ActionSink::default();
     api.ask(&context, ReplyTo(1), request, &mut out);
     loop {
-        match out.actions.pop().expect("somebody is told") {
+        match out.actions.pop().expect("the user gets an answer") {
             Action::Reply(_, answer) => return answer,
             Action::Store(op, request) => api.store(&context, op, &store(request), &mut out),
             other => panic!("{other:?}"),
@@ -287,7 +287,7 @@
     job(n).id
 }
 
-fn told(code: u16, n: u32, stage: Stage, waits_on: Vec<JobId>) -> Answer {
+fn reply(code: u16, n: u32, stage: Stage, waits_on: Vec<JobId>) -> Answer {
     Answer::Job(code, JobStatus { id: id(n), stage, done: 0, running: 0, waits_on })
 }
 
@@ -295,9 +295,9 @@
     (key.clone(), Item { key, value, version: 1 })
 }
 
-/// Known here, accepted elsewhere just before (in the store only), done,
-/// unknown: only a committed check proves a job never accepted, and a store
-/// that names only the first failed condition misleads nobody.
+/// The dependencies are known here, just accepted elsewhere (in the store only), done, or
+/// unknown. Only a committed check may prove that a job was never accepted, even with a store
+/// that names only the first failed condition.
 #[test]
 fn dependencies_never_accepted_get_422_naming_them() {
     let (mut api, mut replica) = (UserApi::default(), Replica::default());
@@ -312,17 +312,17 @@
     assert_eq!(ask(&mut api, &replica, &mut store, submit(9, &[1, 2, 3, 4, 5, 6])), unknown);
     assert!(!store.contains_key(&spec_key(&id(9))), "nothing written");
     let accepted = ask(&mut api, &replica, &mut store, submit(9, &[1, 2, 3, 5]));
-    assert_eq!(accepted, told(201, 9, Stage::Queued, vec![]));
-    // A poll names the dependencies that this controller still sees unfinished.
+    assert_eq!(accepted, reply(201, 9, Stage::Queued, vec![]));
+    // A poll's answer lists the dependencies that are unfinished as far as this controller knows.
     let spec = JobSpec { dependencies: vec![id(1), id(2)], ..job(9) };
     replica.specs.insert(id(9), (Arc::new(SpecRecord::submitted(spec, 0)), 1));
     let polled = ask(&mut api, &replica, &mut store, UserRequest::Poll(id(9)));
-    assert_eq!(polled, told(200, 9, Stage::Queued, vec![id(1)]));
+    assert_eq!(polled, reply(200, 9, Stage::Queued, vec![id(1)]));
 }
 
-/// Naming a cancelled job: accepted as cancelled, a final state and no spec, and
-/// so told again by another controller from that final state. Until every
-/// controller knows dependencies ([`GATED`]), naming any gets 503.
+/// A job with a cancelled dependency is accepted as cancelled, with a final state and no spec,
+/// and another controller gives the same answer from that final state. Until every controller
+/// supports dependencies ([`GATED`]), a submission with any gets 503.
 #[test]
 fn a_job_naming_a_cancelled_one_is_accepted_aborted() {
     let (mut api, mut replica) = (UserApi::default(), Replica::default());
@@ -332,15 +332,15 @@
     let gated = ask(&mut api, &replica, &mut store, submit(GATED, &[1]));
     assert_eq!(gated, Answer::Unavailable(RETRY_STORE_S));
     let first = ask(&mut api, &replica, &mut store, submit(2, &[1]));
-    assert_eq!(first, told(201, 2, Stage::Cancelled, vec![]));
+    assert_eq!(first, reply(201, 2, Stage::Cancelled, vec![]));
     assert!(!store.contains_key(&spec_key(&id(2))) && store.contains_key(&end_key(&id(2))));
     let again = ask(&mut UserApi::default(), &replica, &mut store, submit(2, &[1]));
-    assert_eq!(again, told(200, 2, Stage::Cancelled, vec![]));
-    assert_eq!(store.len(), 2, "the gated one wrote nothing");
+    assert_eq!(again, reply(200, 2, Stage::Cancelled, vec![]));
+    assert_eq!(store.len(), 2, "the gated submission wrote nothing");
 }
 
-/// A cancellation that a controller knows from a dependency's final state alone is told to
-/// users from memory later: the leader must hear of it with the next pledge all the same.
+/// A controller that learns of a cancellation only from a dependency's final state later tells
+/// users of it from memory, so the leader must learn of it with the next pledge too.
 #[test]
 fn a_cancelled_dependency_that_was_read_counts_as_confirmed() {
     let (mut api, mut replica) = (UserApi::default(), Replica::default());
@@ -349,62 +349,63 @@
     let mut store = Store::from([item(end_key(&id(1)), cancelled)]);
     ask(&mut api, &replica, &mut store, submit(2, &[1]));
     let polled = ask(&mut api, &replica, &mut store, UserRequest::Poll(id(1)));
-    assert_eq!(polled, told(200, 1, Stage::Cancelled, vec![]));
+    assert_eq!(polled, reply(200, 1, Stage::Cancelled, vec![]));
     let confirmed: Vec<JobId> = api.take_confirmed().into_iter().map(|(job, _)| job).collect();
     assert_eq!(confirmed, [id(1), id(2)]);
 }
 
-/// What can never be accepted, and what a retry is told whose first answer was lost.
+/// A job that depends on itself can never be accepted. A retry whose first answer was lost gets
+/// the state of the accepted job.
 #[test]
-fn a_job_naming_itself_is_refused_and_a_retry_is_told_what_was_accepted() {
+fn a_job_naming_itself_is_refused_and_a_retry_gets_the_accepted_state() {
     let (mut api, mut replica) = (UserApi::default(), Replica::default());
     replica.synced = true;
     let mut store = Store::new();
     let itself = ask(&mut api, &replica, &mut store, submit(1, &[1]));
     assert_eq!(itself, Answer::UnknownDependencies(vec![id(1)]));
     assert!(store.is_empty());
-    // The first is accepted by one controller, as its dependency is unfinished; the other,
-    // asked again, reads that the dependency was cancelled meanwhile.
+    // One controller accepts the first submission, as its dependency is unfinished. The other
+    // gets the retry and reads that the dependency was cancelled meanwhile.
     let record = to_value(&SpecRecord::submitted(job(3), 0));
     store.extend([item(spec_key(&id(3)), record)]);
     let first = ask(&mut api, &replica, &mut store, submit(4, &[3]));
-    assert_eq!(first, told(201, 4, Stage::Queued, vec![]));
+    assert_eq!(first, reply(201, 4, Stage::Queued, vec![]));
     let cancelled = to_value(&EndRecord { cancelled: true, tasks: 1 });
     store.extend([item(end_key(&id(3)), cancelled)]);
     store.remove(&spec_key(&id(3)));
     let again = ask(&mut UserApi::default(), &replica, &mut store, submit(4, &[3]));
-    assert_eq!(again, told(200, 4, Stage::Queued, vec![]), "the leader's cascade ends it");
+    assert_eq!(again, reply(200, 4, Stage::Queued, vec![]), "the leader's cascade ends it");
     assert!(!store.contains_key(&end_key(&id(4))));
 }
 
-/// While the final state of a dependency that ended long ago can't be read, or the check isn't
-/// answered, users are told to come back, and no place of a submission under way is lost.
+/// While the final state of a dependency that ended long ago can't be read, or the check gets
+/// no reply, users are told to retry, and no slot for submissions in progress is leaked.
 #[test]
-fn a_submission_waits_out_a_store_that_does_not_tell_how_a_dependency_ended() {
+fn an_unreadable_dependency_state_leaks_no_submission_slot() {
     let (mut api, mut replica) = (UserApi::default(), Replica::default());
     replica.synced = true;
     let done = to_value(&EndRecord { cancelled: false, tasks: 1 });
     let mut store = Store::from([item(end_key(&id(1)), done)]);
     for attempt in 0..=2 * USER_WRITES_MAX {
-        let told = ask_with(&mut api, &replica, submit(2, &[1]), |asked| match asked {
+        let reply = ask_with(&mut api, &replica, submit(2, &[1]), |asked| match asked {
             StoreRequest::Get(_) => StoreResult::Refused,
             StoreRequest::Commit(_) if attempt % 2 == 0 => StoreResult::Unknown,
-            asked => play(&mut store, asked),
+            asked => simulate_store(&mut store, asked),
         });
-        assert_eq!(told, Answer::Unavailable(RETRY_STORE_S), "attempt {attempt}");
+        assert_eq!(reply, Answer::Unavailable(RETRY_STORE_S), "attempt {attempt}");
     }
     let accepted = ask(&mut api, &replica, &mut store, submit(2, &[1]));
-    assert_eq!(accepted, told(201, 2, Stage::Queued, vec![]));
+    assert_eq!(accepted, reply(201, 2, Stage::Queued, vec![]));
 }
 
-/// A job of a cascade list is aborted for all that users ask of it, without the store, and
-/// one that names it is accepted as aborted. A controller whose copy lacks the list proves
-/// nothing with it: users come again.
+/// A job in a cascade list is reported as aborted for every kind of request, without the store,
+/// and a job that depends on it is accepted as aborted. A controller whose copy lacks the list
+/// can prove nothing: users have to retry.
 #[test]
-fn a_job_of_a_cascade_list_is_aborted_before_its_final_state() {
+fn a_job_in_a_cascade_list_is_aborted_before_its_final_state() {
     let watched = |items: Vec<Item>| {
         let mut replica = Replica::default();
-        replica.apply(fresh(0.0, items));
+        replica.apply(watch_reset(0.0, items));
         replica
     };
     let record = to_value(&SpecRecord::submitted(job(1), 0));
@@ -418,12 +419,13 @@
     let (mut api, current) = (UserApi::default(), watched(all.to_vec()));
     for request in [UserRequest::Poll(id(1)), UserRequest::Cancel(id(1)), submit(1, &[])] {
         let aborted = ask(&mut api, &current, &mut Store::new(), request);
-        assert_eq!(aborted, told(200, 1, Stage::Cancelled, vec![]));
+        assert_eq!(aborted, reply(200, 1, Stage::Cancelled, vec![]));
     }
     let dependent = ask(&mut api, &current, &mut store, submit(2, &[1]));
-    assert_eq!(dependent, told(201, 2, Stage::Cancelled, vec![]));
+    assert_eq!(dependent, reply(201, 2, Stage::Cancelled, vec![]));
 
-    // (The clock of these asks stands still, so the poll itself would wait for the watch.)
+    // `ask` doesn't advance the clock, and with a copy that is behind, a poll waits for the
+    // watch; so the requests are made step by step here.
     let mut behind = UserApi::default();
     let (mut out, facts) = (ActionSink::default(), facts());
     let old = watched(vec![spec]);
@@ -441,13 +443,13 @@
         let (mut at, mut answer) = (now, None);
         while answer.is_none() {
             at += 0.2;
-            assert!(at < 2.0, "users wait no longer");
+            assert!(at < 2.0, "the answer is late");
             behind.tick(&context(at), &mut out);
             for action in std::mem::take(&mut out.actions) {
                 match action {
-                    Action::Reply(_, told) => answer = Some(told),
+                    Action::Reply(_, reply) => answer = Some(reply),
                     Action::Store(op, request) => {
-                        let result = play(&mut store, request);
+                        let result = simulate_store(&mut store, request);
                         behind.store(&context(at), op, &result, &mut out);
                     }
                     other => panic!("{other:?}"),
