--- a/crates/core/src/place/array_jobs.rs
+++ b/crates/core/src/place/array_jobs.rs
@@ -1,9 +1,10 @@
 //! Placement of array jobs from weighted queues, sized by task sampling.
 //!
-//! Jobs of few tasks are in the top queue. A wide job's pilot tasks are served from the
-//! pilot queue; once they have run, mean run time × tasks picks the job's queue. Queues
-//! share the machines by weight, and each serves its jobs first come, first served. What
-//! is still idle then takes tasks of jobs whose pilots haven't run yet, by arrival.
+//! Jobs with few tasks go to the top queue. A wide job first runs a few pilot tasks from the pilot
+//! queue; once they have run, their mean run time times the number of tasks selects the job's
+//! queue. The queues share the machines by weight, and each serves its jobs first come, first
+//! served. Capacity that is still idle after that goes, in order of arrival, to tasks of jobs whose
+//! pilots haven't run yet.
 
 use super::deadlines::{Urgency, urgency};
 use super::queues::{by_rank_arrival_id, queue_of_job, queued_cpus};
@@ -15,18 +16,18 @@
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::job::Priority;
 
-/// Which array jobs a round serves.
+/// Which array jobs a round of a pass serves.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ArrayRound {
-    /// Those within their team's guarantee.
+    /// Jobs within their team's guarantee.
     Guaranteed,
-    /// All but those that run only on spare capacity.
+    /// All jobs except those that run only on spare capacity.
     Regular,
-    /// All that are left.
+    /// All remaining jobs.
     SpareCapacity,
 }
 
-/// Which of a job's tasks may be served.
+/// Which of a job's tasks may be placed.
 #[derive(Clone, Copy, PartialEq)]
 enum Eligible {
     Pilots,
@@ -34,24 +35,24 @@
 }
 
 impl Eligible {
-    /// Only pilots until the job's size is known.
+    /// Only pilot tasks until the job's size is known.
     fn of(job: &Job) -> Self {
         if job.queue.is_none() { Self::Pilots } else { Self::AllTasks }
     }
 }
 
-/// A job that waits in a queue.
+/// A job waiting in a queue.
 #[derive(Clone)]
 struct QueuedJob {
-    /// The least goes first.
+    /// Rank, arrival and id; the lowest goes first.
     order: (u8, Secs, JobId),
     eligible: Eligible,
 }
 
-/// The jobs of one round.
+/// The waiting jobs of one round, by queue.
 #[derive(Default)]
 struct RoundQueues {
-    /// Each queue's jobs, the first one last.
+    /// Each queue's jobs in reverse order: the head is the last element.
     queues: [Vec<QueuedJob>; QUEUES],
     /// Jobs whose size isn't known yet.
     unsized_jobs: Vec<(u8, Secs, JobId)>,
@@ -62,8 +63,8 @@
         // A higher priority goes first in its queue.
         let priority_rank = Priority::Production as u8 - job.priority() as u8;
         let eligible = Eligible::of(job);
-        // Sized by its work, a wide job waits behind all smaller ones; one that runs out of
-        // time moves up to the top queue, or its deadline would mean nothing.
+        // A wide job waits in its size queue behind all smaller ones. When its deadline becomes
+        // urgent it moves to the top queue, as it would otherwise miss the deadline.
         let queue = if urgency == Urgency::Urgent { 0 } else { queue_of_job(job) };
         let rank = priority_rank * 3 + urgency as u8;
         let order = (rank, job.arrived, id.clone());
@@ -75,13 +76,13 @@
 
     fn sort(&mut self) {
         for queue in &mut self.queues {
-            // Kept reversed: the head is popped from the end.
+            // Sorted in reverse, so that the head can be popped from the end.
             queue.sort_by(|a, b| by_rank_arrival_id(&b.order, &a.order));
         }
         self.unsized_jobs.sort_by(by_rank_arrival_id);
     }
 
-    /// The queue that uses least for its weight, of those with jobs.
+    /// The non-empty queue with the lowest usage relative to its weight.
     fn next_queue(&self, used: &[f64; QUEUES]) -> Option<usize> {
         let weight = |queue: usize| QUEUE_GROWTH.powi(-(queue as i32));
         let share = |queue: usize| used[queue] / weight(queue);
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Array jobs that have waited too long for their first task, by arrival.
+    /// Array jobs that have waited too long for their first task, in order of arrival.
     fn overdue_arrays(&self, now: Secs) -> Vec<JobId> {
         let overdue = |job: &Job| {
             job.started.is_empty() && now - job.arrived > BEGIN_LATEST_S && job.waiting() > 0
@@ -116,7 +117,7 @@
         jobs.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// Serves the queues by weight, then jobs whose size isn't known.
+    /// Places tasks from the queues by weight, then tasks of jobs whose size isn't known.
     pub(super) fn place_arrays(
         &mut self,
         pass: &mut SchedulingPass,
@@ -124,7 +125,7 @@
         images: ImagePolicy,
     ) {
         let may_preempt = may_preempt(pass, round, images);
-        // Without preemption nothing can be placed where no machine has free capacity.
+        // Without preemption, nothing can be placed when no machine has free capacity.
         if pass.available.is_empty() && !may_preempt {
             return;
         }
@@ -148,6 +149,7 @@
         }
     }
 
+    /// Collects the waiting array jobs that take part in the round.
     fn round_queues(&self, pass: &SchedulingPass, round: ArrayRound) -> RoundQueues {
         let mut jobs = RoundQueues::default();
         for id in &self.queue_snapshot.arrays {
@@ -168,8 +170,8 @@
         }
     }
 
-    /// Places the job's next task, if need be by preemption; the CPUs that it counts in its
-    /// queue, or `None` if it found no machine.
+    /// Places the job's next task, by preemption if necessary. Returns the CPUs to count toward its
+    /// queue, or `None` if no machine was found.
     fn place_next(
         &mut self,
         pass: &mut SchedulingPass,
@@ -192,7 +194,7 @@
         if self.place_task(pass, id, index, allowed) {
             return Some(cpus);
         }
-        // Preemption is for the last try only.
+        // Preemption is only tried in the last round of image policies.
         if images == ImagePolicy::Cached {
             return None;
         }
@@ -201,21 +203,21 @@
         placed.then_some(cpus)
     }
 
-    /// The machines that the job's next task may start on: after a while any, or a rare
-    /// image would never be fetched.
+    /// The image policy for the job's next task. It is relaxed once the job has waited for
+    /// `IMAGE_PATIENCE_S`; otherwise a rarely used image would never be fetched.
     fn allowed_images(&self, now: Secs, id: &JobId, images: ImagePolicy) -> Option<ImagePolicy> {
-        let waited = now - self.jobs.get(id)?.arrived > IMAGE_PATIENCE_S;
+        let waited_long = now - self.jobs.get(id)?.arrived > IMAGE_PATIENCE_S;
         Some(match images {
-            ImagePolicy::Cached if !waited => ImagePolicy::Cached,
+            ImagePolicy::Cached if !waited_long => ImagePolicy::Cached,
             ImagePolicy::Any => ImagePolicy::Any,
-            _ if waited && self.worth_fetch_after_wait(id) => ImagePolicy::Any,
+            _ if waited_long && self.worth_fetch_after_wait(id) => ImagePolicy::Any,
             _ if self.worth_fetch(id) => ImagePolicy::Any,
             _ => ImagePolicy::Cached,
         })
     }
 
-    /// Spare-capacity work gives way to all other at once: where it was left to run on,
-    /// others waited for minutes beside it.
+    /// Preempts spare-capacity work for the task, without any waiting time: when that work was left
+    /// running, other tasks waited for minutes next to it.
     fn preempt_spare_capacity(
         &mut self,
         pass: &mut SchedulingPass,
@@ -234,7 +236,8 @@
         Some(preempted)
     }
 
-    /// A job within its team's guarantee preempts teams beyond theirs, once it has waited.
+    /// Preempts tasks of teams that exceed their guarantee, for a job within its team's guarantee
+    /// that has waited for `GUARANTEE_PATIENCE_S`.
     fn preempt_for_guarantee(
         &mut self,
         pass: &mut SchedulingPass,
@@ -242,8 +245,8 @@
         index: u32,
         guaranteed: bool,
     ) -> Option<bool> {
-        let patient = pass.now - self.jobs.get(id)?.arrived < GUARANTEE_PATIENCE_S;
-        if !guaranteed || patient {
+        let within_patience = pass.now - self.jobs.get(id)?.arrived < GUARANTEE_PATIENCE_S;
+        if !guaranteed || within_patience {
             return Some(false);
         }
         let reason = PreemptionReason::Guarantee;
--- a/crates/core/src/place/assign.rs
+++ b/crates/core/src/place/assign.rs
@@ -10,7 +10,8 @@
 use marblebarrow_proto::job::{JobSpec, Kind};
 
 impl Leader {
-    /// Places one task on the best machine with free capacity; whether there was one.
+    /// Places one task on the best machine with enough free capacity. Returns false if there is
+    /// none.
     pub(super) fn place_task(
         &mut self,
         pass: &mut SchedulingPass,
@@ -39,14 +40,14 @@
         true
     }
 
-    /// An attempt's number, higher than all before.
+    /// Returns a new attempt number, higher than all previous ones.
     pub(crate) fn new_attempt(&mut self) -> Attempt {
         self.next_attempt += 1;
         Attempt::new(self.term, self.next_attempt)
     }
 
-    /// Assigns a task to a machine: books the capacity, has the start recorded, and tells
-    /// the machine once that is done.
+    /// Assigns a task to a machine: reserves the capacity and queues the start to be recorded in
+    /// the store. The machine is told of the task once that is done.
     pub(crate) fn assign(
         &mut self,
         pass: &mut SchedulingPass,
@@ -76,7 +77,7 @@
         self.prepare_machine(pass, machine, &spec);
     }
 
-    /// The number that records know the machine by; gives it one if it has none.
+    /// The number under which stored records refer to the machine; assigns one if it has none.
     pub(crate) fn machine_number(&mut self, machine: &MachineId) -> Option<u32> {
         let machine = self.machines.get_mut(machine)?;
         if machine.info.number == 0 {
@@ -109,8 +110,8 @@
         });
     }
 
-    /// The machine is to fetch the image and to be told of the task; its free capacity has
-    /// changed.
+    /// Updates the machine after an assignment: expects the image fetch, schedules a message to the
+    /// worker, and refreshes the free capacity.
     fn prepare_machine(&mut self, pass: &mut SchedulingPass, id: &MachineId, spec: &JobSpec) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.push = true;
@@ -129,7 +130,7 @@
     }
 }
 
-/// An attempt that was just placed.
+/// The state of an attempt that has just been placed.
 fn placed(machine: &MachineId, attempt: Attempt, now: Secs) -> Live {
     Live {
         machine: machine.clone(),
--- a/crates/core/src/place/candidates.rs
+++ b/crates/core/src/place/candidates.rs
@@ -1,4 +1,4 @@
-//! Which machines a task may start on, and which of them is best.
+//! Search for a task's machine: which machines qualify, and which of them is best.
 
 use super::{ImagePolicy, SchedulingPass};
 use crate::consts::AMOUNT_TOLERANCE;
@@ -10,59 +10,59 @@
 use marblebarrow_proto::job::JobSpec;
 use std::collections::BTreeMap;
 
-/// Bound on the smallest task's CPUs while no task is known.
+/// Upper bound on the smallest task's CPUs, used while no task is known.
 const LEAST_CPUS_MAX: f64 = 1e6;
 
-/// How good a machine is for a task; the least is best. The fields count in this order.
+/// Rank of a machine for a task; the lowest is best. Fields are compared in declaration order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MachineScore {
-    /// A task of the job failed there.
+    /// Whether a task of the job has failed on the machine.
     failed_before: bool,
-    scarcity: Scarcity,
-    /// Time to fetch the image, tenths of a second.
+    capacity_cost: CapacityCost,
+    /// Image fetch time in tenths of a second.
     fetch: u64,
-    /// Free CPUs, hundredths: the fullest machine first, so that idle ones can be returned.
+    /// Free CPUs in hundredths. The fullest machine ranks first, so that idle ones can be released.
     free_cpus: i64,
 }
 
-/// What using up a machine's capacity costs.
+/// Relative cost of occupying a machine's capacity.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Scarcity {
-    /// An ordinary machine that runs a service stays anyway.
-    StaysAnyway,
+enum CapacityCost {
+    /// An ordinary (on-demand) machine that runs a service and is therefore retained anyway.
+    HostsServices,
     /// A spot machine.
     Spot,
-    /// An ordinary machine that could be returned.
-    Returnable,
+    /// An ordinary (on-demand) machine that could otherwise be released.
+    Releasable,
 }
 
-impl Scarcity {
+impl CapacityCost {
     fn of(machine: &Machine) -> Self {
         if machine.services > 0 {
-            Self::StaysAnyway
+            Self::HostsServices
         } else if machine.info.spot {
             Self::Spot
         } else {
-            Self::Returnable
+            Self::Releasable
         }
     }
 }
 
-/// The outcome of a search for a machine.
+/// The result of a search for a machine.
 pub(super) struct MachineSearch {
     /// The best machine, if any qualifies.
     pub(super) best: Option<MachineId>,
-    /// Some machine didn't qualify only as it still lists an ended attempt of the task.
+    /// Whether some machine was rejected only because it still lists an ended attempt of the task.
     pub(super) attempt_listed: bool,
 }
 
 /// A task to find a machine for.
 pub(super) struct TaskRequest<'a> {
-    /// Its job.
+    /// The task's job.
     pub(super) job: &'a Job,
     /// The task.
     pub(super) task: TaskId,
-    /// Which machines its image allows.
+    /// Which machines qualify with regard to the task's image.
     pub(super) images: ImagePolicy,
 }
 
@@ -77,10 +77,10 @@
             }
             let allowed = |machine: &&Machine| machine_allowed(self.job, machine, machines);
             let Some(machine) = machines.get(id).filter(allowed) else { continue };
-            if self.too_costly(machine, pass.now) {
+            if self.keeps_machine_for_spare_work(machine, pass.now) {
                 continue;
             }
-            if self.listed_on(machine) {
+            if self.is_listed_on(machine) {
                 attempt_listed = true;
                 continue;
             }
@@ -92,20 +92,22 @@
         MachineSearch { best: best.map(|(_, id)| id.clone()), attempt_listed }
     }
 
-    /// Spare-capacity work doesn't keep an ordinary machine by itself, except to begin.
-    fn too_costly(&self, machine: &Machine, now: Secs) -> bool {
+    /// Whether placing the task would keep an ordinary machine in use for spare-capacity work
+    /// alone. This is permitted only for the first task of a job.
+    fn keeps_machine_for_spare_work(&self, machine: &Machine, now: Secs) -> bool {
         let alone = machine.tasks.is_empty() || machine.spare_since.is_some();
         let has_begun = !self.job.started.is_empty();
         alone && !machine.info.spot && self.job.cheap_only(now) && has_begun
     }
 
-    /// Where an ended attempt of the task is still listed the worker would refuse it. The
-    /// entry is cleared within seconds, once no start of it is unconfirmed any more.
-    fn listed_on(&self, machine: &Machine) -> bool {
+    /// Whether the machine still lists an ended attempt of the task, in which case the worker would
+    /// refuse a new one. The entry is cleared within seconds, once no start of that attempt is
+    /// unconfirmed any more.
+    fn is_listed_on(&self, machine: &Machine) -> bool {
         machine.exited.keys().any(|(ended, _)| *ended == self.task)
     }
 
-    /// How good the machine is, unless its image cache rules it out.
+    /// Scores the machine; `None` if the image policy rules it out.
     fn score(
         &self,
         id: &MachineId,
@@ -117,22 +119,22 @@
         let fetch = machine.fetch_time(&spec.image, spec.image_gb, now);
         self.images.allows(fetch).then(|| MachineScore {
             failed_before: self.job.avoids(id),
-            scarcity: Scarcity::of(machine),
+            capacity_cost: CapacityCost::of(machine),
             fetch: (fetch * 10.0) as u64,
             free_cpus: (free[0] * 100.0) as i64,
         })
     }
 }
 
-/// Whether a task fits into free capacity: CPUs, GPUs, memory (GB).
+/// Whether a task fits into the free capacity: CPUs, GPUs, memory (GB).
 pub(crate) fn fits(spec: &JobSpec, free: &[f64; 3]) -> bool {
     spec.cpus <= free[0] + AMOUNT_TOLERANCE
         && spec.gpus <= free[1] + AMOUNT_TOLERANCE
         && spec.memory_gb <= free[2] + AMOUNT_TOLERANCE
 }
 
-/// Whether a task of the job may start on a machine as far as type, zone and spot go,
-/// given where the job's other tasks run.
+/// Whether a task of the job may start on the machine with regard to type, zone and spot, given
+/// where the job's other tasks run.
 pub(crate) fn machine_allowed(job: &Job, machine: &Machine, machines: &Machines) -> bool {
     let spec = job.spec();
     if !matches_spec(spec, machine) {
@@ -141,14 +143,14 @@
     if !spec.one_zone && !spec.spread {
         return true;
     }
-    // Some tasks may run on machines unknown: nothing can be promised about zones.
+    // Some tasks may be running on unidentified machines, so zone constraints can't be guaranteed.
     if !job.maybe_running.is_empty() {
         return false;
     }
     zone_allowed(job, &machine.info.zone, machines)
 }
 
-/// Whether tasks of the job may run on such a machine: spot, zone and type.
+/// Whether the machine satisfies the job's spot, zone and type requirements.
 pub(crate) fn matches_spec(spec: &JobSpec, machine: &Machine) -> bool {
     let info = &machine.info;
     (spec.spot || !info.spot)
@@ -156,6 +158,8 @@
         && spec.types.as_ref().is_none_or(|types| types.contains(&info.kind))
 }
 
+/// Whether one more task of the job may run in the zone: with `one_zone`, all tasks share a zone;
+/// with `spread`, no zone gets more than half of them (rounded up).
 fn zone_allowed(job: &Job, zone: &str, machines: &Machines) -> bool {
     let spec = job.spec();
     let zone_of = |live: &Live| machines.get(&live.machine).map(|m| m.info.zone.as_str());
@@ -167,8 +171,8 @@
 }
 
 impl Leader {
-    /// The free capacity of the usable machines that have room for the smallest task: in a
-    /// full fleet these are few.
+    /// Free capacity of the usable machines that have room for the smallest task. On a full fleet
+    /// these are few.
     pub(super) fn available_machines(
         &self,
         now: Secs,
--- a/crates/core/src/place/deadlines.rs
+++ b/crates/core/src/place/deadlines.rs
@@ -1,4 +1,4 @@
-//! How urgent a job is, by its deadline and its class's service-level objectives.
+//! Urgency of jobs, derived from their deadlines and their class's service-level objectives.
 
 use crate::consts::*;
 use crate::event::Secs;
@@ -6,18 +6,18 @@
 use crate::inheritance::DeadlineAhead;
 use crate::jobs::Job;
 
-/// How urgent a job is; the least goes first.
+/// How urgent a job is; the lowest value goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Urgency {
-    /// An objective can still be met, but not for long.
+    /// An objective can still be met, but little time is left.
     Urgent,
-    /// There is time, or no deadline is set.
+    /// There is enough time, or no deadline is set.
     Normal,
-    /// The deadline is missed whatever is done: it must not delay other jobs.
+    /// The deadline will be missed in any case, so the job must not delay others.
     Missed,
 }
 
-/// How urgent the job is now.
+/// The job's current urgency.
 pub(super) fn urgency(job: &Job, facts: &Facts, now: Secs) -> Urgency {
     if let Some(deadline) = job.inherited_deadline() {
         return inherited_urgency(deadline, now + job.likely_run());
@@ -25,7 +25,8 @@
     if job.spec().deadline_s.is_none() {
         return Urgency::Normal;
     }
-    // Late already, it should still be done before its completion objective is missed.
+    // Even when the deadline has passed, the job should finish before it misses its completion
+    // objective.
     if completion_at_risk(job, facts, now) {
         return Urgency::Urgent;
     }
@@ -33,7 +34,7 @@
     match slack.min_by(f64::total_cmp) {
         None if now - job.arrived > MISSED_LAST_S => Urgency::Normal,
         None => Urgency::Missed,
-        // Its last task takes longer than the mean.
+        // The job's last task takes longer than the mean, by the factor `RUN_SPREAD`.
         Some(slack) if slack - job.likely_run() * (RUN_SPREAD - 1.0) < URGENT_SLACK_S => {
             Urgency::Urgent
         }
@@ -41,17 +42,17 @@
     }
 }
 
-/// How urgent the deadline of the jobs after it makes a job that would be done at `done` if
-/// it started now. Each stage to come needs some slack of its own.
+/// Urgency that a job inherits from the deadline of its dependent jobs, given that it would finish
+/// at `done` if it started now. Each remaining stage needs slack of its own.
 fn inherited_urgency(deadline: DeadlineAhead, done: Secs) -> Urgency {
     let slack = if done <= deadline.due { deadline.due - done } else { deadline.latest - done };
     let stages = f64::from(deadline.stages + 1);
-    // Past all that the jobs after it could still meet, it goes in its turn.
+    // Once the dependent jobs can't meet any objective, the job is scheduled normally.
     if (0.0..URGENT_SLACK_S * stages).contains(&slack) { Urgency::Urgent } else { Urgency::Normal }
 }
 
-/// Seconds to spare before each multiple of the deadline that the class's objectives name,
-/// or before the deadline itself.
+/// Slack in seconds before each multiple of the deadline named in the class's objectives, or before
+/// the deadline itself if there are none.
 fn deadline_slacks(job: &Job, facts: &Facts, now: Secs) -> Vec<f64> {
     let Some(deadline) = job.spec().deadline_s else { return Vec::new() };
     let run = job.likely_run();
@@ -64,7 +65,7 @@
     slacks
 }
 
-/// Whether an objective on the job's completion is about to be missed.
+/// Whether an objective on the job's completion time is about to be missed.
 fn completion_at_risk(job: &Job, facts: &Facts, now: Secs) -> bool {
     let run = job.likely_run();
     let objectives = facts.finishes.iter().filter(|o| o.class == job.spec().class);
--- a/crates/core/src/place/image_demand.rs
+++ b/crates/core/src/place/image_demand.rs
@@ -1,4 +1,4 @@
-//! Demand for container images: whether one more machine should fetch an image.
+//! Demand for container images: decides whether one more machine should fetch an image.
 
 use crate::consts::HOLDERS_FREE_SHARE;
 use crate::event::Secs;
@@ -9,26 +9,26 @@
 use marblebarrow_proto::job::{JobSpec, Kind};
 use std::collections::HashMap;
 
-/// The demand for an image: CPUs.
+/// The demand for an image, in CPUs.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Demand {
-    /// What waiting array tasks need.
+    /// CPUs that waiting array tasks need.
     pub(crate) waiting: f64,
-    /// The size of all machines that have the image or are fetching it.
+    /// Total CPUs of the machines that have the image or are fetching it.
     pub(crate) holders: f64,
-    /// Of that, what services hold: it never comes free.
+    /// The part of `holders` that services occupy, which doesn't become free.
     pub(crate) held_by_services: f64,
 }
 
 impl Demand {
-    /// The same, of the holders only what arrays use or could use.
+    /// The same demand, counting only the holder CPUs that arrays use or could use.
     fn without_services(self) -> Self {
         let holders = (self.holders - self.held_by_services).max(0.0);
         Self { holders, held_by_services: 0.0, ..self }
     }
 }
 
-/// The demand for each image that array tasks wait for.
+/// The demand for each image that array tasks are waiting for.
 pub(super) fn image_demand(
     jobs: &Jobs,
     machines: &Machines,
@@ -42,6 +42,7 @@
     images
 }
 
+/// The CPUs that waiting array tasks need, by image.
 fn waiting_demand(jobs: &Jobs) -> HashMap<String, Demand> {
     let mut images: HashMap<String, Demand> = HashMap::new();
     for job in jobs.values().filter(|job| job.spec().kind == Kind::Array) {
@@ -60,6 +61,7 @@
     images
 }
 
+/// Adds the machines that have each image or are fetching it.
 fn count_holders(
     images: &mut HashMap<String, Demand>,
     machines: &Machines,
@@ -77,18 +79,16 @@
     }
 }
 
-/// Whether a task should fetch its image on one more machine: not while the machines that
-/// have it become free sooner than the fetch would end.
+/// Whether a task should fetch its image on one more machine. It shouldn't if the machines that
+/// have the image will become free before the fetch would end: without this rule half of all starts
+/// on a full fleet fetched an image, which took a quarter of the machines' time.
 ///
-/// (In a full fleet half of all starts once fetched, and a quarter of the machines' time
-/// went into it.)
-///
-/// `likely_run` is what a task probably takes, seconds; `fetch_rate` the highest of all
-/// machine types, GB/s.
+/// `likely_run` is the task's expected run time in seconds; `fetch_rate` is the highest rate of all
+/// machine types, in GB/s.
 fn fetch_is_worthwhile(spec: &JobSpec, likely_run: f64, demand: Demand, fetch_rate: f64) -> bool {
     let fetch = spec.image_gb / fetch_rate.max(1e-3);
-    let come_free = demand.holders * fetch / likely_run.max(0.1);
-    demand.waiting > come_free * HOLDERS_FREE_SHARE
+    let becoming_free = demand.holders * fetch / likely_run.max(0.1);
+    demand.waiting > becoming_free * HOLDERS_FREE_SHARE
 }
 
 impl Leader {
@@ -97,10 +97,11 @@
         self.fetch_is_worthwhile_for(id, |demand| demand)
     }
 
-    /// The same for a job that has waited long for machines that have its image: what services
-    /// hold there doesn't count. (It once kept an array's last task for 18 s, until the day
-    /// ended, from fetching on an idle machine. Where it never counts, a fleet that isn't full
-    /// fetches more, and figures fall by 0.01.)
+    /// Like [`Leader::worth_fetch`], for a job that has waited long for machines that have its
+    /// image: capacity that services occupy there isn't counted. Counting it kept an array's last
+    /// task from fetching on an idle machine for 18 s. Never counting it, even for jobs that
+    /// haven't waited, makes a fleet with spare capacity fetch more and lowers the measured results
+    /// by 0.01.
     pub(crate) fn worth_fetch_after_wait(&self, id: &JobId) -> bool {
         self.fetch_is_worthwhile_for(id, Demand::without_services)
     }
--- a/crates/core/src/place/mod.rs
+++ b/crates/core/src/place/mod.rs
@@ -1,13 +1,14 @@
-//! Task placement: which waiting task starts on which machine.
+//! Task placement: decides which waiting task starts on which machine.
 //!
-//! A scheduling pass serves services first, by priority and arrival; then gangs; then
-//! array jobs that have waited too long for their first task; then all other array jobs
-//! from the weighted queues ([`array_jobs`]). Where jobs may move to other cells, some arrays
-//! go first, and some capacity is withheld ([`bound_to_cell`]). Team quotas bound every step ([`quota`]).
+//! A scheduling pass serves services first, by priority and arrival; then gangs; then array jobs
+//! that have waited too long for their first task; then all other array jobs from the weighted
+//! queues ([`array_jobs`]). In a multi-cell deployment, a starved array may go first, and a
+//! recovering leader withholds some capacity ([`bound_to_cell`]). Team quotas limit every step
+//! ([`quota`]).
 //!
-//! A full pass looks at all machines. A machine that becomes free between two full passes
-//! is filled by a pass over this machine alone, from the queue snapshot of the last full
-//! pass, so that a heartbeat costs no scan of all jobs.
+//! A full pass considers all machines. When a machine becomes free between two full passes, a pass
+//! over that machine alone fills it from the queue snapshot of the last full pass, so that a
+//! heartbeat never requires a scan of all jobs.
 
 mod array_jobs;
 mod assign;
@@ -33,7 +34,7 @@
 use marblebarrow_proto::ids::MachineId;
 
 impl Leader {
-    /// Places what can be placed now, on any machine or on one only.
+    /// Runs a scheduling pass over all machines, or over a single one.
     pub(crate) fn place(&mut self, now: Secs, only_machine: Option<&MachineId>) {
         if self.cloud_requests.types.is_empty() {
             return;
@@ -51,9 +52,9 @@
         let spare_running = self.queue_snapshot.spare_running;
         let mut pass =
             SchedulingPass::new(now, usage, available, only_machine.cloned(), spare_running);
-        self.place_left_behind(&mut pass);
+        self.place_starved_array(&mut pass);
         self.place_services(&mut pass);
-        self.withhold_for_unfound_replicas(&mut pass);
+        self.withhold_for_unlocated_replicas(&mut pass);
         if pass.is_full() {
             self.place_gangs(&mut pass);
         }
@@ -64,22 +65,23 @@
         }
     }
 
-    /// Array jobs within their team's guarantee, then all array jobs, and last those that
-    /// run only on spare capacity.
+    /// Places array jobs: first those within their team's guarantee, then all regular ones, and
+    /// last those that run only on spare capacity.
     fn place_array_rounds(&mut self, pass: &mut SchedulingPass) {
         let any_guarantee = self.facts.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
         for round in [ArrayRound::Guaranteed, ArrayRound::Regular, ArrayRound::SpareCapacity] {
             if round == ArrayRound::Guaranteed && !any_guarantee {
                 continue;
             }
-            // When machines are scarce, image fetches are what they are scarce for:
-            // tasks whose image is cached go before tasks that must fetch it.
+            // On a busy fleet, image fetches consume a significant share of machine time, so tasks
+            // whose image is cached go before tasks that must fetch it.
             for images in [ImagePolicy::Cached, ImagePolicy::FetchIfWorthwhile] {
                 self.place_arrays(pass, round, images);
             }
         }
     }
 
+    /// Requests another pass if this one used up its preemptions, and updates `backlog`.
     fn finish_full_pass(&mut self, pass: &SchedulingPass) {
         if pass.preemptions_left == 0 && self.queue_snapshot.spare_running {
             self.place_due = true;
--- a/crates/core/src/place/pass.rs
+++ b/crates/core/src/place/pass.rs
@@ -6,30 +6,30 @@
 use marblebarrow_proto::job::{JobSpec, Priority};
 use std::collections::{BTreeMap, HashSet};
 
-/// What one scheduling pass knows beyond the leader's state.
+/// Working state of one scheduling pass, in addition to the leader's state.
 pub(crate) struct SchedulingPass {
-    /// When it began.
+    /// Time at which the pass began.
     pub(crate) now: Secs,
-    /// CPUs and GPUs that each team's tasks use or may use.
+    /// CPUs and GPUs in use by each team's tasks, including tasks that may be running.
     pub(crate) usage: BTreeMap<String, [f64; 2]>,
-    /// What was preempted from each team in this pass: CPUs and GPUs. These tasks still
-    /// run, so they count in `usage` too.
+    /// CPUs and GPUs preempted from each team in this pass. The preempted tasks are still running,
+    /// so they count in `usage` too.
     pub(crate) preempted: BTreeMap<String, [f64; 2]>,
-    /// CPUs and GPUs that each team's waiting services reserve of its limit.
+    /// CPUs and GPUs of each team's limit that are reserved for its waiting services.
     pub(crate) reserved: BTreeMap<String, [f64; 2]>,
     /// Usable machines with free capacity: CPUs, GPUs, memory (GB).
     pub(crate) available: BTreeMap<MachineId, [f64; 3]>,
-    /// The only machine that the pass fills, if it isn't a full one.
+    /// The single machine that the pass fills; `None` for a full pass.
     pub(crate) only_machine: Option<MachineId>,
-    /// Requests that found no machine in this pass: tasks with the same needs are skipped.
+    /// Request shapes for which this pass found no machine; tasks with the same shape are skipped.
     pub(crate) unplaceable: HashSet<RequestShape>,
-    /// How many more tasks array jobs may preempt spare-capacity work for.
+    /// Number of array tasks for which spare-capacity work may still be preempted in this pass.
     pub(crate) preemptions_left: usize,
 }
 
 impl SchedulingPass {
-    /// A pass that begins now. Without spare-capacity work there is nothing for array jobs
-    /// to preempt.
+    /// Starts a pass at `now`. If no spare-capacity work is running, array jobs have nothing to
+    /// preempt.
     pub(super) fn new(
         now: Secs,
         usage: BTreeMap<String, [f64; 2]>,
@@ -49,27 +49,27 @@
         }
     }
 
-    /// Whether the pass looks at all machines.
+    /// Whether the pass considers all machines.
     pub(crate) fn is_full(&self) -> bool {
         self.only_machine.is_none()
     }
 
-    /// Whether a request of this shape found no machine before in this pass.
+    /// Whether an earlier request of this shape found no machine in this pass.
     pub(crate) fn is_unplaceable(&self, shape: Option<&RequestShape>) -> bool {
         shape.is_some_and(|shape| self.unplaceable.contains(shape))
     }
 
-    /// A team's CPUs and GPUs in use.
+    /// CPUs and GPUs that the team has in use.
     pub(crate) fn usage_of(&self, team: &str) -> [f64; 2] {
         self.usage.get(team).copied().unwrap_or_default()
     }
 }
 
-/// What a task requires of a machine, as far as finding any machine goes. Tasks of equal
-/// shape succeed or fail alike within a pass.
+/// The requirements that decide whether a task finds a machine. Within a pass, tasks of equal shape
+/// either all find one or all fail.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub(crate) struct RequestShape {
-    /// CPUs, GPUs and memory, as bits.
+    /// CPUs, GPUs and memory, as the bit patterns of the floats so that they can be hashed.
     amounts: [u64; 3],
     spot: bool,
     zone: Option<String>,
@@ -79,8 +79,8 @@
 }
 
 impl RequestShape {
-    /// The shape of a task of this job; `None` if where the job's other tasks run matters
-    /// too, so that each task must be looked at by itself.
+    /// The request shape of a task of this job. `None` if placement also depends on where the job's
+    /// other tasks run, because each task must then be searched for separately.
     pub(crate) fn of(
         spec: &JobSpec,
         images: ImagePolicy,
@@ -100,33 +100,34 @@
     }
 }
 
-/// Why a task may preempt another.
+/// The rule that permits a task to preempt another.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum PreemptionReason {
-    /// Its priority is higher.
+    /// The preempting task has a higher priority.
     HigherPriority,
-    /// The other only uses spare capacity.
+    /// The preempted task runs only on spare capacity.
     SpareCapacity,
-    /// It is within its team's guarantee, and the other's team is beyond its own.
+    /// The preempting task is within its team's guarantee, and the other task's team exceeds its
+    /// own.
     Guarantee,
 }
 
-/// Which machines a task may start on, as far as its image goes.
+/// Which machines a task may start on with regard to its image.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum ImagePolicy {
-    /// Those that have the image cached.
+    /// Only machines that have the image cached.
     Cached,
-    /// All, if a fetch is worthwhile; else those that have it cached.
+    /// Any machine if a fetch is worthwhile; otherwise only those that have the image cached.
     FetchIfWorthwhile,
-    /// All.
+    /// Any machine.
     Any,
 }
 
-/// A fetch shorter than this, seconds, counts as a cached image.
+/// Fetch time in seconds below which an image counts as cached.
 const CACHED_FETCH_S: f64 = 0.1;
 
 impl ImagePolicy {
-    /// Whether a machine qualifies that takes so long to fetch the image, seconds.
+    /// Whether a machine qualifies on which fetching the image takes `fetch` seconds.
     pub(crate) fn allows(self, fetch: f64) -> bool {
         match self {
             Self::Cached => fetch < CACHED_FETCH_S,
--- a/crates/core/src/place/queues.rs
+++ b/crates/core/src/place/queues.rs
@@ -1,4 +1,4 @@
-//! The queues that waiting tasks are served from.
+//! Queues of waiting tasks.
 
 use crate::consts::{PILOT_QUEUE, QUEUES};
 use crate::event::Secs;
@@ -8,22 +8,22 @@
 use marblebarrow_proto::job::Kind;
 use std::cmp::{Ordering, Reverse};
 
-/// Which jobs wait, and what each queue's array jobs use. Taken by each full pass; a
-/// machine that becomes free in between is filled from it.
+/// The waiting jobs, and the CPUs used by each queue's array jobs. Every full pass takes a
+/// snapshot; machines that become free before the next full pass are filled from it.
 #[derive(Debug, Default)]
 pub(crate) struct QueueSnapshot {
-    /// Services that wait, by priority and arrival.
+    /// Services with waiting tasks, by priority and arrival.
     pub(super) services: Vec<JobId>,
-    /// Array jobs that wait.
+    /// Array jobs with waiting tasks.
     pub(super) arrays: Vec<JobId>,
-    /// CPUs that each queue's tasks use.
+    /// CPUs used by each queue's tasks.
     pub(super) used: [f64; QUEUES],
-    /// Whether spare-capacity work runs anywhere.
+    /// Whether any spare-capacity work is running.
     pub(super) spare_running: bool,
 }
 
 impl QueueSnapshot {
-    /// Looks through all jobs for those that wait.
+    /// Collects the jobs that have waiting tasks.
     pub(super) fn of(jobs: &Jobs) -> Self {
         let mut snapshot = Self { services: waiting_jobs(jobs, Kind::Service), ..Self::default() };
         for (id, job) in jobs.iter().filter(|(_, job)| job.spec().kind == Kind::Array) {
@@ -38,12 +38,12 @@
     }
 }
 
-/// The queue that serves an array job: the pilot queue until its size is known.
+/// The index of the queue that serves an array job; the pilot queue until the job's size is known.
 pub(super) fn queue_of_job(job: &Job) -> usize {
     job.queue.map_or(PILOT_QUEUE, usize::from)
 }
 
-/// CPUs that one task of the job counts in its queue.
+/// CPUs that one task of the job counts toward its queue's usage.
 pub(super) fn queued_cpus(job: &Job) -> f64 {
     job.spec().cpus.max(1e-3)
 }
@@ -59,7 +59,7 @@
     waiting.into_iter().map(|(_, _, id)| id.clone()).collect()
 }
 
-/// Orders jobs by their rank, then by arrival, then by id.
+/// Compares jobs by rank, then by arrival, then by id.
 pub(super) fn by_rank_arrival_id<R: Ord, I: Ord>(a: &(R, Secs, I), b: &(R, Secs, I)) -> Ordering {
     a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2))
 }
--- a/crates/core/src/place/quota.rs
+++ b/crates/core/src/place/quota.rs
@@ -1,4 +1,4 @@
-//! Team quotas: what a team is guaranteed, and what it may use at most.
+//! Team quotas: the capacity that a team is guaranteed, and the limit on what it may use.
 
 use super::SchedulingPass;
 use crate::consts::AMOUNT_TOLERANCE;
@@ -24,21 +24,21 @@
         if spec.kind == Kind::Array
             && let Some(reserved) = pass.reserved.get(&spec.team)
         {
-            // What services wait for must not be taken again by the array jobs that were
-            // preempted for them.
+            // Capacity reserved for waiting services must not be taken back by the array jobs that
+            // were preempted for them.
             (0..2).for_each(|i| used[i] += reserved[i]);
         }
         !exceeds_limit(used[0], spec.cpus, team.cpus_max)
             && !exceeds_limit(used[1], spec.gpus, team.gpus_max)
     }
 
-    /// The team of that name.
+    /// Looks up a team by name.
     pub(crate) fn team(&self, name: &str) -> Option<&Team> {
         self.facts.teams.iter().find(|team| team.name == name)
     }
 }
 
-/// Whether `more` on top of what is used exceeds a limit; zero is no limit.
+/// Whether `more` on top of `used` exceeds the limit; zero means no limit.
 pub(crate) fn exceeds_limit(used: f64, more: f64, limit: f64) -> bool {
     limit > 0.0 && used + more > limit + AMOUNT_TOLERANCE
 }
--- a/crates/core/src/place/services.rs
+++ b/crates/core/src/place/services.rs
@@ -5,13 +5,14 @@
 use marblebarrow_proto::ids::JobId;
 
 impl Leader {
-    /// Places waiting services, by priority and arrival.
+    /// Places the replicas of waiting services, by priority and arrival.
     pub(super) fn place_services(&mut self, pass: &mut SchedulingPass) {
         for id in self.queue_snapshot.services.clone() {
             self.place_service(pass, &id);
         }
     }
 
+    /// Places the service's waiting replicas. If one finds no machine, reserves quota for the rest.
     fn place_service(&mut self, pass: &mut SchedulingPass, id: &JobId) {
         while let Some(index) = self.jobs.get_mut(id).and_then(|job| job.next_task(pass.now)) {
             if !self.place_replica(pass, id, index) {
@@ -22,12 +23,12 @@
         }
     }
 
-    /// Prefers a machine that has the image, if need be by preemption; then the machine
-    /// with the shortest fetch.
+    /// Places one replica. It prefers a machine that has the image, by preemption if necessary, and
+    /// then the machine with the shortest fetch.
     ///
-    /// A single machine that became free is taken only if it has the image: the others are
-    /// looked at in the next full pass. (In a full fleet most services once fetched on what
-    /// became free while machines with their image ran array jobs.)
+    /// In a pass over a single machine, the machine is used only if it has the image; other
+    /// machines are considered in the next full pass. Without this rule most services on a full
+    /// fleet fetched their image on newly freed machines while machines that had it ran array jobs.
     fn place_replica(&mut self, pass: &mut SchedulingPass, id: &JobId, index: u32) -> bool {
         let reason = PreemptionReason::HigherPriority;
         self.place_task(pass, id, index, ImagePolicy::Cached)
--- a/crates/core/src/tests/image_demand.rs
+++ b/crates/core/src/tests/image_demand.rs
@@ -1,12 +1,14 @@
-//! Whether an array's task fetches its image on one more machine.
+//! Whether an array task fetches its image on one more machine.
 //!
-//! What happened: of 2,100 machines a quarter died in a takeover, and one task of an array
-//! still waited 24 s after recovery, beside 13 to 57 idle machines, until the day ended (seeds
-//! 30 and 37 of the cluster sweep `quarter_lost`). Why: the idle machines had not its image,
-//! and a fetch counted as not worthwhile, as the machines that had it would become free sooner:
-//! 25 to 46 of them, all full of services, which never end. What showed it: the log line
-//! `event=fleet ... ordinary_idle=13 ... waiting=1`, and the demand for the image as each pass
-//! saw it, `waiting: 1.0, holders: 184.0`, for the whole of that time.
+//! Guards against an array task that waits for machines full of services. In the cluster sweep
+//! `quarter_lost` (seeds 30 and 37), a quarter of 2,100 machines died in a takeover, and one array
+//! task was still waiting 24 s after recovery, until the end of the run, while 13 to 57 machines
+//! were idle. The idle machines didn't have its image, and a fetch counted as not worthwhile
+//! because the 25 to 46 machines that had the image were expected to become free sooner. These were
+//! full of services, which never end.
+//!
+//! Symptoms: the log line `event=fleet ... ordinary_idle=13 ... waiting=1`, and an image demand of
+//! `waiting: 1.0, holders: 184.0` in every pass of that time.
 
 use super::*;
 use crate::facts::Tuning;
@@ -51,7 +53,7 @@
     }
 }
 
-/// A machine that has the image, with so many services of a CPU each.
+/// A machine that has the image and runs this many services of one CPU each.
 fn holder(services: u32) -> Machine {
     let record = MachineRecord {
         kind: "k".into(),
@@ -70,7 +72,8 @@
     machine
 }
 
-/// Whether the array's task fetches after its wait, with so many holders of so many services each.
+/// Whether the array task fetches its image after waiting, given `holders` machines that have it,
+/// each running `services` services.
 fn fetches(holders: u32, services: u32) -> bool {
     let record = Arc::new(SpecRecord::submitted(array(), 0));
     let mut rng = StdRng::seed_from_u64(1);
@@ -87,13 +90,13 @@
 
 #[test]
 fn an_array_does_not_wait_for_machines_full_of_services() {
-    assert!(fetches(46, CPUS as u32), "no holder ever comes free");
-    assert!(!fetches(46, 0), "arrays' machines come free within the fetch");
-    assert!(!fetches(46, 2), "so do the halves of machines that services leave");
+    assert!(fetches(46, CPUS as u32), "no holder ever becomes free");
+    assert!(!fetches(46, 0), "machines running arrays become free before a fetch ends");
+    assert!(!fetches(46, 2), "so does the half of each machine that services don't use");
 }
 
 #[test]
-fn what_services_take_is_counted_once() {
+fn service_count_and_cpus_return_to_zero() {
     let mut machine = holder(3);
     assert_eq!((machine.services, machine.service_cpus), (3, 3.0));
     machine.remove_service(1.0);
