--- a/crates/core/src/preempt/mod.rs
+++ b/crates/core/src/preempt/mod.rs
@@ -1,5 +1,5 @@
-//! Preemption: tasks are stopped for others that have a higher priority, are within their
-//! team's guarantee, or are services that their own team's arrays keep out.
+//! Preemption: stops running tasks in favour of tasks that have a higher priority, that are within
+//! their team's guarantee, or that are services blocked by their own team's arrays.
 
 mod quota;
 mod victims;
@@ -13,18 +13,19 @@
 use marblebarrow_proto::job::{Kind, Priority};
 use victims::{Preemptor, Victims};
 
-/// How costly a preemption is; the least is best. The fields count in this order.
+/// Cost of a preemption; the lowest is best. Fields are compared in declaration order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionScore {
-    /// Time to fetch the image, tenths of a second.
+    /// Image fetch time in tenths of a second.
     fetch: u64,
-    /// An ordinary machine for a task that a spot machine would do for.
-    too_good: bool,
-    /// CPU-seconds of work lost, tenths.
+    /// Whether an ordinary (on-demand) machine would be used for a task that may run on a spot
+    /// machine.
+    wastes_ordinary: bool,
+    /// Work lost, in tenths of a CPU-second.
     lost: u64,
 }
 
-/// A machine, and the tasks to preempt there.
+/// A machine, and the tasks to preempt on it.
 struct PreemptionPlan {
     score: PreemptionScore,
     machine: MachineId,
@@ -32,8 +33,8 @@
 }
 
 impl Leader {
-    /// Places a task by preempting others, those that lose least first; whether there were
-    /// any to preempt.
+    /// Places a task by preempting others, those that lose the least work first. Returns false if
+    /// there is nothing to preempt.
     pub(crate) fn preempt_for(
         &mut self,
         pass: &mut SchedulingPass,
@@ -42,7 +43,8 @@
         images: ImagePolicy,
         reason: PreemptionReason,
     ) -> bool {
-        // A machine that became free has capacity; nobody need be preempted there.
+        // In a pass over a single machine, that machine has free capacity, so no preemption is
+        // needed.
         if !pass.is_full() {
             return false;
         }
@@ -71,7 +73,7 @@
         true
     }
 
-    /// The machine where preemption costs least.
+    /// Finds the machine where preemption costs least.
     fn plan_preemption(
         &self,
         pass: &SchedulingPass,
@@ -94,7 +96,7 @@
             let Some(victims) = self.choose_victims(pass, machine, &preemptor) else { continue };
             let score = PreemptionScore {
                 fetch: (fetch * 10.0) as u64,
-                too_good: spec.spot && !machine.info.spot,
+                wastes_ordinary: spec.spot && !machine.info.spot,
                 lost: (victims.lost * 10.0) as u64,
             };
             if best.as_ref().is_none_or(|plan| score < plan.score) {
@@ -105,7 +107,7 @@
         best
     }
 
-    /// Whether tasks may be preempted on the machine for this one.
+    /// Whether tasks on the machine may be preempted for this task.
     fn may_preempt_on(
         &self,
         pass: &SchedulingPass,
@@ -114,8 +116,8 @@
         task: &TaskId,
     ) -> bool {
         let runs_others = machine.tasks.len() > machine.services as usize;
-        // While an earlier attempt of it is listed there, the worker refuses it. (Such a task
-        // once was sent there for ever.)
+        // While the machine still lists an earlier attempt of the task, its worker refuses a new
+        // one. Without this check the task was sent to such a machine again and again.
         let listed = machine.exited.keys().any(|(ended, _)| ended == task);
         runs_others
             && !listed
@@ -123,7 +125,7 @@
             && machine_allowed(job, machine, &self.machines)
     }
 
-    /// Counts a preempted task's CPUs and GPUs for its team.
+    /// Adds a preempted task's CPUs and GPUs to its team's preempted total.
     fn count_preempted(&self, pass: &mut SchedulingPass, task: &TaskId) {
         let Some(job) = self.jobs.get(&task.job) else { return };
         let spec = job.spec();
@@ -132,7 +134,7 @@
         preempted[1] += spec.gpus;
     }
 
-    /// Stops a task at once.
+    /// Stops a task immediately.
     fn preempt(&mut self, now: Secs, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(live) = job.live.get_mut(&task.index) else { return };
@@ -140,14 +142,15 @@
             return self.over(&task.job, task.index, Outcome::Lost, now);
         }
         live.stop = Some(0.0);
-        // Tasks that are told to stop at once free their capacity before the command behind
-        // the stop is executed, so the capacity counts as free.
+        // A task that is told to stop at once releases its capacity before the worker executes the
+        // command that follows the stop, so the capacity already counts as free.
         let Some(machine) = self.machines.get_mut(&live.machine) else { return };
         machine.unbook(&job.record.spec);
         machine.freed.insert(task.clone());
     }
 
-    /// Adds what preemptible array tasks hold on a machine: CPUs, GPUs, memory (GB).
+    /// Adds to `free` the CPUs, GPUs and memory (GB) that preemptible array tasks occupy on a
+    /// machine.
     pub(crate) fn add_preemptible(&self, machine: &Machine, free: &mut [f64; 3]) {
         for task in machine.tasks.difference(&machine.freed) {
             let Some(spec) = self.jobs.get(&task.job).map(|job| job.spec()) else { continue };
--- a/crates/core/src/preempt/victims.rs
+++ b/crates/core/src/preempt/victims.rs
@@ -1,4 +1,4 @@
-//! The choice of tasks to preempt.
+//! Selection of the tasks to preempt.
 
 use crate::consts::{AMOUNT_TOLERANCE, GUARANTEE_LOSS_S};
 use crate::event::Secs;
@@ -9,37 +9,37 @@
 use marblebarrow_proto::ids::TaskId;
 use marblebarrow_proto::job::{JobSpec, Kind};
 
-/// The job that a task is to be preempted for, and why it may.
+/// The job that tasks are preempted for, and the rule that permits it.
 pub(super) struct Preemptor<'a> {
     pub(super) job: &'a Job,
     pub(super) reason: PreemptionReason,
 }
 
-/// Tasks to preempt on one machine.
+/// The tasks to preempt on one machine.
 pub(super) struct Victims {
     pub(super) tasks: Vec<TaskId>,
-    /// Work lost with them, CPU-seconds.
+    /// Work lost by stopping them, in CPU-seconds.
     pub(super) lost: f64,
 }
 
 /// A task that may be preempted.
 struct Victim {
     task: TaskId,
-    /// Work lost with it, seconds.
+    /// Work lost by stopping it, in seconds.
     lost: Secs,
-    /// CPUs, GPUs, memory (GB) that it frees.
+    /// CPUs, GPUs and memory (GB) that stopping it frees.
     frees: [f64; 3],
 }
 
-/// Whether an attempt can be stopped for another's sake and will surely be gone soon.
+/// Whether an attempt can be stopped in favour of another task and is certain to be gone soon.
 pub(super) fn is_stoppable(live: &Live, now: Secs) -> bool {
     let confirmed = live.never_sent(now) || matches!(live.phase, Phase::Seen | Phase::Running);
     live.stop.is_none() && !live.unconfirmed && confirmed
 }
 
 impl Leader {
-    /// Tasks on the machine whose preemption makes room for one of the preemptor, those that
-    /// lose least first.
+    /// Selects the tasks on the machine to preempt so that a task of the preemptor fits, those that
+    /// lose the least work first. `None` if preemption doesn't free enough capacity.
     pub(super) fn choose_victims(
         &self,
         pass: &SchedulingPass,
@@ -63,7 +63,7 @@
         fits(spec, &free).then_some(chosen)
     }
 
-    /// The task as a victim, if it may be preempted.
+    /// Describes the task as a victim; `None` if it may not be preempted.
     fn victim(
         &self,
         pass: &SchedulingPass,
@@ -73,7 +73,7 @@
         let job = self.jobs.get(&task.job)?;
         let live = job.live.get(&task.index)?;
         let spec = job.spec();
-        let preemptible = self.yields_to(pass, job, live, preemptor)
+        let preemptible = self.is_preemptible_by(pass, job, live, preemptor)
             && spec.kind == Kind::Array
             && is_stoppable(live, pass.now)
             && !job.keeps(pass.now);
@@ -84,8 +84,8 @@
         })
     }
 
-    /// Whether the preemptor's reason holds against the attempt of another job.
-    fn yields_to(
+    /// Whether the preemptor's reason permits it to preempt this attempt.
+    fn is_preemptible_by(
         &self,
         pass: &SchedulingPass,
         job: &Job,
@@ -96,7 +96,8 @@
         let preemptor_spec = preemptor.job.spec();
         match preemptor.reason {
             PreemptionReason::HigherPriority => job.priority() < preemptor.job.priority(),
-            // Not if more were lost than is won.
+            // Not permitted if more work would be lost than the preemptor's run is expected to
+            // take.
             PreemptionReason::SpareCapacity => {
                 job.spare() && job.loses(live, pass.now) < preemptor.job.likely_run()
             }
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Whether a team would keep its guarantee without one task of that kind.
+    /// Whether the team of `spec` would still use at least its guarantee without one task of that
+    /// size.
     fn exceeds_guarantee(&self, pass: &SchedulingPass, spec: &JobSpec) -> bool {
         let Some(team) = self.team(&spec.team) else { return false };
         let used = pass.usage_of(&spec.team);
