--- a/crates/core/src/provision/backlog.rs
+++ b/crates/core/src/provision/backlog.rs
@@ -1,8 +1,8 @@
-//! Machines against a backlog that lasts.
+//! Scale-out for a persistent backlog.
 //!
-//! A backlog shorter than a boot is never worth a machine to any task in it, but all that
-//! come later wait in it too: thousands of tasks once waited for minutes, half a minute
-//! each.
+//! When a backlog is shorter than a boot, no single task in it justifies a machine, but every later
+//! task waits in it too. Without this rule thousands of tasks waited half a minute each, over
+//! several minutes.
 
 use super::RentPlan;
 use crate::consts::*;
@@ -12,8 +12,8 @@
 use marblebarrow_proto::job::Kind;
 
 impl Leader {
-    /// Plans machines for a backlog that has lasted. `cpus` is what waiting array tasks
-    /// want beyond what is free or planned; at most `most` machines are planned.
+    /// Plans machines for a backlog that has persisted. `cpus` is the demand of waiting array tasks
+    /// beyond what is free or planned; at most `most` machines are planned.
     pub(super) fn plan_for_backlog(
         &mut self,
         now: Secs,
@@ -26,14 +26,14 @@
         if !seen.covers(BACKLOG_S) {
             return;
         }
-        let steady = seen.least();
+        let sustained = seen.least();
         let Some(job) = self.widest_backlog(now) else { return };
         let spec = job.spec().clone();
-        let mut wanted = steady * (job.likely_run() / DRAIN_S).min(1.0);
+        let mut wanted = sustained * (job.likely_run() / DRAIN_S).min(1.0);
         if wanted < spec.cpus {
             return;
         }
-        // What is rented now is capacity from now on; look again when it is there.
+        // The machines rented now will add capacity, so sampling restarts from here.
         self.cloud_requests.backlog_cpus.clear();
         for _ in 0..most {
             if wanted <= 0.0 {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The array job with most tasks waiting, of those that press for machines.
+    /// The array job with the most waiting tasks, among those that justify renting machines.
     fn widest_backlog(&self, now: Secs) -> Option<&Job> {
         let waits = |job: &&Job| {
             job.spec().kind == Kind::Array
--- a/crates/core/src/provision/bin_packing.rs
+++ b/crates/core/src/provision/bin_packing.rs
@@ -5,8 +5,8 @@
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::wire::MachineType;
 
-/// Where a machine is, and of which type. Type and zone are indexes: into the list of
-/// machine types, and into the type's list of zones.
+/// A machine's type, zone and purchase option (spot or ordinary). `machine_type` is an index into
+/// the list of machine types, `zone` an index into that type's list of zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Location {
     pub(super) machine_type: usize,
@@ -17,7 +17,7 @@
 /// Free capacity of one machine that is up, booting or planned.
 #[derive(Clone, Debug)]
 pub(super) struct Capacity {
-    /// When it can be used.
+    /// Time from which the machine can be used.
     pub(super) available_at: Secs,
     /// CPUs, GPUs, memory (GB).
     pub(super) free: [f64; 3],
@@ -25,7 +25,7 @@
 }
 
 impl Capacity {
-    /// Free CPUs; none where more is in use than there is.
+    /// Free CPUs; zero where more is in use than the machine has.
     pub(super) fn free_cpus(&self) -> f64 {
         self.free[0].max(0.0)
     }
@@ -34,26 +34,26 @@
 /// The zones in which a task may use machines of one type.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AllowedZones {
-    /// None: the type isn't allowed, or not there in the task's zone.
+    /// None: the type isn't allowed, or isn't offered in the zone that the task requires.
     None,
-    /// All.
+    /// All zones of the type.
     All,
-    /// Only this one, an index into the type's list of zones.
+    /// Only this zone, an index into the type's list of zones.
     Only(usize),
 }
 
-/// What a task requires of a machine.
+/// A task's requirements on a machine.
 pub(super) struct TaskNeeds {
     /// CPUs, GPUs, memory (GB).
     pub(super) amounts: [f64; 3],
     /// Whether it may run on spot machines.
     pub(super) spot: bool,
-    /// For each machine type, by its index.
+    /// Allowed zones for each machine type, by type index.
     pub(super) types: Vec<AllowedZones>,
 }
 
 impl TaskNeeds {
-    /// What a task of such a job requires.
+    /// The requirements of a task of the job.
     pub(super) fn of(spec: &JobSpec, types: &[MachineType]) -> Self {
         Self {
             amounts: [spec.cpus, spec.gpus, spec.memory_gb],
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Whether the task may run on such a machine.
+    /// Whether the task may run on a machine of this type, zone and purchase option.
     pub(super) fn allows(&self, location: Location) -> bool {
         if location.spot && !self.spot {
             return false;
@@ -79,29 +79,30 @@
             && self.allows(capacity.location)
     }
 
-    /// Spot machines first, as services need ordinary ones; then the fullest.
+    /// Sort key: spot machines first, as services need ordinary ones; then the fullest machine.
     fn packing_order(&self, capacity: &Capacity) -> (bool, i64) {
         (self.spot && !capacity.location.spot, (capacity.free[0] * 100.0) as i64)
     }
 
-    fn take_from(&self, capacity: &mut Capacity) {
+    fn subtract_from(&self, capacity: &mut Capacity) {
         (0..3).for_each(|i| capacity.free[i] -= self.amounts[i]);
     }
 
-    /// Packs one task, if any machine has capacity for it.
+    /// Packs one task. Returns false if no machine has enough capacity.
     pub(super) fn pack_one(&self, machines: &mut [Capacity]) -> bool {
         let fitting = machines.iter_mut().filter(|machine| self.fits(machine));
         let Some(machine) = fitting.min_by_key(|machine| self.packing_order(machine)) else {
             return false;
         };
-        self.take_from(machine);
+        self.subtract_from(machine);
         true
     }
 
-    /// Packs tasks until no machine has capacity or all are packed; how many are left.
+    /// Packs tasks until all are packed or no machine has capacity left. Returns the number of
+    /// tasks left over.
     ///
-    /// One machine is filled after the other, as [`TaskNeeds::pack_one`] would, but the
-    /// machines are looked through once, and not for every task.
+    /// Fills one machine after another, with the same result as repeated calls of
+    /// [`TaskNeeds::pack_one`], but scans the machines only once instead of once per task.
     pub(super) fn pack(&self, machines: &mut [Capacity], tasks: u32) -> u32 {
         if tasks == 0 {
             return 0;
@@ -112,7 +113,7 @@
         let mut left = tasks;
         for i in order {
             while left > 0 && self.fits(&machines[i]) {
-                self.take_from(&mut machines[i]);
+                self.subtract_from(&mut machines[i]);
                 left -= 1;
             }
             if left == 0 {
--- a/crates/core/src/provision/capacity.rs
+++ b/crates/core/src/provision/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity of the fleet: machines that are up, and those that boot.
+//! Free capacity of the fleet: machines that are up, and machines that are booting.
 
 use super::bin_packing::{Capacity, Location};
 use crate::cloud_requests::{Booting, UnansweredRent};
@@ -10,15 +10,15 @@
 use marblebarrow_proto::wire::MachineType;
 use std::collections::BTreeMap;
 
-/// Machine types by name, with their index.
+/// Machine types and their indexes, by name.
 type TypesByName<'a> = BTreeMap<&'a str, (usize, &'a MachineType)>;
 
-/// A booting machine's report may come this much after its boot, seconds.
-const BOOT_REPORT_S: f64 = 5.0;
+/// Allowance in seconds for a machine's first report after the end of its boot.
+const BOOT_REPORT_ALLOWANCE_S: f64 = 5.0;
 
 impl Leader {
-    /// What is free on machines that are up, but for one, and on those that boot or are being
-    /// rented. Usable machines come first, in their order.
+    /// Free capacity of machines that are up (except `without`), booting or being rented. Usable
+    /// machines come first, in the order of the machine map.
     pub(super) fn capacity(&self, now: Secs, without: Option<&MachineId>) -> Vec<Capacity> {
         let types: TypesByName = self
             .cloud_requests
@@ -34,8 +34,9 @@
         };
         let others = || self.machines.iter().filter(|(id, _)| Some(*id) != without).map(|(_, m)| m);
         let usable = others().filter(|m| m.usable(now, self.facts.heartbeat_interval_s));
-        // Those that have just come up boot no more, and are usable within a second. (Twelve
-        // of them, counted as neither, were once rented again.)
+        // Machines that have just come up are no longer in the booting list and become usable
+        // within a second. When they were counted in neither group, twelve of them were rented a
+        // second time.
         let just_up = others().filter(|m| m.is_just_up(now));
         let mut capacity: Vec<Capacity> = usable.chain(just_up).filter_map(up).collect();
         for machine in self.cloud_requests.booting.values().filter(|b| !b.failed) {
@@ -50,7 +51,7 @@
         capacity
     }
 
-    /// The capacity of a booting machine, unless it is unlikely to come up.
+    /// The capacity of a booting machine; `None` if it is unlikely to come up.
     fn booting(
         &self,
         now: Secs,
@@ -59,9 +60,9 @@
         t: &MachineType,
     ) -> Option<Capacity> {
         let boot = self.cloud_requests.boot(t, &machine.zone);
-        let counted = t.boot_s.max(boot) * BOOT_COUNTED + BOOT_REPORT_S;
-        let since_failover = now - self.cloud_requests.leader_since;
-        let may_report = machine.up && since_failover < RENT_AFTER_S * 2.0;
+        let counted = t.boot_s.max(boot) * BOOT_COUNTED + BOOT_REPORT_ALLOWANCE_S;
+        let since_takeover = now - self.cloud_requests.leader_since;
+        let may_report = machine.up && since_takeover < RENT_AFTER_S * 2.0;
         if now - machine.since >= counted && !may_report {
             return None;
         }
@@ -74,7 +75,7 @@
         })
     }
 
-    /// Where a machine is, if its type and zone are known.
+    /// The machine's location, if its type and zone are known.
     pub(super) fn location_of(&self, machine: &MachineId) -> Option<Location> {
         let info = &self.machines.get(machine)?.info;
         let types = &self.cloud_requests.types;
@@ -83,7 +84,7 @@
         Some(Location { machine_type, zone, spot: info.spot })
     }
 
-    /// Adds what preemptible array tasks hold on machines that are up.
+    /// Adds the capacity that preemptible array tasks occupy on machines that are up.
     pub(super) fn add_preemptible_capacity(&self, now: Secs, capacity: &mut [Capacity]) {
         // `capacity` lists the usable machines first, in the order of `machines`.
         let usable = self.machines.values().filter(|m| {
--- a/crates/core/src/provision/late_tasks.rs
+++ b/crates/core/src/provision/late_tasks.rs
@@ -1,5 +1,5 @@
-//! Array tasks that will be late unless machines are rented: waiting tasks are laid, most
-//! pressing job first, onto the CPUs as they become free.
+//! Finds array tasks that will be late unless machines are rented. Waiting tasks are projected onto
+//! the CPUs as these become free, the job that is due first going first.
 
 use super::Shortage;
 use super::bin_packing::{Capacity, Location};
@@ -12,60 +12,60 @@
 use marblebarrow_proto::job::{JobSpec, Kind};
 use marblebarrow_proto::wire::MachineType;
 
-/// The outcome of laying out the waiting array tasks.
+/// The result of projecting the waiting array tasks.
 pub(super) struct LateTasks {
-    /// Tasks that will be late, and that a machine rented now would start sooner.
+    /// Tasks that will be late and that a machine rented now would start sooner.
     pub(super) shortages: Vec<Shortage>,
-    /// CPUs that all hurried tasks laid out want.
+    /// CPUs that the projected tasks need, except those of jobs that can wait.
     pub(super) cpus_wanted: f64,
 }
 
-/// Tasks of a job that wait, or that will once the jobs that it needs are done.
+/// Waiting tasks of a job, or tasks that will wait once the jobs that it depends on are done.
 struct WaitingTasks<'a> {
     job: &'a Job,
     count: u32,
-    /// No task starts before.
+    /// Earliest time at which a task can start.
     ready_at: Secs,
     due: Secs,
 }
 
-/// The layout of waiting tasks onto CPUs.
-struct Layout {
+/// A projection of waiting tasks onto CPUs.
+struct Projection {
     now: Secs,
     cpus: CpuTimeline,
-    /// From the placement of a task to its running, seconds.
+    /// Delay in seconds between a task's placement and the moment it runs.
     start_lag: Secs,
-    /// The shortest boot of a machine rented now, seconds.
+    /// Shortest boot time in seconds of a machine rented now.
     boot: Secs,
-    /// Tasks that may still be laid out.
+    /// Number of tasks that may still be projected.
     left: u32,
     cpus_wanted: f64,
 }
 
-impl Layout {
-    /// Lays out a job's waiting tasks; how many of them will be late.
-    fn lay_out(
+impl Projection {
+    /// Projects a job's waiting tasks. Returns the number of tasks that will be late.
+    fn project(
         &mut self,
         waiting: &WaitingTasks<'_>,
         allowed: impl Fn(&Location) -> bool,
-        mut book: impl FnMut(&JobSpec) -> bool,
+        mut reserve: impl FnMut(&JobSpec) -> bool,
     ) -> u32 {
         let spec = waiting.job.spec();
         let cpus_wanted = if waiting.job.unhurried(self.now) { 0.0 } else { spec.cpus };
         let mut late = 0;
         for _ in 0..waiting.count {
-            if self.left == 0 || !book(spec) {
+            if self.left == 0 || !reserve(spec) {
                 break;
             }
             self.left -= 1;
             self.cpus_wanted += cpus_wanted;
-            late += u32::from(self.lay_out_task(waiting, &allowed));
+            late += u32::from(self.project_task(waiting, &allowed));
         }
         late
     }
 
-    /// Lays out one task; whether it will be late.
-    fn lay_out_task(
+    /// Projects one task. Returns whether it will be late.
+    fn project_task(
         &mut self,
         waiting: &WaitingTasks<'_>,
         allowed: impl Fn(&Location) -> bool,
@@ -78,7 +78,7 @@
         let free_at = last.map_or(f64::INFINITY, |at| at as f64 / 1e3);
         let start = free_at.max(waiting.ready_at);
         let ends_late = start + self.start_lag + run * RENT_SPREAD > waiting.due;
-        // A machine rented now would start it sooner.
+        // Counts as late only if a machine rented now would start it sooner.
         let late = ends_late && start > waiting.ready_at.max(self.now + self.boot);
         let free = millis(self.now, start + self.start_lag + run);
         for cpu in taken {
@@ -88,67 +88,69 @@
     }
 }
 
-/// A time of at least now, milliseconds.
+/// Converts a time to milliseconds; earlier times count as `now`.
 fn millis(now: Secs, at: Secs) -> u64 {
     (at.max(now) * 1e3) as u64
 }
 
-/// Whole CPUs that a task takes.
+/// Number of whole CPUs that a task occupies.
 fn task_width(job: &Job) -> u32 {
     job.spec().cpus.ceil().max(1.0) as u32
 }
 
-/// Whether the job's waiting tasks are laid out.
-fn is_laid_out(job: &Job) -> bool {
+/// Whether the job's waiting tasks take part in the projection.
+fn is_projected(job: &Job) -> bool {
     job.waiting() > 0 && !job.mistaken() && !job.spare()
 }
 
-/// When an attempt is expected to end.
+/// Time at which an attempt is expected to end.
 fn expected_end(job: &Job, live: &Live, now: Secs, start_lag: Secs) -> Secs {
     let run = job.likely_run();
     match live.ran_from {
-        // Gives way at once.
+        // Spare-capacity work is preempted at once.
         _ if job.spare() => now,
-        // Under way at the failover: half done, for all we know. Taken for just begun, they
-        // once made a new leader rent hundreds of machines that came up when the work was
-        // over.
+        // An attempt that was running at the takeover is assumed to be half done, as its start
+        // isn't known. When such attempts counted as just begun, a new leader rented hundreds of
+        // machines that came up after the work was over.
         _ if live.adopted => (live.since + run * 0.5).max(now + run * OVERDUE_SHARE),
-        // A task past the mean isn't about to end: half of all run longer. Taken for free
-        // capacity at once, they once hid a backlog.
+        // A task that has run for longer than the mean isn't about to end, as half of all tasks run
+        // longer. When its CPUs counted as free at once, they hid a backlog.
         Some(from) => (from + run).max(now + run * OVERDUE_SHARE),
         None => live.since.max(now - start_lag) + start_lag + run,
     }
 }
 
 impl Leader {
-    /// Lays out the waiting array tasks. `book` tells whether the team's limit allows one
-    /// more task, and counts it.
+    /// Projects the waiting array tasks. `reserve` returns whether the team's limit allows one more
+    /// task, and counts the task if so.
     pub(super) fn late_tasks(
         &self,
         now: Secs,
         capacity: &[Capacity],
-        mut book: impl FnMut(&JobSpec) -> bool,
+        mut reserve: impl FnMut(&JobSpec) -> bool,
     ) -> LateTasks {
         let cpus = self.cpu_timeline(now, capacity);
-        // Those beyond need no laying out: they wait longer than a boot anyway.
+        // Tasks beyond this number need no projection: they wait longer than a boot in any case.
         let left = LAID_OUT_MIN.max((f64::from(cpus.total()) * LAID_OUT_SHARE) as u32);
         let boot = self.shortest_boot(now);
         let start_lag = self.start_lag;
-        let mut layout = Layout { now, cpus, start_lag, boot, left, cpus_wanted: 0.0 };
+        let mut projection = Projection { now, cpus, start_lag, boot, left, cpus_wanted: 0.0 };
         let mut shortages = Vec::new();
         for waiting in self.waiting_by_due_time(now, now + boot) {
             let spec = waiting.job.spec();
             let needs = self.task_needs(spec);
-            let tasks = layout.lay_out(&waiting, |location| needs.allows(*location), &mut book);
+            let tasks =
+                projection.project(&waiting, |location| needs.allows(*location), &mut reserve);
             shortages.push(Shortage { spec: spec.clone(), tasks });
         }
-        LateTasks { shortages, cpus_wanted: layout.cpus_wanted }
+        LateTasks { shortages, cpus_wanted: projection.cpus_wanted }
     }
 
-    /// When CPUs become free: now, at the end of a boot, or with the task that uses them.
+    /// Builds the timeline of when CPUs become free: now, at the end of a boot, or when the task
+    /// that uses them ends.
     fn cpu_timeline(&self, now: Secs, capacity: &[Capacity]) -> CpuTimeline {
-        // One timeline serves all, unless some wait that can't use every machine.
-        let by_location = self.arrays().any(|job| is_laid_out(job) && job.spec().bound());
+        // CPUs are distinguished by location only if some waiting task can't use every machine.
+        let by_location = self.arrays().any(|job| is_projected(job) && job.spec().bound());
         let mut cpus = CpuTimeline::default();
         for machine in capacity {
             let location = by_location.then_some(machine.location);
@@ -171,10 +173,10 @@
         self.jobs.values().filter(|job| job.spec().kind == Kind::Array)
     }
 
-    /// Array tasks to lay out, the soonest due first: those that wait for room, and those of
-    /// jobs that will probably be ready before `until`.
+    /// Array tasks to project, the soonest due first: those that wait for capacity, and those of
+    /// jobs that will probably become ready before `until`.
     fn waiting_by_due_time(&self, now: Secs, until: Secs) -> Vec<WaitingTasks<'_>> {
-        let ready = self.arrays().filter(|job| is_laid_out(job)).map(|job| {
+        let ready = self.arrays().filter(|job| is_projected(job)).map(|job| {
             let (count, due) = (job.waiting(), job.due());
             WaitingTasks { job, count, ready_at: now, due }
         });
@@ -188,7 +190,8 @@
         waiting
     }
 
-    /// The shortest boot of the types that can be had: the quickest may be used up.
+    /// Shortest boot time among the machine types that are available; the fastest type may be out
+    /// of stock.
     fn shortest_boot(&self, now: Secs) -> Secs {
         let cloud = &self.cloud_requests;
         let in_stock = |t: &&MachineType| {
--- a/crates/core/src/provision/mod.rs
+++ b/crates/core/src/provision/mod.rs
@@ -1,10 +1,10 @@
-//! Scale out: which machines to rent from the cloud.
+//! Scale-out: decides which machines to rent from the cloud.
 //!
-//! Each round packs what waits onto the capacity that is up or booting ([`bin_packing`]),
-//! and rents machines for what doesn't fit: services, the warm reserve ([`warm_reserve`]),
-//! gangs, array tasks that would start too late ([`late_tasks`]), spare-capacity work
-//! ([`spare_work`]), a lasting backlog ([`backlog`]) and spot machines in the place of
-//! ordinary ones ([`spot_replacement`]). [`offers`] picks the cheapest machine for each.
+//! Each round packs the waiting tasks onto capacity that is up or booting ([`bin_packing`]) and
+//! rents machines for what doesn't fit: services, the warm reserve ([`warm_reserve`]), gangs, array
+//! tasks that would start too late ([`late_tasks`]), spare-capacity work ([`spare_work`]), a
+//! persistent backlog ([`backlog`]), and spot machines that replace ordinary ones
+//! ([`spot_replacement`]). [`offers`] selects the cheapest machine for each.
 
 mod backlog;
 mod bin_packing;
@@ -30,12 +30,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Tasks of a job that find no capacity.
+/// Tasks of a job for which there is no capacity.
 #[derive(Debug)]
 struct Shortage {
-    /// The job.
+    /// Spec of the job.
     spec: JobSpec,
-    /// How many of its tasks.
+    /// Number of its tasks without capacity.
     tasks: u32,
 }
 
@@ -51,17 +51,17 @@
     }
 }
 
-/// What teams may still start under their CPU limits. Starts beyond a limit don't come,
-/// so nothing is rented for them.
+/// Tracks what teams may still start within their CPU limits. Tasks beyond a limit won't start, so
+/// no machines are rented for them.
 struct QuotaBudget {
     facts: Arc<Facts>,
-    /// CPUs and GPUs, by team.
+    /// CPUs and GPUs in use, by team.
     usage: BTreeMap<String, [f64; 2]>,
 }
 
 impl QuotaBudget {
-    /// Whether one more such task may start; if so, counts it.
-    fn book(&mut self, spec: &JobSpec) -> bool {
+    /// Reserves quota for one more task. Returns false if the team's limit doesn't allow it.
+    fn reserve(&mut self, spec: &JobSpec) -> bool {
         let Some(team) = self.facts.teams.iter().find(|t| t.name == spec.team) else {
             return false;
         };
@@ -73,14 +73,14 @@
         true
     }
 
-    /// Counts up to so many tasks; how many of them may start.
-    fn book_up_to(&mut self, spec: &JobSpec, tasks: u32) -> u32 {
-        (0..tasks).take_while(|_| self.book(spec)).count() as u32
+    /// Reserves quota for up to `tasks` tasks. Returns how many of them may start.
+    fn reserve_up_to(&mut self, spec: &JobSpec, tasks: u32) -> u32 {
+        (0..tasks).take_while(|_| self.reserve(spec)).count() as u32
     }
 }
 
 impl Leader {
-    /// Rents machines for what finds no capacity.
+    /// Rents machines for waiting tasks that find no capacity.
     pub(crate) fn scale_out(&mut self, now: Secs, out: &mut ActionSink) {
         if !self.may_rent(now) {
             return;
@@ -90,7 +90,7 @@
         let mut shortages = self.service_shortages(&mut capacity, &mut quota);
         shortages.extend(self.warm_shortages(now, &capacity));
         shortages.extend(self.gang_shortages(&mut capacity, &mut quota));
-        let late = self.late_tasks(now, &capacity, |spec| quota.book(spec));
+        let late = self.late_tasks(now, &capacity, |spec| quota.reserve(spec));
         shortages.extend(late.shortages);
         let mut plan = RentPlan::default();
         self.replace_with_spot(now, &capacity, &mut plan);
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Not while many requests are under way, nor just after a failover, when the machines that
-    /// are up haven't reported yet.
+    /// Whether machines may be rented now: not while many rent requests are in flight, nor just
+    /// after a takeover, before the machines that are up have reported.
     fn may_rent(&self, now: Secs) -> bool {
         let cloud = &self.cloud_requests;
         if cloud.unanswered_rents().count() >= RENTS_UNANSWERED_MAX || cloud.types.is_empty() {
@@ -130,10 +130,10 @@
         gangs.map(|job| self.shortage(job, capacity, quota)).collect()
     }
 
-    /// Packs the job's waiting tasks; those that find no capacity.
+    /// Packs the job's waiting tasks. Returns those that find no capacity.
     fn shortage(&self, job: &Job, capacity: &mut [Capacity], quota: &mut QuotaBudget) -> Shortage {
         let spec = job.spec();
-        let tasks = quota.book_up_to(spec, job.waiting());
+        let tasks = quota.reserve_up_to(spec, job.waiting());
         let tasks = self.task_needs(spec).pack(capacity, tasks);
         Shortage { spec: spec.clone(), tasks }
     }
@@ -142,8 +142,8 @@
         TaskNeeds::of(spec, &self.cloud_requests.types)
     }
 
-    /// Plans machines for the shortages. What is left of a machine planned for one job
-    /// serves the next.
+    /// Plans machines for the shortages. Capacity left over on a machine planned for one job is
+    /// used for the next.
     fn plan_shortages(&mut self, now: Secs, shortages: &[Shortage], plan: &mut RentPlan) {
         let most = self.plan_limit(shortages);
         let mut planned: Vec<Capacity> = Vec::new();
@@ -166,13 +166,13 @@
         }
     }
 
-    /// Machines that one round plans for shortages at most.
+    /// Maximum number of machines that one round plans for shortages.
     fn plan_limit(&self, shortages: &[Shortage]) -> usize {
         let tasks: f64 = shortages.iter().map(|s| f64::from(s.tasks)).sum();
         PLAN_MAX.max((tasks * PLAN_SHARE) as usize).min(self.plan_ceiling())
     }
 
-    /// As many machines as a second's cloud requests rent.
+    /// Maximum number of machines per round: what one second's worth of cloud requests can rent.
     fn plan_ceiling(&self) -> usize {
         let ceiling = (self.facts.cloud_rps * CLOUD_SHARE * f64::from(RENT_MAX)) as usize;
         ceiling.max(PLAN_MAX)
@@ -185,6 +185,7 @@
         plan.machines.iter().map(|(offer, count)| cpus(offer) * f64::from(*count)).sum()
     }
 
+    /// Sends a rent request for up to `RENT_MAX` machines, if the rate limit allows it.
     fn send_rent(&mut self, now: Secs, offer: MachineOffer, count: u32, out: &mut ActionSink) {
         if !self.cloud_requests.take_request() {
             return;
--- a/crates/core/src/provision/offers.rs
+++ b/crates/core/src/provision/offers.rs
@@ -1,4 +1,4 @@
-//! The cloud's offers: which machine is cheapest for a kind of task.
+//! The cloud's offers: selects the cheapest machine for a task.
 
 use super::bin_packing::{Capacity, Location};
 use crate::cloud_requests::CloudRequests;
@@ -9,10 +9,10 @@
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::wire::MachineType;
 
-/// Tasks that one machine is thought to hold at most.
+/// Upper bound on the number of tasks assumed to fit on one machine.
 const TASKS_PER_MACHINE_MAX: f64 = 1e4;
 
-/// What can be rented.
+/// A kind of machine that can be rented.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MachineOffer {
     /// Name of the machine type.
@@ -21,24 +21,24 @@
     pub(crate) spot: bool,
 }
 
-/// How good an offer is; the least is best. The fields count in this order.
+/// Rank of an offer; the lowest is best. Fields are compared in declaration order.
 #[derive(PartialEq, PartialOrd)]
 struct OfferScore {
-    /// Price of the machine for each task that uses it.
+    /// Price of the machine divided by the number of tasks that use it.
     price: f64,
-    /// Boots are slow in this zone.
+    /// Whether boots in this zone are currently slow.
     slow_boot: bool,
-    /// Zones take turns.
+    /// Rotates between zones.
     turn: usize,
 }
 
-/// Which offers qualify for tasks.
+/// A search for an offer for tasks of a job.
 struct OfferRequest<'a> {
     now: Secs,
     spec: &'a JobSpec,
-    /// How many tasks need a machine.
+    /// Number of tasks that need a machine.
     tasks: u32,
-    /// Only spot machines.
+    /// Whether only spot machines qualify.
     only_spot: bool,
 }
 
@@ -53,7 +53,7 @@
             if holds == 0 {
                 continue;
             }
-            // A machine larger than the need is paid for in full.
+            // A machine is paid for in full even if the tasks use only part of it.
             let used = f64::from(self.tasks.min(holds));
             for (zone, spot) in self.purchase_options(cloud, t) {
                 let score = score(cloud, t, zone, spot, used);
@@ -65,7 +65,7 @@
         best.map(|(_, location)| location)
     }
 
-    /// Zones, by index, with spot and ordinary machines of the type that can be had.
+    /// Zone index and purchase option (`true`: spot) of the available machines of the type.
     fn purchase_options<'a>(
         &'a self,
         cloud: &'a CloudRequests,
@@ -95,7 +95,7 @@
     }
 }
 
-/// How many such tasks a machine holds.
+/// Number of tasks of this job that a machine of the type holds.
 fn tasks_per_machine(spec: &JobSpec, t: &MachineType) -> u32 {
     let by = |need: f64, have: f64| {
         if need > 0.0 { (have / need + AMOUNT_TOLERANCE).floor() } else { f64::MAX }
@@ -107,7 +107,7 @@
 }
 
 impl Leader {
-    /// The cheapest machine for so many tasks like this: its capacity, and the offer.
+    /// Finds the cheapest machine for `tasks` tasks of the job. Returns its capacity and the offer.
     pub(super) fn cheapest_offer(
         &mut self,
         now: Secs,
--- a/crates/core/src/provision/spare_work.rs
+++ b/crates/core/src/provision/spare_work.rs
@@ -1,4 +1,4 @@
-//! Machines for spare-capacity work.
+//! Scale-out for spare-capacity work.
 
 use super::bin_packing::Capacity;
 use super::{MachineOffer, QuotaBudget, RentPlan};
@@ -8,12 +8,12 @@
 use crate::leader::Leader;
 use marblebarrow_proto::job::JobSpec;
 
-/// A spare-capacity job that waits.
+/// A spare-capacity job with waiting tasks.
 struct SpareJob {
     arrived: Secs,
     spec: JobSpec,
     waiting: u32,
-    /// The share of a machine's least bill that a task keeps it busy for.
+    /// Expected run time of a task as a share of the machine's minimum billing time, at most 1.
     busy_share: f64,
     has_begun: bool,
 }
@@ -31,10 +31,10 @@
 }
 
 impl Leader {
-    /// Plans spot machines for spare-capacity work: at their price it is worth doing. No
-    /// more than it keeps busy for longer than their least bill, as all other work preempts
-    /// it at once. An ordinary machine only for its first task, or when it has waited for
-    /// very long.
+    /// Plans spot machines for spare-capacity work, which is worth running at their price. Plans no
+    /// more machines than the work keeps busy for longer than their minimum billing time, as all
+    /// other work preempts it at once. An ordinary machine is planned only for a job's first task,
+    /// or for a job that has waited for a very long time.
     pub(super) fn plan_spare_work(
         &mut self,
         now: Secs,
@@ -45,7 +45,7 @@
         let mut planned: Vec<Capacity> = Vec::new();
         for job in self.spare_jobs() {
             let needs = self.task_needs(&job.spec);
-            let tasks = quota.book_up_to(&job.spec, job.waiting.min(LAID_OUT_MIN));
+            let tasks = quota.reserve_up_to(&job.spec, job.waiting.min(LAID_OUT_MIN));
             let unpacked = needs.pack(capacity, tasks);
             let worth = (f64::from(unpacked) * job.busy_share).ceil() as u32;
             let age = now - job.arrived;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Spare-capacity jobs that wait, by arrival.
+    /// Spare-capacity jobs with waiting tasks, by arrival.
     fn spare_jobs(&self) -> Vec<SpareJob> {
         let waits = |job: &&Job| job.spare() && job.waiting() > 0 && !job.mistaken();
         let mut jobs: Vec<SpareJob> = self.jobs.values().filter(waits).map(SpareJob::of).collect();
@@ -75,7 +75,8 @@
         jobs
     }
 
-    /// The cheapest spot machine, or if there is none, and it may be, any machine.
+    /// The cheapest spot machine, or, if none is available and `ordinary` is set, the cheapest
+    /// machine of any kind.
     fn spare_work_offer(
         &mut self,
         now: Secs,
--- a/crates/core/src/provision/spot_replacement.rs
+++ b/crates/core/src/provision/spot_replacement.rs
@@ -1,5 +1,5 @@
-//! Spot machines in the place of ordinary ones that arrays have kept busy for a while: new
-//! tasks go to the former, and the latter become idle and are returned.
+//! Replaces ordinary (on-demand) machines that arrays have kept busy for a while with spot
+//! machines: new tasks go to the spot machines, and the ordinary ones become idle and are released.
 
 use super::RentPlan;
 use super::bin_packing::Capacity;
@@ -12,14 +12,14 @@
 
 /// Array work on ordinary machines that run no service.
 struct ReplaceableWork {
-    /// CPUs that it uses.
+    /// CPUs that the work uses.
     cpus: f64,
-    /// The job with most of its tasks.
+    /// Spec of the job with the most of these tasks.
     largest: Option<JobSpec>,
 }
 
 impl Leader {
-    /// Plans spot machines for part of the array work that ordinary machines run.
+    /// Plans spot machines for part of the array work that runs on ordinary machines.
     pub(super) fn replace_with_spot(
         &mut self,
         now: Secs,
@@ -30,10 +30,10 @@
         let seen = &mut self.cloud_requests.replaceable_cpus;
         seen.add(now, work.cpus, SPOT_REPLACE_AFTER_S);
         let Some(spec) = work.largest.filter(|_| seen.covers(SPOT_REPLACE_AFTER_S)) else { return };
-        let steady = seen.least();
+        let sustained = seen.least();
         let spot = capacity.iter().filter(|machine| machine.location.spot);
         let spot_free: f64 = spot.map(Capacity::free_cpus).sum();
-        let mut wanted = steady * SPOT_REPLACE_SHARE - spot_free;
+        let mut wanted = sustained * SPOT_REPLACE_SHARE - spot_free;
         for _ in 0..PLAN_MAX {
             if wanted <= 0.0 {
                 return;
@@ -49,6 +49,7 @@
         }
     }
 
+    /// Finds the array work that could run on spot machines instead of ordinary ones.
     fn replaceable_work(&self) -> ReplaceableWork {
         let mut cpus = 0.0;
         let mut tasks: BTreeMap<&JobId, u32> = BTreeMap::new();
--- a/crates/core/src/provision/warm_reserve.rs
+++ b/crates/core/src/provision/warm_reserve.rs
@@ -1,5 +1,5 @@
-//! The warm reserve: free capacity kept for service replicas, so that the ones that come
-//! while a machine boots need not wait for it.
+//! The warm reserve: free capacity kept for service replicas, so that replicas submitted while a
+//! machine boots needn't wait for it.
 
 use super::Shortage;
 use super::bin_packing::Capacity;
@@ -10,7 +10,7 @@
 use marblebarrow_proto::wire::MachineType;
 
 impl Leader {
-    /// Whether the warm reserve is complete without this machine.
+    /// Whether the warm reserve would still be complete without this machine.
     pub(crate) fn is_warm_without(&mut self, now: Secs, id: &MachineId) -> bool {
         let mut capacity = self.capacity(now, Some(id));
         let wanted = self.warm_reserve(now);
@@ -20,8 +20,8 @@
         wanted.iter().all(fits)
     }
 
-    /// What the warm reserve lacks. What arrays hold on ordinary machines can be had by
-    /// preemption, so the reserve need not stand idle.
+    /// The part of the warm reserve that is missing. Capacity that arrays occupy on ordinary
+    /// machines can be obtained by preemption, so the reserve needn't be idle.
     pub(super) fn warm_shortages(&mut self, now: Secs, capacity: &[Capacity]) -> Vec<Shortage> {
         let mut capacity = capacity.to_vec();
         self.add_preemptible_capacity(now, &mut capacity);
@@ -33,8 +33,8 @@
         shortages
     }
 
-    /// Replicas to keep capacity for: of each class as many as come while a machine boots
-    /// and fetches the image.
+    /// Replicas to keep capacity for: for each service class, as many as are expected to arrive
+    /// while a machine boots and fetches the image.
     fn warm_reserve(&mut self, now: Secs) -> Vec<Shortage> {
         let boot = self.warm_boot();
         let fetch_rates = self.cloud_requests.types.iter().map(|t| t.fetch_gb_per_s);
@@ -42,7 +42,7 @@
         let mut wanted = Vec::new();
         for class in self.cloud_requests.services.values_mut() {
             class.arrivals.retain(|at| now - at < RATE_WINDOW_S);
-            // What waits at the start is a backlog, not a rate.
+            // Tasks already waiting at the start are a backlog, not an arrival rate.
             let rate = class.arrivals.len() as f64 / RATE_WINDOW_S;
             let lead = boot + class.shape.image_gb / fetch_rate.max(1e-3);
             let tasks = (rate * lead * self.facts.tuning.warm_factor).max(WARM_MIN).ceil();
@@ -51,7 +51,7 @@
         wanted
     }
 
-    /// The slowest type's boot, seconds, within the bounds that the reserve reckons with.
+    /// Boot time in seconds of the slowest machine type, clamped to the bounds `BOOT_WARM`.
     fn warm_boot(&self) -> Secs {
         let cloud = &self.cloud_requests;
         let boot = |t: &MachineType| {
--- a/crates/core/src/tests/provision.rs
+++ b/crates/core/src/tests/provision.rs
@@ -14,8 +14,8 @@
 
 const RUN_S: f64 = 40.0;
 
-/// A leader whose `busy` one-CPU tasks end one after the other within a run,
-/// and with as many `waiting`, due after three runs.
+/// A leader with `busy` one-CPU tasks, which end one after the other within one run time, and
+/// `waiting` tasks, which are due after three run times.
 fn leader(busy: u32, waiting: u32, adopted: bool) -> Leader {
     let facts = Facts {
         node: NodeId::new("c0"),
@@ -103,39 +103,39 @@
     leader.late_tasks(0.0, &[], |_| true).shortages.iter().map(|shortage| shortage.tasks).sum()
 }
 
-/// 9,000 tasks wait for as many busy CPUs: those that would start after a
-/// boot are seen, though the first 4,000 start sooner.
+/// With 9,000 tasks waiting for as many busy CPUs, the projection includes the tasks that would
+/// start later than a boot takes, even though the first 4,000 start sooner.
 #[test]
-fn a_plan_sees_the_whole_backlog_of_a_large_fleet() {
+fn projection_covers_the_whole_backlog_of_a_large_fleet() {
     assert!(late(&leader(9_000, 9_000, false)) > 1_000);
     assert_eq!(late(&leader(9_000, 3_000, false)), 0);
 }
 
-/// What a new leader finds running is not thought to have just begun.
+/// A new leader must not assume that the tasks it finds running have just begun.
 #[test]
-fn a_takeover_does_not_make_a_backlog_look_longer() {
+fn takeover_does_not_inflate_the_backlog() {
     assert_eq!(late(&leader(2_000, 500, true)), 0);
 }
 
-/// A backlog that stays is rented against, though no task of it would start
-/// sooner on a machine rented now; one that passes is not.
+/// Machines are rented for a persistent backlog, even though none of its tasks would start sooner
+/// on a machine rented now; for a transient backlog none are.
 #[test]
-fn a_backlog_that_stays_gets_machines() {
-    for (steady, wanted) in [(true, true), (false, false)] {
+fn persistent_backlog_gets_machines() {
+    for (sustained, wanted) in [(true, true), (false, false)] {
         let mut leader = leader(0, 2_000, false);
         let mut plan = RentPlan::default();
         for step in 0..60 {
-            let cpus = if steady || step % 10 > 0 { 2_000.0 } else { 0.0 };
+            let cpus = if sustained || step % 10 > 0 { 2_000.0 } else { 0.0 };
             leader.plan_for_backlog(f64::from(step) * FLEET_EVERY_S, cpus, 250, &mut plan);
         }
         assert_eq!(!plan.machines.is_empty(), wanted, "{plan:?}");
     }
 }
 
-/// An image is fetched once more only where its holders don't come free
-/// sooner than the fetch would end.
+/// One more machine fetches an image only if the machines that have it won't become free before the
+/// fetch would end.
 #[test]
-fn a_fetch_must_be_worth_it() {
+fn image_is_fetched_only_if_its_holders_stay_busy() {
     let mut leader = leader(0, 10, false);
     let id = JobId::new("req-000002");
     for (waiting, holders, worth) in [(10.0, 0.0, true), (10.0, 16.0, true), (10.0, 800.0, false)] {
@@ -145,15 +145,15 @@
 }
 
 proptest! {
-    /// Filling room by room takes the same rooms as one task after another.
+    /// Packing many tasks at once uses the same capacity as packing them one by one.
     #[test]
-    fn many_tasks_take_what_each_would(
-        rooms in proptest::collection::vec((1u32..9, any::<bool>(), 0usize..2), 0..30),
+    fn packing_many_tasks_matches_packing_one_by_one(
+        machines in proptest::collection::vec((1u32..9, any::<bool>(), 0usize..2), 0..30),
         cpus in 1u32..4,
         spot in any::<bool>(),
         tasks in 0u32..60,
     ) {
-        let mut rooms: Vec<Capacity> = rooms
+        let mut machines: Vec<Capacity> = machines
             .into_iter()
             .map(|(free, spot, machine_type)| Capacity {
                 available_at: 0.0,
@@ -161,16 +161,16 @@
                 location: Location { machine_type, zone: 0, spot },
             })
             .collect();
-        let need = TaskNeeds {
+        let needs = TaskNeeds {
             amounts: [f64::from(cpus), 0.0, 1.0],
             spot,
             types: vec![AllowedZones::All, AllowedZones::None],
         };
-        let mut one_by_one = rooms.clone();
-        let placed = (0..tasks).take_while(|_| need.pack_one(&mut one_by_one)).count() as u32;
-        prop_assert_eq!(need.pack(&mut rooms, tasks), tasks - placed);
-        let mut left: Vec<u32> = rooms.iter().map(|r| r.free[0] as u32).collect();
-        let mut wanted: Vec<u32> = one_by_one.iter().map(|r| r.free[0] as u32).collect();
+        let mut one_by_one = machines.clone();
+        let placed = (0..tasks).take_while(|_| needs.pack_one(&mut one_by_one)).count() as u32;
+        prop_assert_eq!(needs.pack(&mut machines, tasks), tasks - placed);
+        let mut left: Vec<u32> = machines.iter().map(|m| m.free[0] as u32).collect();
+        let mut wanted: Vec<u32> = one_by_one.iter().map(|m| m.free[0] as u32).collect();
         left.sort_unstable();
         wanted.sort_unstable();
         prop_assert_eq!(left, wanted);
