--- a/crates/core/src/deprovision/boots.rs
+++ b/crates/core/src/deprovision/boots.rs
@@ -1,4 +1,4 @@
-//! Boots that are given up.
+//! Boots that failed or timed out.
 
 use crate::cloud_requests::Booting;
 use crate::consts::*;
@@ -7,28 +7,30 @@
 use marblebarrow_proto::ids::MachineId;
 
 impl Leader {
-    /// Releases machines that failed, or that didn't come up in time.
-    pub(super) fn give_up_boots(&mut self, now: Secs) {
+    /// Releases machines whose boot failed or didn't finish in time.
+    pub(super) fn release_failed_boots(&mut self, now: Secs) {
         let booting = self.cloud_requests.booting.iter();
-        let given_up: Vec<MachineId> = booting
-            .filter(|(_, machine)| self.is_boot_over(now, machine))
+        let failed_boots: Vec<MachineId> = booting
+            .filter(|(_, machine)| self.has_boot_failed(now, machine))
             .map(|(id, _)| id.clone())
             .collect();
-        self.cloud_requests.to_release.extend(given_up);
+        self.cloud_requests.to_release.extend(failed_boots);
     }
 
-    fn is_boot_over(&self, now: Secs, machine: &Booting) -> bool {
+    /// Whether the boot failed, timed out, or its machine vanished from the machine list.
+    fn has_boot_failed(&self, now: Secs, machine: &Booting) -> bool {
         let lag = self.facts.list_lag_s;
         let age = now - machine.since;
-        // Taken back before it reported, or never more than a promise.
+        // The machine is no longer listed: it was either interrupted before it reported, or never
+        // created.
         let unlisted = machine.listed_at.map_or(age, |at| now - at);
         let vanished = unlisted > lag * 3.0 + LIST_EVERY_S * 2.0;
-        machine.failed || age > self.longest_boot(machine) + lag || vanished
+        machine.failed || age > self.boot_timeout(machine) + lag || vanished
     }
 
-    /// After so long, seconds, a boot is given up; not before the others in its zone are
-    /// expected.
-    fn longest_boot(&self, machine: &Booting) -> Secs {
+    /// Time in seconds after which a boot counts as failed. It is no shorter than the boots
+    /// currently expected in the machine's zone.
+    fn boot_timeout(&self, machine: &Booting) -> Secs {
         let cloud = &self.cloud_requests;
         cloud.machine_type(&machine.kind).map_or(0.0, |t| {
             let expected = cloud.boot(t, &machine.zone) * BOOT_COUNTED;
--- a/crates/core/src/deprovision/consolidation.rs
+++ b/crates/core/src/deprovision/consolidation.rs
@@ -1,4 +1,4 @@
-//! Consolidation: work is moved off machines so that they can be released.
+//! Consolidation: moves work off machines so that they can be released.
 
 use crate::consts::*;
 use crate::event::Secs;
@@ -9,15 +9,15 @@
 use marblebarrow_proto::ids::{MachineId, TaskId};
 use marblebarrow_proto::job::{JobSpec, Kind};
 
-/// A machine that may take over replicas.
+/// A machine that may receive replicas.
 struct Target<'a> {
     machine: &'a Machine,
-    /// CPUs, GPUs, memory (GB).
+    /// Free CPUs, GPUs and memory (GB).
     free: [f64; 3],
 }
 
 impl Target<'_> {
-    /// Whether a replica could start there without a fetch.
+    /// Whether a replica could start there without an image fetch.
     fn holds(&self, spec: &JobSpec) -> bool {
         self.machine.has_image(&spec.image)
             && matches_spec(spec, self.machine)
@@ -31,8 +31,8 @@
     }
 }
 
-/// Whether a replica may be moved: it has run for long enough, and no other replica's place
-/// depends on its own.
+/// Whether a replica may be moved: it has run for long enough, and the placement of other replicas
+/// doesn't depend on its location.
 fn is_movable(job: &Job, index: u32, now: Secs) -> bool {
     let spec = job.spec();
     let settled = |live: &Live| {
@@ -46,14 +46,15 @@
 }
 
 impl Leader {
-    /// Moves the replicas of a machine that is used little onto others that stay anyway and
-    /// hold their images, so that it can be released.
+    /// Moves the replicas off a lightly used machine, to machines that are retained anyway and hold
+    /// their images, so that the machine can be released.
     pub(crate) fn consolidate(&mut self, now: Secs) {
         if self.recovering || now < self.cloud_requests.next_consolidation {
             return;
         }
-        // Not while spare-capacity work waits either: it fills what replicas leave. Mistaken
-        // jobs wait for as long as their users do, and once held up all consolidation.
+        // No consolidation while spare-capacity work is waiting either, as it would fill the
+        // capacity that the replicas free. Mistaken jobs are ignored: they wait until their users
+        // act, and counting them blocked all consolidation.
         if self.jobs.values().any(|job| job.waiting() > 0 && !job.mistaken()) {
             return;
         }
@@ -61,14 +62,15 @@
         if !self.fits_elsewhere(now, &id) || !self.is_warm_without(now, &id) {
             return;
         }
-        let crowd = (self.machines.len() as f64 / CONSOLIDATE_FLEET).max(1.0);
-        self.cloud_requests.next_consolidation = now + CONSOLIDATE_EVERY_S / crowd;
+        let fleet_factor = (self.machines.len() as f64 / CONSOLIDATE_FLEET).max(1.0);
+        self.cloud_requests.next_consolidation = now + CONSOLIDATE_EVERY_S / fleet_factor;
         let replicas = self.machines.get(&id).map_or(0, |machine| machine.tasks.len());
         self.log.push(|| format!("event=gather machine={id} replicas={replicas}"));
         self.evict_all(&id);
     }
 
-    /// The ordinary machine with the least on it, if that is all replicas that may be moved.
+    /// The ordinary machine with the lowest CPU usage, among those that run only replicas that may
+    /// be moved.
     fn least_used(&self, now: Secs) -> Option<MachineId> {
         let movable = |task: &TaskId| {
             self.jobs.get(&task.job).is_some_and(|job| is_movable(job, task.index, now))
@@ -77,7 +79,7 @@
         self.machines
             .iter()
             .filter(|(_, m)| {
-                self.keeps_replicas(m, now) && m.direct.is_none() && m.tasks.iter().all(movable)
+                self.is_replica_host(m, now) && m.direct.is_none() && m.tasks.iter().all(movable)
             })
             .map(|(id, m)| (share(m), id))
             .filter(|(share, _)| *share <= CONSOLIDATE_SHARE)
@@ -86,19 +88,19 @@
     }
 
     /// Whether a machine is an ordinary one that runs replicas and could start more.
-    fn keeps_replicas(&self, machine: &Machine, now: Secs) -> bool {
+    fn is_replica_host(&self, machine: &Machine, now: Secs) -> bool {
         !machine.info.spot
             && machine.services > 0
             && machine.usable(now, self.facts.heartbeat_interval_s)
     }
 
-    /// Whether all that is on a machine fits on others that run replicas and hold the images.
+    /// Whether all tasks of a machine fit on other machines that run replicas and hold the images.
     fn fits_elsewhere(&self, now: Secs, id: &MachineId) -> bool {
         let Some(machine) = self.machines.get(id) else { return false };
         let mut targets: Vec<Target> = self
             .machines
             .iter()
-            .filter(|(other, m)| *other != id && self.keeps_replicas(m, now))
+            .filter(|(other, m)| *other != id && self.is_replica_host(m, now))
             .map(|(_, m)| Target { machine: m, free: m.free() })
             .collect();
         machine.tasks.iter().all(|task| {
@@ -111,9 +113,9 @@
         })
     }
 
-    /// Empties ordinary machines that run nothing but spare-capacity work, a few a round,
-    /// unless others wait for capacity or services want them warm. The work saves what it
-    /// did, and goes on where it is cheap.
+    /// Evicts the tasks of ordinary machines that run only spare-capacity work, a few machines per
+    /// round, unless other work waits for capacity or the warm reserve needs the machines. The
+    /// tasks save their progress and continue on cheaper machines.
     pub(super) fn evict_spare_work(&mut self, now: Secs, machines: Vec<MachineId>) {
         if self.has_waiting_regular_work() {
             return;
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Whether anything waits but spare-capacity work and mistaken jobs.
+    /// Whether any work is waiting other than spare-capacity work and mistaken jobs.
     fn has_waiting_regular_work(&self) -> bool {
         self.jobs.values().any(|job| job.waiting() > 0 && !job.spare() && !job.mistaken())
     }
--- a/crates/core/src/deprovision/health.rs
+++ b/crates/core/src/deprovision/health.rs
@@ -1,4 +1,5 @@
-//! Checks of a single machine: failures, stuck starts, and what it is kept for.
+//! Checks of a single machine: failures, stuck starts, and whether it only runs spare-capacity
+//! work.
 
 use crate::consts::{MACHINE_ERRORS, SLOW_SAMPLES};
 use crate::event::Secs;
@@ -7,12 +8,12 @@
 use crate::log::Log;
 use marblebarrow_proto::ids::MachineId;
 
-/// Whether tasks fail on the machine, or run slowly, more often than by chance.
+/// Whether tasks fail or run slowly on the machine more often than chance would explain.
 pub(super) fn is_faulty(machine: &Machine) -> bool {
     machine.errors >= MACHINE_ERRORS || machine.slow >= SLOW_SAMPLES
 }
 
-/// Keeps new tasks away from a machine.
+/// Cordons a machine, so that it gets no new tasks.
 pub(super) fn cordon(id: &MachineId, machine: &mut Machine, log: &mut Log) {
     if !machine.cordoned {
         let (errors, slow) = (machine.errors, machine.slow);
@@ -21,8 +22,8 @@
     machine.cordoned = true;
 }
 
-/// Whether all that is left on a cordoned machine is unconfirmed starts that are to stop:
-/// its release proves them gone.
+/// Whether all that is left on a cordoned machine is unconfirmed starts that are to be stopped.
+/// Releasing the machine proves that they are gone.
 pub(super) fn is_stuck(machine: &Machine, jobs: &Jobs) -> bool {
     let stuck = |live: &Live| live.unconfirmed && live.stop.is_some() && live.phase == Phase::Sent;
     machine.cordoned
@@ -34,8 +35,8 @@
         })
 }
 
-/// Notes since when a machine has run nothing but spare-capacity work, if it does.
-pub(super) fn note_spare_only(machine: &mut Machine, jobs: &Jobs, now: Secs) {
+/// Records since when a machine has run only spare-capacity work, if it does.
+pub(super) fn track_spare_only(machine: &mut Machine, jobs: &Jobs, now: Secs) {
     if !runs_only_spare_work(machine, jobs, now) {
         machine.spare_since = None;
     } else if machine.spare_since.is_none() {
@@ -43,8 +44,8 @@
     }
 }
 
-/// Whether there is nothing but spare-capacity work on an ordinary machine, which is dearer
-/// than that work is worth.
+/// Whether an ordinary machine runs only spare-capacity work, whose value doesn't justify the
+/// machine's price.
 fn runs_only_spare_work(machine: &Machine, jobs: &Jobs, now: Secs) -> bool {
     let evictable = |job: &Job, index: u32| {
         let confirmed = job.live.get(&index).is_some_and(|live| !live.unconfirmed);
--- a/crates/core/src/deprovision/idle.rs
+++ b/crates/core/src/deprovision/idle.rs
@@ -1,4 +1,4 @@
-//! Idle machines: how long each is kept, and which of them are released.
+//! Idle machines: how long each one is kept, and which of them are released.
 
 use super::replica_failover::FailoverCapacity;
 use crate::consts::*;
@@ -9,7 +9,7 @@
 use marblebarrow_proto::ids::MachineId;
 use std::collections::HashMap;
 
-/// On how many machines each image is cached.
+/// The number of machines on which each image is cached.
 pub(super) struct ImageHolders {
     holders: HashMap<String, HolderCount>,
 }
@@ -21,7 +21,7 @@
 }
 
 impl ImageHolders {
-    /// Counts machines whose lease hasn't ended and that aren't being released.
+    /// Counts the machines whose lease hasn't lapsed and that aren't being released.
     pub(super) fn of(machines: &Machines) -> Self {
         let mut holders: HashMap<String, HolderCount> = HashMap::new();
         for machine in machines.values().filter(|m| !m.releasing && m.lapsed.is_none()) {
@@ -36,7 +36,8 @@
         Self { holders }
     }
 
-    /// Whether few machines of the kind have the image.
+    /// Whether the image is held by at most `RARE_HOLDERS` machines of the same kind (spot or
+    /// ordinary).
     fn is_rare(&self, image: &str, spot: bool) -> bool {
         self.holders.get(image).is_none_or(|count| {
             let holders = if spot { count.spot } else { count.ordinary };
@@ -45,7 +46,8 @@
     }
 }
 
-/// Whether nothing runs on the machine, and nothing is to be learnt or cleared there.
+/// Whether a confirmed machine runs nothing, has no ended tasks left to report or clear and no
+/// command in flight, and was first heard long enough ago.
 pub(super) fn is_idle(machine: &Machine, now: Secs) -> bool {
     machine.tasks.is_empty()
         && machine.exited.keys().all(|attempt| machine.unconfirmed_starts.contains(attempt))
@@ -55,10 +57,10 @@
         && now - machine.first_heard > LEAST_BILL_S / 2.0
 }
 
-/// How long the machine is kept while idle, seconds: longer for images that few others have.
-pub(super) fn patience(machine: &Machine, holders: &ImageHolders, facts: &Facts) -> Secs {
+/// How long an idle machine is kept, in seconds; longer if it holds images that few others have.
+pub(super) fn idle_timeout(machine: &Machine, holders: &ImageHolders, facts: &Facts) -> Secs {
     if machine.cordoned {
-        // It gets no more work, so there is nothing to wait for.
+        // A cordoned machine gets no new work, so there is no reason to keep it.
         return 0.0;
     }
     let spot = machine.info.spot;
@@ -72,20 +74,20 @@
     }
 }
 
-/// An idle machine; the least is released first. The fields count in this order: dearest
-/// kind first; the fewer replicas it could take over, and the fewer images it holds, the less
-/// is lost with it.
+/// An idle machine; the lowest is released first. Fields are compared in declaration order: the
+/// most expensive kind (ordinary) first; then the machine that could take over the fewest replicas
+/// and holds the fewest images, as releasing it loses the least.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct IdleMachine {
     spot: bool,
-    /// Replicas of the services whose images it holds.
+    /// Number of replicas of the services whose images it holds.
     replicas: u32,
     images: usize,
     id: MachineId,
 }
 
 impl Leader {
-    /// Releases a few idle machines a round, unless they are wanted warm.
+    /// Releases a few idle machines per round, except those needed for the warm reserve.
     pub(super) fn release_idle(&mut self, now: Secs, idle: Vec<MachineId>) {
         if idle.is_empty() {
             return;
@@ -99,12 +101,13 @@
             }
             let Some(machine) = self.machines.get(&id) else { continue };
             let images: Vec<String> = machine.images.iter().map(|(i, _)| i.clone()).collect();
-            // Cordoned and spot machines are of no use to services.
+            // Services don't use cordoned or spot machines.
             let serves = !machine.cordoned && !spot;
             if serves && images.iter().any(|image| failover.is_short(image)) {
                 continue;
             }
-            // Those after one that is wanted warm are alike: all are tried in rounds to come.
+            // A machine needed for the warm reserve also counts toward the limit: the machines
+            // after it are alike, and all of them are tried in later rounds.
             left -= 1;
             if serves && !self.is_warm_without(now, &id) {
                 continue;
@@ -116,6 +119,7 @@
         }
     }
 
+    /// Sorts idle machines into the order in which they are released.
     fn by_release_order(
         &self,
         idle: Vec<MachineId>,
--- a/crates/core/src/deprovision/mod.rs
+++ b/crates/core/src/deprovision/mod.rs
@@ -1,8 +1,9 @@
-//! Scale in: which machines to release.
+//! Scale-in: decides which machines to release.
 //!
-//! Machines that never came up ([`boots`]), fell silent ([`silence`]), fail, are slow or
-//! idle ([`idle`]), and those whose work does better elsewhere ([`consolidation`]). Machines
-//! with a spot interruption notice are evicted gracefully ([`spot_notices`]).
+//! These are machines that never came up ([`boots`]), that became unreachable
+//! ([`silence`]), that fail, are slow ([`health`]) or idle ([`idle`]), and those whose
+//! work is better run elsewhere ([`consolidation`]). Tasks on machines with a spot interruption
+//! notice are evicted gracefully ([`spot_notices`]).
 
 mod boots;
 mod consolidation;
@@ -16,21 +17,21 @@
 use crate::leader::Leader;
 use idle::ImageHolders;
 use marblebarrow_proto::ids::{MachineId, TaskId};
-use silence::SilenceDetector;
+use silence::FailureDetector;
 
-/// Machines that a round may release.
+/// Machines that a scaling round may release.
 #[derive(Default)]
 struct Candidates {
-    /// Idle for longer than they are worth keeping.
+    /// Machines idle for longer than they are worth keeping.
     idle: Vec<MachineId>,
-    /// Ordinary machines that have run nothing but spare-capacity work for long.
+    /// Ordinary machines that have run only spare-capacity work for a long time.
     spare_only: Vec<MachineId>,
 }
 
 impl Leader {
-    /// Picks the machines to release.
+    /// Runs one scale-in round.
     pub(crate) fn scale_in(&mut self, now: Secs) {
-        self.give_up_boots(now);
+        self.release_failed_boots(now);
         let candidates = self.check_machines(now);
         if self.recovering {
             return;
@@ -39,21 +40,22 @@
         self.release_idle(now, candidates.idle);
     }
 
-    /// Checks each machine: releases those that are gone, cordons those that are faulty, and
-    /// finds those that may be released.
+    /// Checks each machine: marks those that are presumed dead for release, cordons faulty ones,
+    /// and collects those that may be released.
     fn check_machines(&mut self, now: Secs) -> Candidates {
-        let silence = SilenceDetector::new(self, now);
+        let detector = FailureDetector::new(self, now);
         let holders = ImageHolders::of(&self.machines);
         let mut candidates = Candidates::default();
         for (id, machine) in &mut self.machines {
-            if silence.is_gone(machine) && machine.lapsed.is_none() && !machine.releasing {
+            if detector.is_presumed_dead(machine) && machine.lapsed.is_none() && !machine.releasing
+            {
                 self.log.push(|| format!("event=silent machine={id} spot={}", machine.info.spot));
                 machine.releasing = true;
                 self.cloud_requests.to_release.insert(id.clone());
             }
-            if silence.is_lost(machine) {
-                // Silent past its lease. Should it be back by then, it will have nothing on
-                // it that counts.
+            if detector.is_lost(machine) {
+                // Unreachable past the end of its lease. If it comes back before the release, it no
+                // longer runs any task that counts.
                 machine.cordoned = true;
                 self.cloud_requests.to_release.insert(id.clone());
             } else if health::is_faulty(machine) {
@@ -63,12 +65,12 @@
                 machine.releasing = true;
                 self.cloud_requests.to_release.insert(id.clone());
             }
-            health::note_spare_only(machine, &self.jobs, now);
+            health::track_spare_only(machine, &self.jobs, now);
             if machine.spare_since.is_some_and(|at| now - at > self.facts.tuning.idle_s) {
                 candidates.spare_only.push(id.clone());
             }
             if idle::is_idle(machine, now)
-                && now - machine.idle_since > idle::patience(machine, &holders, &self.facts)
+                && now - machine.idle_since > idle::idle_timeout(machine, &holders, &self.facts)
             {
                 candidates.idle.push(id.clone());
             }
@@ -76,7 +78,7 @@
         candidates
     }
 
-    /// Has a machine released; nothing new is placed there.
+    /// Queues a machine for release; nothing new is placed there.
     fn release(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.cordoned = true;
@@ -85,8 +87,7 @@
         self.cloud_requests.to_release.insert(id.clone());
     }
 
-    /// Stops all tasks on a machine, with time to save their work; nothing new is placed
-    /// there.
+    /// Cordons a machine and stops all its tasks, with time to save their work.
     fn evict_all(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.cordoned = true;
--- a/crates/core/src/deprovision/replica_failover.rs
+++ b/crates/core/src/deprovision/replica_failover.rs
@@ -1,5 +1,5 @@
-//! Capacity for the failover of replicas: machines that could take over a lost replica
-//! without fetching its image.
+//! Capacity for replica failover: machines that could take over a lost replica without fetching its
+//! image.
 
 use crate::consts::{AMOUNT_TOLERANCE, HOLDERS_SHARE};
 use crate::event::Secs;
@@ -8,25 +8,25 @@
 use marblebarrow_proto::job::Kind;
 use std::collections::HashMap;
 
-/// Who could take over a lost replica of an image at once.
+/// Failover capacity for the replicas of one image.
 #[derive(Debug, Default)]
 struct ImageFailover {
-    /// Replicas that run.
+    /// Number of replicas placed.
     replicas: u32,
-    /// CPUs that the largest of them needs.
+    /// CPUs needed by the largest of them.
     cpus: f64,
-    /// Ordinary machines on which one more could start without a fetch.
+    /// Number of ordinary machines on which one more replica could start without a fetch.
     holders: u32,
 }
 
 impl ImageFailover {
-    /// Whether none of the holders may go.
+    /// Whether there are too few holders to release one of them.
     fn is_short(&self) -> bool {
         self.holders <= (f64::from(self.replicas) * HOLDERS_SHARE) as u32
     }
 }
 
-/// For each image of running replicas: who could take over a lost one at once.
+/// Failover capacity by image, for the images of all services.
 #[derive(Debug)]
 pub(super) struct FailoverCapacity {
     images: HashMap<String, ImageFailover>,
@@ -49,17 +49,17 @@
         Self { images }
     }
 
-    /// Replicas of an image that run.
+    /// Number of placed replicas of an image.
     pub(super) fn replicas(&self, image: &str) -> u32 {
         self.images.get(image).map_or(0, |failover| failover.replicas)
     }
 
-    /// Whether no machine that holds the image may go.
+    /// Whether too few machines hold the image to release one of them.
     pub(super) fn is_short(&self, image: &str) -> bool {
         self.images.get(image).is_some_and(ImageFailover::is_short)
     }
 
-    /// A machine that holds the image goes.
+    /// Records that a machine holding the image is to be released.
     pub(super) fn remove_holder(&mut self, image: &str) {
         if let Some(failover) = self.images.get_mut(image) {
             failover.holders = failover.holders.saturating_sub(1);
@@ -77,7 +77,7 @@
     images
 }
 
-/// What is free on a machine, and what preemption would free: CPUs, GPUs, memory (GB).
+/// Free capacity of a machine, including what preemption would free: CPUs, GPUs, memory (GB).
 fn free_with_preemption(leader: &Leader, machine: &Machine) -> [f64; 3] {
     let mut free = machine.free();
     leader.add_preemptible(machine, &mut free);
--- a/crates/core/src/deprovision/silence.rs
+++ b/crates/core/src/deprovision/silence.rs
@@ -1,4 +1,4 @@
-//! Failure detection: which silent machines are gone.
+//! Failure detection: decides which unreachable machines are gone.
 
 use crate::consts::*;
 use crate::event::Secs;
@@ -6,136 +6,146 @@
 use crate::leader::Leader;
 use std::collections::BTreeMap;
 
-/// Machines of a zone.
+/// Number of machines in a zone, and how many of them are unreachable.
 #[derive(Clone, Copy, Default)]
 struct ZoneCount {
     all: u32,
-    silent: u32,
+    unreachable: u32,
 }
 
-/// What one round knows of the fleet's heartbeats. The silence of a machine speaks of the
-/// machine only if this controller hears the others.
-pub(super) struct SilenceDetector {
+/// The state of the fleet's heartbeats in one scaling round. A missing heartbeat is evidence about
+/// a machine only if this controller receives heartbeats from the other machines.
+pub(super) struct FailureDetector {
     now: Secs,
     leader_since: Secs,
-    /// A spot machine that is silent for this long is gone, seconds.
-    gone_after: Secs,
-    /// A machine that is silent for this long missed a heartbeat, seconds.
-    quiet_after: Secs,
-    /// A machine whose lease ended this long ago won't be waited for, seconds.
-    back_by: Secs,
-    /// Most machines were heard lately.
-    most_heard: bool,
-    /// The same, by a leader that has led and run without delay for long enough.
-    heard_lately: bool,
-    /// This process ran without delay for `gone_after`.
-    prompt_for_gone: bool,
-    /// Enough machines are heard right now for an early verdict: cut off from the workers, a
-    /// leader once gave up half the fleet in the seconds before it found out.
-    hears_now: bool,
+    /// Seconds without a heartbeat after which a spot machine is presumed dead.
+    presumed_dead_after: Secs,
+    /// Seconds without a heartbeat after which a machine has missed one.
+    heartbeat_missed_after: Secs,
+    /// Seconds without an answered heartbeat after which a machine whose lease ended is lost.
+    lost_after: Secs,
+    /// Whether most machines were heard recently.
+    majority_heard: bool,
+    /// Whether most machines were heard recently, and this leader has led and run without delay for
+    /// long enough for that to be reliable.
+    observations_reliable: bool,
+    /// Whether this process ran without delay for `presumed_dead_after`.
+    undelayed: bool,
+    /// Whether enough machines are heard right now to declare a machine dead early. Without this
+    /// check, a leader partitioned from the workers released half the fleet in the seconds before
+    /// it detected the partition.
+    enough_heard_now: bool,
     zones: BTreeMap<String, ZoneCount>,
 }
 
-impl SilenceDetector {
+impl FailureDetector {
     pub(super) fn new(leader: &Leader, now: Secs) -> Self {
         let heartbeat_interval_s = leader.facts.heartbeat_interval_s;
-        let gone_after = heartbeat_interval_s * GONE_HEARTBEATS + GONE_MARGIN_S;
-        let quiet_after = heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
+        let presumed_dead_after = heartbeat_interval_s * GONE_HEARTBEATS + GONE_MARGIN_S;
+        let heartbeat_missed_after = heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
         let leader_since = leader.cloud_requests.leader_since;
-        let most_heard = most_heard(&leader.machines, now, heartbeat_interval_s);
+        let majority_heard = majority_heard(&leader.machines, now, heartbeat_interval_s);
         Self {
             now,
             leader_since,
-            gone_after,
-            quiet_after,
-            back_by: leader.facts.lease_s + LAPSED_KEPT_S,
-            most_heard,
-            heard_lately: now - leader_since > GONE_AFTER_S
-                && most_heard
-                && leader.prompt_for(now, quiet_after),
-            prompt_for_gone: leader.prompt_for(now, gone_after),
-            hears_now: hears_now(&leader.machines, now, heartbeat_interval_s),
-            zones: count_zones(&leader.machines, now, quiet_after),
+            presumed_dead_after,
+            heartbeat_missed_after,
+            lost_after: leader.facts.lease_s + LAPSED_KEPT_S,
+            majority_heard,
+            observations_reliable: now - leader_since > GONE_AFTER_S
+                && majority_heard
+                && leader.prompt_for(now, heartbeat_missed_after),
+            undelayed: leader.prompt_for(now, presumed_dead_after),
+            enough_heard_now: enough_heard_now(&leader.machines, now, heartbeat_interval_s),
+            zones: count_zones(&leader.machines, now, heartbeat_missed_after),
         }
     }
 
-    /// Whether the machine is most probably gone: a release is proof at once, while its lease
-    /// would keep its tasks away for as long as it lasts.
-    pub(super) fn is_gone(&self, machine: &Machine) -> bool {
-        self.is_unreached(machine)
-            || self.heard_lately && (self.is_silent_for_long(machine) || self.is_dead(machine))
+    /// Whether the machine is most probably gone. Releasing it proves at once that its tasks are
+    /// gone, while waiting for its lease would delay their restart until the lease ends.
+    pub(super) fn is_presumed_dead(&self, machine: &Machine) -> bool {
+        self.was_never_reached(machine)
+            || self.observations_reliable
+                && (self.is_unreachable_for_long(machine) || self.is_unresponsive(machine))
     }
 
-    /// A spot machine that was not heard under this term, nor reached by direct commands.
-    fn is_unreached(&self, machine: &Machine) -> bool {
+    /// Whether a spot machine was neither heard in this term nor reached by direct commands.
+    fn was_never_reached(&self, machine: &Machine) -> bool {
         machine.info.spot
             && !machine.confirmed
             && machine.unreached >= PROBES
-            && self.most_heard
-            && self.prompt_for_gone
+            && self.majority_heard
+            && self.undelayed
     }
 
-    /// An ordinary machine may be cut off and its replicas serve on; but if it was never
-    /// heard in this term, its lease is mostly over by now.
-    fn is_silent_for_long(&self, machine: &Machine) -> bool {
-        let worth_no_wait = machine.info.spot || !machine.confirmed;
-        self.silence(machine) > self.gone_after && worth_no_wait && self.prompt_for_gone
+    /// Whether the machine has been unreachable for long and needn't be waited for. An ordinary
+    /// machine may be partitioned while its replicas keep serving; but if it was never heard in
+    /// this term, its lease is mostly over.
+    fn is_unreachable_for_long(&self, machine: &Machine) -> bool {
+        let needs_no_wait = machine.info.spot || !machine.confirmed;
+        self.unreachable_for(machine) > self.presumed_dead_after && needs_no_wait && self.undelayed
     }
 
-    /// One that missed a heartbeat and two questions is dead, hung or cut off: its lease
-    /// tells none of them apart. (Dead machines once kept a tenth of all replicas away for a
-    /// whole lease.)
-    fn is_dead(&self, machine: &Machine) -> bool {
-        self.hears_now
+    /// Whether the machine missed a heartbeat and two probes (`QUIET_PROBES`). It is then dead, hung
+    /// or partitioned; its lease treats all of these alike. Without this rule, dead machines kept a
+    /// tenth of all replicas down for a whole lease.
+    fn is_unresponsive(&self, machine: &Machine) -> bool {
+        self.enough_heard_now
             && machine.unreached >= QUIET_PROBES
-            && self.silence(machine) > self.quiet_after
-            && !self.is_cut_off(&machine.info.zone)
+            && self.unreachable_for(machine) > self.heartbeat_missed_after
+            && !self.is_zone_partitioned(&machine.info.zone)
     }
 
-    /// For how long the machine has been silent, seconds.
+    /// Time in seconds for which the machine has been unreachable.
     ///
-    /// Recorded and never heard in this term counts from the start of leadership: such a
-    /// machine held up recovery for a whole lease. (What is heard of an unconfirmed one may
-    /// be late copies.) Nor can one that came up just now have been silent for long: where
-    /// direct commands were crowded, hundreds of new machines once were given up before
-    /// anybody had asked them.
-    fn silence(&self, machine: &Machine) -> Secs {
-        let asked_since = self.leader_since.max(machine.first_heard);
-        self.now - machine.heard.filter(|_| machine.confirmed).unwrap_or(asked_since)
+    /// For a machine that is recorded but unconfirmed in this term, it counts from the start of
+    /// leadership; otherwise such a machine held up recovery for a whole lease. (Messages from an
+    /// unconfirmed machine may be late copies and don't count.) It never counts from before the
+    /// machine was first heard: when direct commands were congested, hundreds of new machines were
+    /// released before any of them had been probed.
+    fn unreachable_for(&self, machine: &Machine) -> Secs {
+        let probed_since = self.leader_since.max(machine.first_heard);
+        self.now - machine.heard.filter(|_| machine.confirmed).unwrap_or(probed_since)
     }
 
-    /// Whether the zone is cut off, rather than its machines dead.
-    fn is_cut_off(&self, zone: &str) -> bool {
+    /// Whether the zone is partitioned, rather than its machines dead.
+    fn is_zone_partitioned(&self, zone: &str) -> bool {
         let count = self.zones.get(zone).copied().unwrap_or_default();
-        let most_silent = f64::from(count.silent) > f64::from(count.all) * ZONE_CUT_SHARE;
-        self.zones.len() > 1 && most_silent
+        let mostly_unreachable =
+            f64::from(count.unreachable) > f64::from(count.all) * ZONE_CUT_SHARE;
+        self.zones.len() > 1 && mostly_unreachable
     }
 
-    /// Whether the machine's lease ended too long ago to wait for it.
+    /// Whether the machine's lease ended too long ago to keep waiting for it.
     pub(super) fn is_lost(&self, machine: &Machine) -> bool {
-        let lapsed = machine.lapsed.is_some() && self.now - machine.answered > self.back_by;
-        lapsed || self.is_deaf(machine) && machine.heard.is_some()
+        let lapsed = machine.lapsed.is_some() && self.now - machine.answered > self.lost_after;
+        lapsed || self.is_one_way_partitioned(machine) && machine.heard.is_some()
     }
 
-    /// Heard, but nothing reaches it: its lease ends all the same.
+    /// Whether heartbeats arrive from the machine while nothing reaches it; its lease ends
+    /// regardless.
     ///
-    /// (Where machines report too seldom to prove by it that they hear us, and there were too
-    /// few threads to ask them all, idle ones nobody had asked and others with their work
-    /// were once returned as deaf, a dozen a second.)
-    fn is_deaf(&self, machine: &Machine) -> bool {
+    /// Requires a command that failed, not just the absence of a proof of contact: machines may
+    /// report too rarely to prove that commands reach them. When there were also too few threads to
+    /// probe them all, idle machines that had never been probed, and others with their work, were
+    /// released as unreachable, a dozen per second.
+    fn is_one_way_partitioned(&self, machine: &Machine) -> bool {
         let since = machine.reached.unwrap_or(machine.first_heard).max(self.leader_since);
-        self.now - since > self.back_by && machine.asked_in_vain()
+        self.now - since > self.lost_after && machine.asked_in_vain()
     }
 }
 
-fn most_heard(machines: &Machines, now: Secs, heartbeat_interval_s: f64) -> bool {
+/// Whether more than half of all machines were heard within `SILENT_HEARTBEATS` intervals.
+fn majority_heard(machines: &Machines, now: Secs, heartbeat_interval_s: f64) -> bool {
     let heard = |m: &&Machine| {
         m.heard.is_some_and(|at| now - at < heartbeat_interval_s * SILENT_HEARTBEATS)
     };
     machines.values().filter(heard).count() * 2 > machines.len()
 }
 
-fn hears_now(machines: &Machines, now: Secs, heartbeat_interval_s: f64) -> bool {
+/// Whether the share of machines heard within `HEARING_HEARTBEATS` intervals exceeds
+/// `HEARING_SHARE`. Machines whose lease lapsed aren't counted.
+fn enough_heard_now(machines: &Machines, now: Secs, heartbeat_interval_s: f64) -> bool {
     let window = heartbeat_interval_s * HEARING_HEARTBEATS;
     let mut all = 0u32;
     let mut heard = 0u32;
@@ -146,16 +156,21 @@
     f64::from(heard) > f64::from(all) * HEARING_SHARE
 }
 
-fn count_zones(machines: &Machines, now: Secs, quiet_after: Secs) -> BTreeMap<String, ZoneCount> {
+/// Counts the machines of each zone, except those whose lease lapsed.
+fn count_zones(
+    machines: &Machines,
+    now: Secs,
+    heartbeat_missed_after: Secs,
+) -> BTreeMap<String, ZoneCount> {
     let mut zones: BTreeMap<String, ZoneCount> = BTreeMap::new();
     for machine in machines.values().filter(|m| m.lapsed.is_none()) {
-        let silent = machine.heard.is_none_or(|at| now - at > quiet_after);
+        let unreachable = machine.heard.is_none_or(|at| now - at > heartbeat_missed_after);
         let count = match zones.get_mut(&machine.info.zone) {
             Some(count) => count,
             None => zones.entry(machine.info.zone.clone()).or_default(),
         };
         count.all += 1;
-        count.silent += u32::from(silent);
+        count.unreachable += u32::from(unreachable);
     }
     zones
 }
--- a/crates/core/src/deprovision/spot_notices.rs
+++ b/crates/core/src/deprovision/spot_notices.rs
@@ -1,5 +1,5 @@
-//! Spot interruption notices: tasks that can save are evicted in time, and starts that were
-//! never sent are taken back.
+//! Spot interruption notices: evicts tasks that can save their work in time, and withdraws starts
+//! that were never sent.
 
 use crate::event::Secs;
 use crate::fleet::Machine;
@@ -8,7 +8,8 @@
 use marblebarrow_proto::ids::TaskId;
 
 impl Leader {
-    /// Evicts tasks that can save, in time; the others run on, and no new ones come.
+    /// Evicts, in time, tasks on machines with a notice that can save their work. Other tasks keep
+    /// running, and no new ones are placed there.
     pub(crate) fn drain_noticed(&mut self, now: Secs) {
         for task in self.due_for_eviction(now) {
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
@@ -22,7 +23,8 @@
         }
     }
 
-    /// Tasks on machines with a notice that must save now or will be too late.
+    /// Tasks on machines with a notice that must start to save now to finish before the machine is
+    /// interrupted.
     fn due_for_eviction(&self, now: Secs) -> Vec<TaskId> {
         let mut due = Vec::new();
         for machine in self.machines.values() {
@@ -38,8 +40,8 @@
         due
     }
 
-    /// Takes back starts that were never sent, as their machine got a notice, was cordoned or
-    /// doesn't hear us.
+    /// Withdraws starts that were never sent because their machine got a notice, was cordoned, or
+    /// isn't reachable.
     pub(crate) fn unplace(&mut self, now: Secs) {
         let mut unsent = Vec::new();
         let hears = |m: &Machine| m.hears(now, self.facts.heartbeat_interval_s);
