--- a/crates/core/src/cloud_requests/answers.rs
+++ b/crates/core/src/cloud_requests/answers.rs
@@ -1,4 +1,4 @@
-//! The cloud's answers.
+//! Handling of the cloud's responses.
 
 use super::{Booting, Pending};
 use crate::consts::*;
@@ -9,7 +9,7 @@
 use marblebarrow_proto::wire::{ListedMachine, ListedState, MachineList, MachineType, Rent};
 
 impl Leader {
-    /// The cloud answered a request.
+    /// Handles the cloud's response to a request.
     pub(crate) fn cloud_answered(&mut self, now: Secs, op: OpId, result: CloudResult) {
         let cloud = &mut self.cloud_requests;
         let Some(pending) = cloud.pending.remove(&op) else { return };
@@ -18,7 +18,7 @@
         }
         match (pending, result) {
             (Pending::Types, CloudResult::Types(types)) => self.types_received(now, types),
-            (Pending::Types, _) => cloud.types_asked = false,
+            (Pending::Types, _) => cloud.types_requested = false,
             (Pending::List, CloudResult::List(page)) => self.page_received(now, page),
             (Pending::List, _) => {
                 cloud.listing = false;
@@ -32,7 +32,7 @@
             (Pending::Release(names), CloudResult::Released) => {
                 names.iter().for_each(|id| self.released(now, id));
             }
-            // They are still to be released.
+            // The machines remain in `to_release`, so the release is sent again.
             (Pending::Release(_), _) => {}
         }
     }
@@ -40,7 +40,7 @@
     fn types_received(&mut self, now: Secs, types: Vec<MachineType>) {
         let cloud = &mut self.cloud_requests;
         cloud.types = types;
-        cloud.types_asked = false;
+        cloud.types_requested = false;
         cloud.next_types = now + TYPES_EVERY_S;
         self.learn_types();
         self.place_due = true;
@@ -52,7 +52,7 @@
         let more = page.more && !page.machines.is_empty();
         cloud.list.extend(page.machines);
         if more {
-            // The next page follows at once.
+            // Request the next page immediately.
             cloud.next_list = now;
             return;
         }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Machines were rented, perhaps fewer than asked for.
+    /// Records the machines of a rent request; there may be fewer than requested.
     fn rented(&mut self, now: Secs, rent: Rent, names: Vec<MachineId>) {
         self.log.push(|| format!("event=rented request={} count={}", rent.request, names.len()));
         if (names.len() as u32) < rent.count {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The machine list names a machine.
+    /// Handles an entry of the machine list.
     fn listed(&mut self, now: Secs, listed: ListedMachine) {
         if self.released_machines.contains_key(&listed.machine) {
             return;
@@ -85,7 +85,7 @@
         let failed = listed.state == ListedState::Failed;
         if let Some(m) = self.machines.get_mut(&listed.machine) {
             if failed {
-                // It stopped by itself; the release proves all on it gone.
+                // The machine stopped by itself; releasing it proves that its tasks are gone.
                 m.cordoned = true;
                 self.cloud_requests.to_release.insert(listed.machine);
             }
@@ -106,7 +106,7 @@
         machine.failed = failed;
     }
 
-    /// A release was carried out: the machine and all on it are gone.
+    /// Handles a completed release: the machine and all its tasks are gone.
     fn released(&mut self, now: Secs, id: &MachineId) {
         self.cloud_requests.to_release.remove(id);
         self.cloud_requests.booting.remove(id);
--- a/crates/core/src/cloud_requests/boots.rs
+++ b/crates/core/src/cloud_requests/boots.rs
@@ -1,4 +1,4 @@
-//! Booting machines, and how long boots take.
+//! Booting machines, and estimates of boot times.
 
 use super::CloudRequests;
 use crate::consts::*;
@@ -8,25 +8,25 @@
 use marblebarrow_proto::wire::{MachineType, Rent};
 use std::collections::BTreeMap;
 
-/// A machine that was rented or listed, and hasn't reported.
+/// A machine that was rented or listed but hasn't reported yet.
 #[derive(Debug)]
 pub(crate) struct Booting {
-    /// Name of its type.
+    /// Name of its machine type.
     pub(crate) kind: String,
     pub(crate) zone: String,
     pub(crate) spot: bool,
-    /// When it was rented.
+    /// Time at which it was rented.
     pub(crate) since: Secs,
-    /// When the machine list last named it.
+    /// Time at which the machine list last included it.
     pub(crate) listed_at: Option<Secs>,
-    /// The cloud says that it runs, though it hasn't reported.
+    /// Whether the cloud lists it as running although it hasn't reported.
     pub(crate) up: bool,
-    /// The cloud says that it failed.
+    /// Whether the cloud lists it as failed.
     pub(crate) failed: bool,
 }
 
 impl Booting {
-    /// A machine of a request that was sent then.
+    /// A machine of a rent request that was sent at `since`.
     pub(crate) fn rented(rent: &Rent, since: Secs) -> Self {
         Self {
             kind: rent.kind.clone(),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Machines of one type in one zone, whose boots are thought to be alike.
+/// Machines of one type in one zone; their boot times are assumed to be similar.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MachinePool {
     machine_type: String,
@@ -48,24 +48,24 @@
 }
 
 impl CloudRequests {
-    /// A machine reported: it is up.
+    /// Handles a machine's first report: its boot is over. Updates the boot-time estimate of its
+    /// pool.
     pub(crate) fn heard(&mut self, now: Secs, id: &MachineId) {
         let Some(machine) = self.booting.remove(id) else { return };
-        let usual = self.usual_boot(&machine.kind);
-        if usual > 0.0 && !machine.failed {
-            let seen = ((now - machine.since) / usual).clamp(0.0, BOOT_SLOWEST);
+        let nominal = self.nominal_boot(&machine.kind);
+        if nominal > 0.0 && !machine.failed {
+            let seen = ((now - machine.since) / nominal).clamp(0.0, BOOT_SLOWEST);
             let pool = MachinePool { machine_type: machine.kind, zone: machine.zone };
             let factor = self.boot_factors.entry(pool).or_insert(1.0);
             *factor += (seen - *factor) * BOOT_WEIGHT;
         }
     }
 
-    fn usual_boot(&self, machine_type: &str) -> Secs {
+    fn nominal_boot(&self, machine_type: &str) -> Secs {
         self.machine_type(machine_type).map_or(0.0, |t| t.boot_s)
     }
 
-    /// What a machine of that type and zone takes to boot, seconds, by what was seen
-    /// lately.
+    /// Expected boot time in seconds of a machine of this type in this zone, based on recent boots.
     pub(crate) fn boot(&self, t: &MachineType, zone: &str) -> Secs {
         let pool = MachinePool { machine_type: t.name.clone(), zone: zone.to_owned() };
         t.boot_s * self.boot_factor(&pool)
@@ -75,27 +75,28 @@
         self.boot_factors.get(pool).copied().unwrap_or(1.0)
     }
 
-    /// The same in the zone where it boots soonest.
+    /// Expected boot time in the zone where the type boots fastest.
     pub(crate) fn boot_anywhere(&self, t: &MachineType) -> Secs {
         t.zones.iter().map(|zone| self.boot(t, zone)).reduce(f64::min).unwrap_or(t.boot_s)
     }
 
-    /// Machines that are overdue say so before any of them is up: where most are, the others
-    /// will be, and the backlog would be rented for again and again.
-    pub(super) fn watch_boots(&mut self, now: Secs) {
+    /// Raises a pool's boot-time estimate while its machines are still booting. If most of them are
+    /// overdue, the rest will be too; without a new estimate, machines for the same backlog would
+    /// be rented again and again.
+    pub(super) fn detect_slow_boots(&mut self, now: Secs) {
         for (pool, ages) in self.boot_ages(now) {
-            let usual = self.usual_boot(&pool.machine_type);
-            let expected = usual * self.boot_factor(&pool) * BOOT_SPREAD;
+            let nominal = self.nominal_boot(&pool.machine_type);
+            let expected = nominal * self.boot_factor(&pool) * BOOT_SPREAD;
             let late: Vec<Secs> = ages.iter().filter(|age| **age > expected).copied().collect();
             let most_are_late = late.len() >= BOOTS_LATE && late.len() * 2 > ages.len();
-            if usual > 0.0 && most_are_late {
+            if nominal > 0.0 && most_are_late {
                 let least = late.into_iter().fold(f64::INFINITY, f64::min);
-                self.boot_factors.insert(pool, (least / usual).min(BOOT_SLOWEST));
+                self.boot_factors.insert(pool, (least / nominal).min(BOOT_SLOWEST));
             }
         }
     }
 
-    /// For how long the machines of each pool have been booting, seconds.
+    /// Time in seconds for which the machines of each pool have been booting.
     fn boot_ages(&self, now: Secs) -> BTreeMap<MachinePool, Vec<Secs>> {
         let mut ages: BTreeMap<MachinePool, Vec<Secs>> = BTreeMap::new();
         for machine in self.booting.values().filter(|machine| !machine.failed && !machine.up) {
@@ -106,7 +107,8 @@
         ages
     }
 
-    /// Whether such a machine can be had now, as far as known.
+    /// Whether the offer is available as far as known, meaning that the cloud hasn't recently
+    /// rejected it for lack of capacity.
     pub(crate) fn has_capacity(
         &self,
         now: Secs,
--- a/crates/core/src/cloud_requests/fleet_log.rs
+++ b/crates/core/src/cloud_requests/fleet_log.rs
@@ -1,11 +1,11 @@
-//! The log line on the fleet's size and use.
+//! The periodic log line with the fleet's size and usage.
 
 use crate::consts::FLEET_LOG_S;
 use crate::event::Secs;
 use crate::leader::Leader;
 
 impl Leader {
-    /// Logs the fleet's size and use, now and then.
+    /// Logs the fleet's size and usage every `FLEET_LOG_S` seconds.
     pub(super) fn log_fleet(&mut self, now: Secs) {
         if now < self.cloud_requests.next_log {
             return;
--- a/crates/core/src/cloud_requests/mod.rs
+++ b/crates/core/src/cloud_requests/mod.rs
@@ -1,7 +1,7 @@
-//! Requests to the cloud: machine types, the machine list, rents and releases, within the
-//! cloud's rate limit.
+//! Requests to the cloud within its rate limit: machine types, the machine list, rents and
+//! releases.
 //!
-//! What to rent is decided in `provision`, what to release in `deprovision`.
+//! `provision` decides what to rent, `deprovision` what to release.
 
 mod answers;
 mod boots;
@@ -22,92 +22,93 @@
 use marblebarrow_proto::wire::{ListedMachine, MachineType, Rent};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A request that the cloud hasn't answered.
+/// A request that the cloud hasn't answered yet.
 #[derive(Debug)]
 enum Pending {
-    /// For the machine types.
+    /// Requests the machine types.
     Types,
-    /// For a page of the machine list.
+    /// Requests a page of the machine list.
     List,
-    /// To rent machines.
+    /// Rents machines.
     Rent(UnansweredRent),
-    /// To release machines.
+    /// Releases machines.
     Release(Vec<MachineId>),
 }
 
-/// A request to rent machines whose outcome isn't known: its machines are on their way unless
-/// the cloud answers otherwise.
+/// A rent request whose outcome isn't known. Its machines are expected to come up unless the cloud
+/// answers otherwise.
 #[derive(Debug)]
 pub(crate) struct UnansweredRent {
     /// The request.
     pub(crate) rent: Rent,
-    /// When it was first sent.
+    /// Time at which it was first sent.
     pub(crate) since: Secs,
 }
 
-/// One class of services, as seen lately.
+/// Recent activity of one class of services.
 #[derive(Debug)]
 pub(crate) struct ServiceClass {
     /// The spec of its newest job.
     pub(crate) shape: JobSpec,
-    /// When replicas were asked for.
+    /// Times at which replicas were requested.
     pub(crate) arrivals: Vec<Secs>,
 }
 
-/// What is known of the cloud, and the requests to it.
+/// State of the cloud as known to the leader, and the requests to it.
 #[derive(Debug)]
 pub(crate) struct CloudRequests {
-    /// Machine types, current prices.
+    /// Machine types with current prices.
     pub(crate) types: Vec<MachineType>,
-    types_asked: bool,
+    types_requested: bool,
     next_types: Secs,
     next_list: Secs,
     listing: bool,
-    /// The pages of the machine list so far.
+    /// Machines from the pages of the machine list received so far.
     list: Vec<ListedMachine>,
-    /// Whether the machine list was read under this term.
+    /// Whether the machine list was read completely in this term.
     listed_once: bool,
     next_scaling: Secs,
-    /// Machines that were rented or listed, and haven't reported.
+    /// Machines that were rented or listed but haven't reported yet.
     pub(crate) booting: BTreeMap<MachineId, Booting>,
-    /// Requests that the cloud hasn't answered.
+    /// Requests that the cloud hasn't answered yet.
     pending: HashMap<OpId, Pending>,
-    /// Rents to retry: it isn't known whether they were carried out.
+    /// Rent requests to retry because it isn't known whether they were carried out.
     rents_to_retry: Vec<UnansweredRent>,
     /// Machines to release.
     pub(crate) to_release: BTreeSet<MachineId>,
-    /// Boot times seen lately, as multiples of the usual.
+    /// Recent boot times by pool, as multiples of the type's nominal boot time.
     boot_factors: BTreeMap<MachinePool, f64>,
-    /// Offers that had no machine left, and until when they aren't tried.
+    /// Offers for which the cloud had no capacity, and the time until which they aren't tried
+    /// again.
     pub(crate) no_capacity: BTreeMap<MachineOffer, Secs>,
-    /// The number of the last rent of this term.
+    /// Number of the last rent request of this term.
     next_request: u64,
-    /// Rotates the zones that machines are rented in.
+    /// Counter that rotates between the zones that machines are rented in.
     pub(crate) next_zone: usize,
-    /// Requests that may be sent now.
+    /// Tokens of the rate limit: number of requests that may be sent now.
     request_tokens: f64,
     tokens_refilled_at: Secs,
-    /// No request is sent before: the last one failed.
+    /// Time before which no request is sent, because the last one failed.
     pub(crate) retry_at: Secs,
     /// Classes of services, by name.
     pub(crate) services: BTreeMap<String, ServiceClass>,
     next_log: Secs,
-    /// When this controller began to lead.
+    /// Time at which this controller became the leader.
     pub(crate) leader_since: Secs,
-    /// When replicas may next be moved to empty a machine.
+    /// Time at which replicas may next be moved to empty a machine.
     pub(crate) next_consolidation: Secs,
-    /// CPUs that arrays kept busy on ordinary machines that services don't need.
+    /// Recent samples of the CPUs that array work uses on ordinary machines without services.
     pub(crate) replaceable_cpus: RecentSamples,
-    /// CPUs that waiting arrays want beyond what is free or on its way.
+    /// Recent samples of the CPUs that waiting array tasks need beyond what is free or planned.
     pub(crate) backlog_cpus: RecentSamples,
 }
 
 impl CloudRequests {
-    /// Nothing is known of the cloud yet.
+    /// Initial state, with nothing known of the cloud.
     pub(crate) fn new(now: Secs) -> Self {
         Self {
             types: Vec::new(),
-            types_asked: false,
+            types_requested: false,
             next_types: now,
             next_list: now,
             listing: false,
@@ -134,12 +135,12 @@
         }
     }
 
-    /// The machine type of that name.
+    /// Looks up a machine type by name.
     pub(crate) fn machine_type(&self, name: &str) -> Option<&MachineType> {
         self.types.iter().find(|t| t.name == name)
     }
 
-    /// A job came: services set the warm reserve.
+    /// Records a job's arrival. Service arrivals determine the size of the warm reserve.
     pub(crate) fn saw_job(&mut self, now: Secs, spec: &JobSpec) {
         if spec.kind != Kind::Service {
             return;
@@ -152,7 +153,7 @@
         class.arrivals.extend((0..spec.tasks.min(ARRIVAL_TASKS_MAX)).map(|_| now));
     }
 
-    /// Whether the rate limit allows one more request; if so, counts it.
+    /// Takes a token of the rate limit. Returns false if no request may be sent now.
     pub(crate) fn take_request(&mut self) -> bool {
         let allowed = self.request_tokens >= 1.0;
         if allowed {
@@ -161,22 +162,22 @@
         allowed
     }
 
-    /// Fills the token bucket; `rate` is in requests a second.
+    /// Refills the token bucket; `rate` is in requests per second.
     fn refill_tokens(&mut self, now: Secs, rate: f64) {
         let earned = (now - self.tokens_refilled_at) * rate;
         self.request_tokens = (self.request_tokens + earned).min(rate);
         self.tokens_refilled_at = now;
     }
 
-    fn ask_types(&mut self, now: Secs, out: &mut ActionSink) {
-        if !self.types_asked && now >= self.next_types && self.take_request() {
-            self.types_asked = true;
+    fn request_types(&mut self, now: Secs, out: &mut ActionSink) {
+        if !self.types_requested && now >= self.next_types && self.take_request() {
+            self.types_requested = true;
             let op = out.cloud(CloudRequest::Types);
             self.pending.insert(op, Pending::Types);
         }
     }
 
-    fn ask_list(&mut self, now: Secs, out: &mut ActionSink) {
+    fn request_list(&mut self, now: Secs, out: &mut ActionSink) {
         if !self.listing && now >= self.next_list && self.take_request() {
             self.listing = true;
             let after = self.list.last().map(|listed| listed.machine.clone());
@@ -185,7 +186,8 @@
         }
     }
 
-    /// Retries a rent under its name, which rents once.
+    /// Retries a rent under its request name. The name makes it idempotent: the machines are rented
+    /// only once.
     fn retry_rent(&mut self, out: &mut ActionSink) {
         if self.rents_to_retry.is_empty() || !self.take_request() {
             return;
@@ -194,34 +196,35 @@
         self.send_rent(rent, out);
     }
 
-    /// Rents that are under way, or to be retried.
+    /// Rent requests that are in flight or to be retried.
     pub(crate) fn unanswered_rents(&self) -> impl Iterator<Item = &UnansweredRent> {
-        let under_way = self.pending.values().filter_map(|pending| match pending {
+        let in_flight = self.pending.values().filter_map(|pending| match pending {
             Pending::Rent(rent) => Some(rent),
             _ => None,
         });
-        under_way.chain(&self.rents_to_retry)
+        in_flight.chain(&self.rents_to_retry)
     }
 
-    /// A name for a rent. Term and counter: no controller ever uses it again.
+    /// Returns a unique name for a rent request. It is made of the term and a counter, so no
+    /// controller ever uses it again.
     pub(crate) fn new_request_name(&mut self, term: Term) -> String {
         self.next_request += 1;
         format!("r-{}-{}", term.0, self.next_request)
     }
 
-    /// Sends a rent; the rate limit must have allowed it.
+    /// Sends a rent request. The caller must have taken a token of the rate limit.
     pub(crate) fn send_rent(&mut self, rent: UnansweredRent, out: &mut ActionSink) {
         let op = out.cloud(CloudRequest::Rent(rent.rent.clone()));
         self.pending.insert(op, Pending::Rent(rent));
     }
 
     fn send_release(&mut self, out: &mut ActionSink) {
-        let under_way: Vec<&Vec<MachineId>> = self.releases_under_way().collect();
-        if under_way.len() >= RELEASES_UNANSWERED_MAX {
+        let in_flight: Vec<&Vec<MachineId>> = self.releases_in_flight().collect();
+        if in_flight.len() >= RELEASES_UNANSWERED_MAX {
             return;
         }
-        let asked: BTreeSet<&MachineId> = under_way.into_iter().flatten().collect();
-        let open = self.to_release.iter().filter(|id| !asked.contains(id));
+        let requested: BTreeSet<&MachineId> = in_flight.into_iter().flatten().collect();
+        let open = self.to_release.iter().filter(|id| !requested.contains(id));
         let names: Vec<MachineId> = open.take(RELEASE_MAX).cloned().collect();
         if names.is_empty() || !self.take_request() {
             return;
@@ -230,7 +233,7 @@
         self.pending.insert(op, Pending::Release(names));
     }
 
-    fn releases_under_way(&self) -> impl Iterator<Item = &Vec<MachineId>> {
+    fn releases_in_flight(&self) -> impl Iterator<Item = &Vec<MachineId>> {
         self.pending.values().filter_map(|pending| match pending {
             Pending::Release(names) => Some(names),
             _ => None,
@@ -239,21 +242,21 @@
 }
 
 impl Leader {
-    /// Steps with time: sends requests, and scales the fleet.
+    /// Periodic step: sends requests, and scales the fleet.
     pub(crate) fn cloud_tick(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         let rate = self.facts.cloud_rps * CLOUD_SHARE;
         self.cloud_requests.refill_tokens(now, rate);
-        self.take_recorded_types(replica);
+        self.use_recorded_types(replica);
         let cloud = &mut self.cloud_requests;
         if now < cloud.retry_at {
             return;
         }
-        cloud.ask_types(now, out);
-        cloud.ask_list(now, out);
+        cloud.request_types(now, out);
+        cloud.request_list(now, out);
         cloud.retry_rent(out);
         if now >= cloud.next_scaling && cloud.listed_once {
             cloud.next_scaling = now + FLEET_EVERY_S;
-            cloud.watch_boots(now);
+            cloud.detect_slow_boots(now);
             self.scale_in(now);
             self.consolidate(now);
             self.scale_out(now, out);
@@ -262,8 +265,8 @@
         self.log_fleet(now);
     }
 
-    /// Until the cloud has answered, the recorded types serve.
-    fn take_recorded_types(&mut self, replica: &Replica) {
+    /// Uses the machine types recorded in the store until the cloud has answered.
+    fn use_recorded_types(&mut self, replica: &Replica) {
         let cloud = &mut self.cloud_requests;
         if cloud.types.is_empty()
             && let Some(types) = &replica.types
