--- a/crates/core/src/tests/placement.rs
+++ b/crates/core/src/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which controllers may lead while others are silent.
+//! Which controllers may lead while others are unreachable.
 
 use super::*;
 
@@ -14,9 +14,9 @@
     Placement::new((0..controllers).map(node).collect(), interval_s, lease_s)
 }
 
-/// The sum for the shortest lease that a site has: 2.5 s, and 5 s for each silent controller.
+/// The shortest lease in use must cover 2.5 s, plus 5 s for each unreachable controller.
 #[test]
-fn two_silent_controllers_in_a_row_outlast_a_short_lease() {
+fn two_consecutive_unreachable_controllers_outlast_a_short_lease() {
     let short = placement(3, 2.0, 12.0);
     for (leader, down, safe) in
         [(0, 1, false), (1, 2, false), (2, 0, false), (0, 2, true), (1, 0, true), (2, 1, true)]
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn leases_are_short_or_not() {
+fn classifies_short_and_long_leases() {
     assert!(placement(3, 2.0, 12.0).has_short_leases());
     assert!(!placement(3, 4.0, 22.0).has_short_leases());
 }
 
 #[test]
-fn longer_leases_survive_them() {
+fn longer_leases_survive_two_consecutive_unreachable_controllers() {
     for (interval_s, lease_s) in [(4.0, 22.0), (5.0, 26.5), (6.0, 31.0)] {
         let long = placement(3, interval_s, lease_s);
         for leader in 0..3 {
@@ -43,9 +43,9 @@
     }
 }
 
-/// The controller after the one that is down is asked first of all by its workers' next try.
+/// When workers retry, they try the controller after the unreachable one first.
 #[test]
-fn the_controller_after_the_silent_one_is_better() {
+fn the_controller_after_the_unreachable_one_is_preferred() {
     let short = placement(3, 2.0, 12.0);
     for down in 0..3 {
         let (before, after) = (node((down + 2) % 3), node((down + 1) % 3));
@@ -55,20 +55,21 @@
 }
 
 #[test]
-fn none_is_better_where_all_others_are_silent() {
+fn no_controller_is_preferred_if_all_others_are_unreachable() {
     let short = placement(3, 2.0, 12.0);
     assert_eq!(short.better(&node(0), &nodes(&[1, 2])), None);
 }
 
 #[test]
-fn five_controllers() {
+fn consecutive_unreachable_controllers_among_five() {
     let short = placement(5, 2.0, 12.0);
-    // c0's and c1's next are silent; c3 and c4 are well placed, c2 is not there.
-    let silent = nodes(&[1, 2]);
-    assert!(!short.is_safe(&node(0), &silent));
-    assert!(short.is_safe(&node(3), &silent) && short.is_safe(&node(4), &silent));
-    assert_eq!(short.better(&node(0), &silent), Some(&node(3)));
-    // Three silent in a row outlast a lease of 22 s; others are safe.
+    // The controllers after c0 and c1 are unreachable; c3 and c4 can lead safely; c2 is unreachable
+    // itself.
+    let unreachable = nodes(&[1, 2]);
+    assert!(!short.is_safe(&node(0), &unreachable));
+    assert!(short.is_safe(&node(3), &unreachable) && short.is_safe(&node(4), &unreachable));
+    assert_eq!(short.better(&node(0), &unreachable), Some(&node(3)));
+    // Three consecutive unreachable controllers outlast a lease of 22 s; other leaders are safe.
     let long = placement(5, 4.0, 22.0);
     assert!(!long.is_safe(&node(0), &nodes(&[1, 2, 3])));
     assert_eq!(long.better(&node(0), &nodes(&[1, 2, 3])), Some(&node(4)));
