--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The leader's picture of the machines.
+//! The leader's view of the machines.
 
 use crate::consts::*;
 use crate::event::{OpId, Secs};
@@ -9,107 +9,108 @@
 use marblebarrow_proto::wire::{MachineType, Why};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine that was heard of.
+/// A machine known to the leader, from a report or from the store.
 #[derive(Debug)]
 pub struct Machine {
-    /// What is recorded of it.
+    /// The machine's record as kept in the store.
     pub info: MachineRecord,
-    /// Whether its record is surely in the store.
+    /// Whether its record is known to be in the store.
     pub recorded: bool,
-    /// The block of records it belongs to, once it is to be recorded.
+    /// The block of records that its record belongs to, once it is to be recorded.
     pub block: Option<u32>,
-    /// Its size, rate of fetches (GB/s) and cache (GB), as its type says.
+    /// Its size as given by its type: CPUs, GPUs, memory (GB).
     pub size: [f64; 3],
     /// Image fetch rate, GB/s.
     pub fetch_rate: f64,
-    /// Image cache, GB.
+    /// Image cache size, GB.
     pub cache_gb: f64,
-    /// Its worker's agent epoch; 0: unknown.
+    /// Agent epoch of its worker; 0 if unknown.
     pub agent_epoch: u64,
-    /// Newest message's number within the epoch.
+    /// Sequence number of the newest message within the agent epoch.
     pub seq: u64,
-    /// Highest token it was seen to hold.
+    /// Highest fencing token that the worker is known to hold.
     pub fencing_token: u64,
-    /// When that one rose.
+    /// Time at which `fencing_token` last rose.
     pub token_risen_at: Secs,
-    /// When the last newer heartbeat came; none under this term: None.
+    /// Time at which the last newer heartbeat arrived; `None` if none arrived in this term.
     pub heard: Option<Secs>,
-    /// When anybody may last have answered it: its lease counts from here.
+    /// Latest time at which any controller may have answered it. Its lease counts from here.
     pub answered: Secs,
-    /// The number of its newest heartbeat of its own (answers to direct commands
-    /// left out): an older one is a late copy, and its sender has given it up.
+    /// Sequence number of the newest heartbeat that it sent itself (replies to direct commands
+    /// excluded). An older heartbeat is a late copy that its sender no longer waits for.
     pub heartbeat_seq: u64,
-    /// When tasks on it were last lost with it, or with its worker's agent epoch.
+    /// Time at which its tasks were last lost, either with the machine or with its worker's agent
+    /// epoch.
     pub tasks_lost_at: Option<Secs>,
-    /// When that came.
+    /// Time at which the heartbeat `heartbeat_seq` arrived.
     pub last_heartbeat: Option<Secs>,
-    /// When it last proved that our words reach it. Its heartbeats alone don't:
-    /// they may arrive while nothing arrives there.
+    /// Time at which the worker last proved that the controller's messages reach it. Heartbeats
+    /// alone are no proof: they may arrive while nothing reaches the worker.
     pub reached: Option<Secs>,
-    /// It is to be sent an order though there is nothing to do, to learn
-    /// whether it hears us and what it runs.
+    /// Whether to send it a command even if there is nothing to do, to learn whether it is
+    /// reachable and what it runs.
     pub probe_due: bool,
-    /// Orders in a row that found it unreachable.
+    /// Number of consecutive commands that couldn't be delivered.
     pub unreached: u32,
-    /// When a direct order last went unanswered.
+    /// Time at which a direct command last went unanswered.
     pub direct_failed: Option<Secs>,
-    /// All that it may run is known: it reported under this term.
+    /// Whether everything that it may run is known because it reported in this term.
     pub confirmed: bool,
-    /// Its tasks outlived their lease, in this epoch.
+    /// The agent epoch in which its tasks outlived their lease, if any.
     pub lapsed: Option<u64>,
-    /// No new tasks.
+    /// Whether it gets no new tasks.
     pub cordoned: bool,
-    /// When a spot machine will be taken.
+    /// Time at which a spot machine will be interrupted, once a notice arrived.
     pub notice: Option<Secs>,
-    /// A release is asked for.
+    /// Whether its release has been requested.
     pub releasing: bool,
-    /// Its worker began anew under the same name; its words count no more.
+    /// Whether its worker restarted under the same name; messages of the old one are ignored.
     pub reborn: bool,
-    /// Something new is to be sent.
+    /// Whether there is something new to send to it.
     pub push: bool,
-    /// Ended tasks that it still lists, and why they ended.
+    /// Ended attempts that it still lists, and why they ended.
     pub exited: BTreeMap<(TaskId, Attempt), Why>,
-    /// Direct commands under way.
+    /// The operation of the direct commands in flight.
     pub direct: Option<OpId>,
-    /// Direct commands aren't tried before that.
+    /// Time before which no direct commands are sent.
     pub direct_after: Secs,
-    /// Starts that may yet be carried out. Their attempts must stay uncleared: a late start
-    /// would run them again.
+    /// Starts that may still be carried out. The entries of their attempts must not be cleared, as
+    /// a late start would run them again.
     pub unconfirmed_starts: UnconfirmedStarts,
-    /// The token for it, if it is higher than the term; else 0.
+    /// Fencing token for it if that is higher than the term; otherwise 0.
     pub raised_fencing_token: u64,
-    /// Its heartbeats aren't answered, so that its lease runs out.
+    /// Whether its heartbeats are left unanswered so that its lease runs out.
     pub withheld: bool,
-    /// Tasks seen that nobody knows, with their attempt.
+    /// Reported attempts that the leader doesn't know.
     pub strangers: BTreeSet<(TaskId, Attempt)>,
-    /// CPUs, GPUs, memory in use by tasks that run or may run.
+    /// CPUs, GPUs and memory (GB) in use by tasks that run or may run.
     pub used: [f64; 3],
-    /// Services among its tasks.
+    /// Number of service replicas among its tasks.
     pub services: u32,
-    /// CPUs that those take.
+    /// CPUs that those replicas use.
     pub service_cpus: f64,
     /// Tasks that run or may run.
     pub tasks: BTreeSet<TaskId>,
-    /// Those of them that were told to stop and whose room is taken as free.
+    /// Tasks that were told to stop and whose capacity already counts as free.
     pub freed: BTreeSet<TaskId>,
-    /// Since when no task is on it.
+    /// Time since which no task is on it.
     pub idle_since: Secs,
-    /// Since when all that is on it is work for spare capacity.
+    /// Time since which it has run only spare-capacity work; `None` otherwise.
     pub spare_since: Option<Secs>,
-    /// When it was first heard of.
+    /// Time at which it was first heard of.
     pub first_heard: Secs,
-    /// Failures since the last success.
+    /// Number of task failures since the last success.
     pub errors: u32,
-    /// Tasks in a row that took much longer than their jobs' mean.
+    /// Number of consecutive tasks that took much longer than their job's mean.
     pub slow: u32,
-    /// Images and sizes, most recent last.
+    /// Cached images and their sizes in GB, the most recently used last.
     pub images: Vec<(String, f64)>,
-    /// Images being fetched, and when they should be there.
+    /// Images being fetched, and the times at which they are expected to be there.
     pub fetching: BTreeMap<String, Secs>,
 }
 
 impl Machine {
-    /// A machine first heard of now.
+    /// A machine that is first heard of at `now`.
     pub fn new(info: MachineRecord, now: Secs) -> Self {
         let images = info.images.iter().map(|i| (i.clone(), 0.0)).collect();
         Self {
@@ -161,20 +162,20 @@
         }
     }
 
-    /// Counts a service's task that is booked on it.
+    /// Counts a service replica placed on it.
     pub fn add_service(&mut self, cpus: f64) {
         self.services += 1;
         self.service_cpus += cpus;
     }
 
-    /// Counts a service's task no more.
+    /// Removes a service replica from the count.
     pub fn remove_service(&mut self, cpus: f64) {
         self.services -= 1;
-        // Sums of fractions: none is left of none.
+        // Reset to zero with the last replica, as sums of fractions may leave a rounding error.
         self.service_cpus = if self.services == 0 { 0.0 } else { self.service_cpus - cpus };
     }
 
-    /// Whether new tasks may go there.
+    /// Whether new tasks may be placed on it.
     pub fn usable(&self, now: Secs, heartbeat_interval_s: f64) -> bool {
         self.heard.is_some_and(|h| now - h < heartbeat_interval_s * SILENT_HEARTBEATS)
             && self.hears(now, heartbeat_interval_s)
@@ -186,7 +187,7 @@
             && self.notice.is_none()
     }
 
-    /// Whether it has only just come up, and hasn't shown yet that our words reach it.
+    /// Whether it has only just come up, and hasn't yet proved that commands reach it.
     pub fn is_just_up(&self, now: Secs) -> bool {
         self.heard.is_some()
             && !self.confirmed
@@ -197,25 +198,25 @@
             && self.notice.is_none()
     }
 
-    /// Whether our words reached it lately.
+    /// Whether commands are known to have reached it recently.
     pub fn hears(&self, now: Secs, heartbeat_interval_s: f64) -> bool {
         self.reached.is_some_and(|at| {
             now - at < heartbeat_interval_s * REACH_HEARTBEATS + WORKER_GIVES_UP_S
         })
     }
 
-    /// Whether it was asked in vain since our words last reached it. One that nobody had a
-    /// slot to ask is not deaf.
+    /// Whether a command to it has failed since one last reached it. A machine that wasn't probed
+    /// for lack of a free slot doesn't count as unreachable.
     pub fn asked_in_vain(&self) -> bool {
         self.direct_failed.is_some_and(|failed| self.reached.is_none_or(|at| failed > at))
     }
 
-    /// Since when a direct order to it has been waiting for its turn, at the longest.
+    /// Earliest time since which a direct command to it may have been waiting to be sent.
     pub fn waiting_since(&self) -> Secs {
         self.direct_after.max(self.reached.unwrap_or(0.0))
     }
 
-    /// What its type says of it. Unknown types have no room.
+    /// Takes over the properties of its type. Machines of unknown types have no capacity.
     pub fn learn_type(&mut self, t: Option<&MachineType>) {
         if let Some(t) = t {
             self.size = [t.cpus, t.gpus, t.memory_gb];
@@ -238,18 +239,18 @@
         self.used[2] -= spec.memory_gb;
     }
 
-    /// What is free.
+    /// Free CPUs, GPUs and memory (GB).
     pub fn free(&self) -> [f64; 3] {
         std::array::from_fn(|i| self.size[i] - self.used[i])
     }
 
-    /// Whether it holds an image.
+    /// Whether it has the image cached.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(i, _)| i == image)
     }
 
-    /// Seconds until an image should be there: fetches at the same time share
-    /// the rate, so a second one ends after the first.
+    /// Expected time in seconds until the image is available. Concurrent fetches share the rate, so
+    /// a new fetch ends after those in progress.
     pub fn fetch_time(&self, image: &str, gb: f64, now: Secs) -> f64 {
         if self.has_image(image) {
             return 0.0;
@@ -261,7 +262,8 @@
         busy + gb / self.fetch_rate.max(1e-3)
     }
 
-    /// A task that needs this image was sent there. True if it is the first.
+    /// Records that a task needing this image was placed on it. Returns true if the image is
+    /// neither cached nor being fetched.
     pub fn expect_image(&mut self, image: &str, gb: f64, now: Secs) -> bool {
         let first = !self.has_image(image) && !self.fetching.contains_key(image);
         if first {
@@ -271,9 +273,9 @@
         first
     }
 
-    /// A task of this image was seen running: the image is there, as the most
-    /// recently used. Those that no longer fit the cache are gone. True if its
-    /// record is out of date by that.
+    /// Records that a task with this image was seen running: the image is cached, and is the most
+    /// recently used. Images that no longer fit the cache are removed. Returns true if the
+    /// machine's record is out of date as a result.
     pub fn touch_image(&mut self, image: &str, gb: f64) -> bool {
         self.fetching.remove(image);
         if self.images.last().is_some_and(|(i, _)| i == image) {
