--- a/crates/core/src/deprovision/mod.rs
+++ b/crates/core/src/deprovision/mod.rs
@@ -1,23 +1,23 @@
 //! Scale-in: decides which machines to release.
 //!
 //! These are machines that never came up ([`boots`]), that became unreachable
-//! ([`silence`]), that fail, are slow ([`health`]) or idle ([`idle`]), and those whose
+//! ([`failure_detector`]), that fail, are slow ([`health`]) or idle ([`idle`]), and those whose
 //! work is better run elsewhere ([`consolidation`]). Tasks on machines with a spot interruption
 //! notice are evicted gracefully ([`spot_notices`]).
 
 mod boots;
 mod consolidation;
+mod failure_detector;
 mod health;
 mod idle;
 mod replica_failover;
-mod silence;
 mod spot_notices;
 
 use crate::event::Secs;
 use crate::leader::Leader;
+use failure_detector::FailureDetector;
 use idle::ImageHolders;
 use marblebarrow_proto::ids::{MachineId, TaskId};
-use silence::FailureDetector;
 
 /// Machines that a scaling round may release.
 #[derive(Default)]
