--- a/crates/core/src/election/campaign.rs
+++ b/crates/core/src/election/campaign.rs
@@ -1,5 +1,5 @@
-//! The steps of an election: a lease, the term counter, and the transaction that makes this
-//! controller leader.
+//! The steps of an election: requesting a lease, reading the term counter, and committing the
+//! transaction that makes this controller leader.
 
 use super::{Election, Leadership, LeadershipChange, Role, lease};
 use crate::consts::LEADER_LEASE_MS;
@@ -10,16 +10,16 @@
 use marblebarrow_proto::records::{LEADER, LeaderRecord, TERM, TermRecord};
 use marblebarrow_proto::wire::{Cond, Item, Txn, Write};
 
-/// The term counter as it was read.
+/// The term counter as read from the state service.
 struct TermCounter {
-    /// The last term; 0: none yet.
+    /// The last term that was used; 0 if there was none yet.
     term: u64,
-    /// Version of its key; 0: absent.
+    /// Version of the counter's key; 0 if the key is absent.
     version: u64,
 }
 
 impl TermCounter {
-    /// `None` if the record can't be read.
+    /// Decodes the counter. Returns `None` if the record is malformed.
     fn of(item: Option<&Item>) -> Option<Self> {
         let Some(item) = item else { return Some(Self { term: 0, version: 0 }) };
         let record = from_value::<TermRecord>(&item.value).ok()?;
@@ -28,14 +28,15 @@
 }
 
 impl Election {
-    /// Stands, if nobody leads and it is time.
-    pub(super) fn follow(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
+    /// Starts an election if there is no leader and this controller's waits are over. If the leader
+    /// key belongs to an earlier process of this controller, revokes that lease first.
+    pub(super) fn tick_follower(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         if !replica.synced {
             return;
         }
         match &replica.leader {
-            Some((leader, _)) if self.is_dead_self(leader) => {
-                self.revoked = Some(leader.lease);
+            Some((leader, _)) if self.is_own_former_process(leader) => {
+                self.revoked_lease = Some(leader.lease);
                 out.store(StoreRequest::RevokeLease(leader.lease));
             }
             Some(_) => self.candidacy.note_leader(now),
@@ -47,19 +48,23 @@
         }
     }
 
-    /// Whether our own earlier process led: it is dead, so its key may go.
-    fn is_dead_self(&self, leader: &LeaderRecord) -> bool {
-        leader.node == self.me && leader.boot != self.boot && self.revoked != Some(leader.lease)
+    /// Whether the leader key belongs to an earlier process of this controller. That process is
+    /// dead, so its key may be removed.
+    fn is_own_former_process(&self, leader: &LeaderRecord) -> bool {
+        leader.node == self.me
+            && leader.boot != self.boot
+            && self.revoked_lease != Some(leader.lease)
     }
 
-    /// Follows again, and stands no sooner than after a while.
-    pub(super) fn fall_back(&mut self, now: Secs) {
+    /// Returns to the follower role and delays the next candidacy.
+    pub(super) fn become_follower(&mut self, now: Secs) {
         self.role = Role::Follower;
         self.step.abandon();
         self.candidacy.retry_later(now);
     }
 
-    /// Whether an answer of the store is to a step of the election; if so, takes it.
+    /// Handles an answer of the state service to an election step. Returns `None` if the answer
+    /// belongs to another request.
     pub(super) fn campaign_answered(
         &mut self,
         now: Secs,
@@ -67,19 +72,21 @@
         result: &StoreResult,
         out: &mut ActionSink,
     ) -> Option<LeadershipChange> {
-        if !self.step.answered(answered) {
+        if !self.step.take_answer(answered) {
             return None;
         }
         let no_answer = matches!(result, StoreResult::Refused | StoreResult::Unknown);
-        if no_answer && self.step.is_open() {
-            // A copy of the request is under way.
+        if no_answer && self.step.awaits_answer() {
+            // The other copy of the request is still in flight.
             return Some(LeadershipChange::None);
         }
         match self.role {
-            Role::LeaseRequested { since } => self.granted(now, since, result, out),
-            Role::Reading { lease, since } => match result {
-                StoreResult::Value(item) => self.stand(now, lease, since, item.as_ref(), out),
-                _ => self.fall_back(now),
+            Role::LeaseRequested { since } => self.lease_granted(now, since, result, out),
+            Role::ReadingTerm { lease, since } => match result {
+                StoreResult::Value(item) => {
+                    self.submit_candidacy(now, lease, since, item.as_ref(), out)
+                }
+                _ => self.become_follower(now),
             },
             Role::Candidate { lease, since, term } => {
                 return Some(self.candidacy_answered(now, lease, since, term, result));
@@ -89,10 +96,16 @@
         Some(LeadershipChange::None)
     }
 
-    fn granted(&mut self, now: Secs, since: Secs, result: &StoreResult, out: &mut ActionSink) {
-        let StoreResult::LeaseGranted(lease) = result else { return self.fall_back(now) };
+    fn lease_granted(
+        &mut self,
+        now: Secs,
+        since: Secs,
+        result: &StoreResult,
+        out: &mut ActionSink,
+    ) {
+        let StoreResult::LeaseGranted(lease) = result else { return self.become_follower(now) };
         self.step.send(now, StoreRequest::Get(TERM.into()), out);
-        self.role = Role::Reading { lease: *lease, since };
+        self.role = Role::ReadingTerm { lease: *lease, since };
     }
 
     fn candidacy_answered(
@@ -105,18 +118,19 @@
     ) -> LeadershipChange {
         match result {
             StoreResult::Committed(version) => {
-                return self.win(now, lease, since, term, *version);
+                return self.become_leader(now, lease, since, term, *version);
             }
-            // The watch will tell. A copy that failed may have met the key that the other put.
+            // The watch will show the outcome. If the request was sent twice, the copy that failed
+            // may have conflicted with the key that the other copy wrote.
             StoreResult::Unknown => {}
             StoreResult::Conflict(_) if self.step.was_resent() => {}
-            _ => self.fall_back(now),
+            _ => self.become_follower(now),
         }
         LeadershipChange::None
     }
 
-    /// Sends the transaction that makes this controller leader of the next term.
-    fn stand(
+    /// Commits the transaction that makes this controller leader of the next term.
+    fn submit_candidacy(
         &mut self,
         now: Secs,
         lease: u64,
@@ -125,16 +139,17 @@
         out: &mut ActionSink,
     ) {
         if !self.candidacy.is_wait_over(now) {
-            return self.fall_back(now);
+            return self.become_follower(now);
         }
-        let Some(counter) = TermCounter::of(counter) else { return self.fall_back(now) };
+        let Some(counter) = TermCounter::of(counter) else { return self.become_follower(now) };
         let term = Term(counter.term + 1);
         let txn = self.campaign_txn(lease, term, counter.version);
         self.step.send(now, StoreRequest::Commit(txn), out);
         self.role = Role::Candidate { lease, since, term };
     }
 
-    /// Takes the leader key and counts the term, if nobody else did either.
+    /// Builds the transaction that takes the leader key and increments the term counter, on
+    /// condition that neither was written in the meantime.
     fn campaign_txn(&self, lease: u64, term: Term, counter_version: u64) -> Txn {
         let leader = LeaderRecord { node: self.me.clone(), term: term.0, lease, boot: self.boot };
         let counter = TermRecord { term: term.0 };
@@ -150,8 +165,9 @@
         }
     }
 
-    /// The leader key is ours, at that version, under a lease asked for at `since`.
-    pub(super) fn win(
+    /// Becomes leader: this controller owns the leader key at `version`, under a lease that was
+    /// requested at `since`.
+    pub(super) fn become_leader(
         &mut self,
         now: Secs,
         lease: u64,
@@ -159,10 +175,10 @@
         term: Term,
         version: u64,
     ) -> LeadershipChange {
-        let valid_until = lease::certain_until(since);
+        let valid_until = lease::guaranteed_until(since);
         self.pledges.clear();
         self.step.abandon();
-        self.lease.begin(now);
+        self.renewal.start(now);
         self.role = Role::Leader(Leadership { lease, term, version, valid_until });
         LeadershipChange::Won
     }
--- a/crates/core/src/election/lease.rs
+++ b/crates/core/src/election/lease.rs
@@ -1,16 +1,16 @@
-//! Renewal of the lease that the leader key is held under.
+//! Renewal of the lease that holds the leader key.
 
 use crate::consts::*;
 use crate::event::{ActionSink, OpId, Secs, StoreRequest};
 
-/// A renewal of the lease that the store hasn't answered.
+/// A renewal that the state service hasn't answered yet.
 #[derive(Debug)]
 struct PendingRenewal {
     op: OpId,
     sent: Secs,
 }
 
-/// When the lease is renewed, and how that goes.
+/// Schedule and state of lease renewals.
 #[derive(Debug, Default)]
 pub(super) struct LeaseRenewal {
     pending: Vec<PendingRenewal>,
@@ -24,13 +24,13 @@
         self.failing
     }
 
-    /// A leadership begins: the first renewal is due at once.
-    pub(super) fn begin(&mut self, now: Secs) {
+    /// Starts renewals for a new leadership; the first one is due at once.
+    pub(super) fn start(&mut self, now: Secs) {
         self.failing = false;
         self.next_renewal = now;
     }
 
-    /// Renews the lease, if it is time.
+    /// Sends a renewal if one is due.
     pub(super) fn renew_if_due(&mut self, now: Secs, lease: u64, out: &mut ActionSink) {
         if self.pending.len() < RENEWALS_UNANSWERED_MAX && now >= self.next_renewal {
             let op = out.store(StoreRequest::KeepAlive(lease));
@@ -39,31 +39,33 @@
         }
     }
 
-    /// If the answer is to a renewal: when that was sent.
-    pub(super) fn answered(&mut self, op: OpId) -> Option<Secs> {
+    /// Removes the pending renewal that `op` answers and returns when it was sent; `None` if `op`
+    /// isn't a renewal.
+    pub(super) fn take_answer(&mut self, op: OpId) -> Option<Secs> {
         let at = self.pending.iter().position(|renewal| renewal.op == op)?;
         Some(self.pending.remove(at).sent)
     }
 
-    /// The renewal sent at that time was carried out.
+    /// Records that the renewal sent at `sent` succeeded.
     pub(super) fn renewed(&mut self, sent: Secs) {
         self.next_renewal = self.next_renewal.max(sent + KEEP_ALIVE_EVERY_S);
         self.failing = false;
     }
 
-    /// A renewal failed, or its answer is lost.
+    /// Records that a renewal failed or that its outcome is unknown.
     pub(super) fn failed(&mut self, now: Secs) {
         self.next_renewal = self.next_renewal.min(now + STORE_RETRY_S);
         self.failing = true;
     }
 
-    /// Waits for no answer any more.
+    /// Discards all pending renewals; late answers to them are ignored.
     pub(super) fn abandon(&mut self) {
         self.pending.clear();
     }
 }
 
-/// Until when a lease that was asked for or renewed at `sent` surely lives.
-pub(super) fn certain_until(sent: Secs) -> Secs {
+/// Until when a lease that was requested or renewed at `sent` is guaranteed to be valid, allowing
+/// for clock drift.
+pub(super) fn guaranteed_until(sent: Secs) -> Secs {
     sent + LEADER_LEASE_S * (1.0 - DRIFT) - LEADER_LEASE_MARGIN_S
 }
--- a/crates/core/src/election/mod.rs
+++ b/crates/core/src/election/mod.rs
@@ -1,12 +1,12 @@
-//! Leader election: who leads, and until when that is certain.
+//! Leader election: which controller leads, and until when this is guaranteed.
 //!
-//! The leader holds the leader key under a lease of the state service. It acts only while the
-//! lease surely lives, counted from the sending of the last good renewal;
-//! in an outage of the state service also while every other controller has pledged not to
-//! stand ([`pledges`]). A pledge is given only by a controller that the store refuses too, and
-//! a fresh process waits a pledge's length before it stands, so that a pledge outlives the
-//! restart of the process that gave it ([`candidacy`]). [`campaign`] holds the steps of an
-//! election.
+//! The leader holds the leader key under a lease of the state service. It acts only while the lease
+//! is guaranteed to be valid, counted from when the last successful renewal was sent. In an outage
+//! of the state service it may also act while every other controller has pledged not to stand for
+//! election ([`pledges`]). A controller gives a pledge only if the state service refuses its own
+//! requests too. A newly started process waits for the length of a pledge before it stands, so that
+//! a pledge outlives a restart of the process that gave it ([`candidacy`]). The steps of an
+//! election are in [`campaign`].
 
 mod campaign;
 mod candidacy;
@@ -26,70 +26,72 @@
 use std::fmt;
 use step_request::StepRequest;
 
-/// A leadership.
+/// A leadership that this controller holds.
 #[derive(Debug, Clone)]
 pub struct Leadership {
-    /// The lease of the leader key.
+    /// Id of the lease that holds the leader key.
     pub lease: u64,
-    /// The term.
+    /// The term of this leadership.
     pub term: Term,
-    /// Version of the leader key: the condition of every write.
+    /// Version of the leader key; every write is conditional on it.
     pub version: u64,
-    /// The lease surely lives until then.
+    /// The lease is guaranteed to be valid until this time.
     pub valid_until: Secs,
 }
 
-/// Until when nobody else can lead.
+/// Until when no other controller can lead.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LeadershipBounds {
-    /// Our term.
+    /// The term of this controller's leadership.
     pub term: u64,
-    /// The lease of the leader key surely lives until then.
+    /// The lease of the leader key is guaranteed to be valid until this time.
     pub lease_until: Secs,
-    /// Every peer has pledged not to stand until then.
+    /// Every peer has pledged not to stand before this time.
     pub pledged_until: Secs,
 }
 
-/// The state of this controller in an election.
+/// The role of this controller in the election.
 #[derive(Debug)]
 enum Role {
-    /// Another leads, or nobody.
+    /// Another controller leads, or none does.
     Follower,
-    /// Asked for a lease.
+    /// Has requested a lease.
     LeaseRequested { since: Secs },
-    /// Reads the term counter.
-    Reading { lease: u64, since: Secs },
-    /// Sent the transaction that makes it leader; if its answers are lost, the watch will tell.
+    /// Has a lease and is reading the term counter.
+    ReadingTerm { lease: u64, since: Secs },
+    /// Has sent the transaction that makes it leader. If the answer is lost, the watch shows the
+    /// outcome.
     Candidate { lease: u64, since: Secs, term: Term },
-    /// Leads.
+    /// Holds the leadership.
     Leader(Leadership),
 }
 
-/// What an election step led to.
+/// The effect of an election step on this controller's leadership.
 #[derive(Debug, PartialEq)]
 pub enum LeadershipChange {
-    /// Nothing.
+    /// No change.
     None,
-    /// We lead from now on.
+    /// This controller became leader.
     Won,
-    /// We no longer lead.
+    /// This controller is no longer leader.
     Lost(LossReason),
 }
 
 /// Why a leadership ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LossReason {
-    /// Resigned: all workers fell silent at once.
+    /// Resigned because all workers became unreachable at once.
     WorkersUnreachable,
-    /// Handed over: another controller is better placed should the leader stand still.
+    /// Handed over to a controller whose workers would find a successor sooner if their leader
+    /// stalled.
     Transferred,
-    /// Resigned: the copy of the store got too old.
+    /// Resigned because the replica of the state service became too old.
     OutOfDate,
     /// The state service no longer knows the lease of the leader key.
     LeaseGone,
     /// The watch showed another leader.
     Superseded,
-    /// A transaction failed as the leader key had changed.
+    /// A transaction failed because the leader key had changed.
     Deposed,
 }
 
@@ -106,27 +108,28 @@
     }
 }
 
-/// The election as one controller sees it.
+/// Election state of one controller.
 #[derive(Debug)]
 pub struct Election {
     me: NodeId,
-    /// Tells this process from earlier ones of the same name.
+    /// Distinguishes this process from earlier ones of the same controller.
     boot: u64,
     peers: Vec<NodeId>,
     role: Role,
-    /// What the step of the election that is under way asks of the store.
+    /// The request of the election step in flight.
     step: StepRequest,
-    /// The removal of our key after a leadership that we gave up.
-    removal: StepRequest,
+    /// The request that removes this controller's leader key after it resigned.
+    key_removal: StepRequest,
     candidacy: Candidacy,
-    lease: LeaseRenewal,
+    renewal: LeaseRenewal,
     pledges: Pledges,
-    /// The lease of an earlier process of ours that was revoked last.
-    revoked: Option<u64>,
+    /// The lease of an earlier process of this controller that was last revoked.
+    revoked_lease: Option<u64>,
 }
 
 impl Election {
-    /// A fresh process. `boot` tells it from earlier ones of the same name.
+    /// State of a newly started process. `boot` distinguishes it from earlier processes of the same
+    /// controller.
     pub fn new(me: NodeId, peers: Vec<NodeId>, boot: u64, now: Secs) -> Self {
         Self {
             me,
@@ -135,22 +138,22 @@
             peers,
             role: Role::Follower,
             step: StepRequest::default(),
-            removal: StepRequest::default(),
-            lease: LeaseRenewal::default(),
+            key_removal: StepRequest::default(),
+            renewal: LeaseRenewal::default(),
             pledges: Pledges::default(),
-            revoked: None,
+            revoked_lease: None,
         }
     }
 
-    /// A cluster of one has nobody to have pledged to.
-    pub fn founded(mut self) -> Self {
+    /// Skips the startup wait if there are no peers: no pledge can have been given to anybody.
+    pub fn skip_startup_wait_if_single(mut self) -> Self {
         if self.peers.is_empty() {
-            self.candidacy.stand_at_once();
+            self.candidacy.skip_wait();
         }
         self
     }
 
-    /// The leadership, if we hold it (whether or not we may act).
+    /// The leadership, if this controller holds it, whether or not it may act.
     pub fn leadership(&self) -> Option<&Leadership> {
         match &self.role {
             Role::Leader(leadership) => Some(leadership),
@@ -158,8 +161,8 @@
         }
     }
 
-    /// The term in which we may act, and until when nobody else can: while the lease surely
-    /// lives, and while every peer's pledge does.
+    /// The term in which this controller may act, and the bounds of that: the guaranteed life of
+    /// its lease, and the earliest end of its peers' pledges.
     pub fn leadership_bounds(&self) -> Option<LeadershipBounds> {
         let held = self.leadership()?;
         Some(LeadershipBounds {
@@ -169,70 +172,72 @@
         })
     }
 
-    /// When we knew of every cancellation that any peer had confirmed, as the peers themselves
-    /// told.
+    /// As of this time, this controller knew every cancellation that any peer had confirmed. It
+    /// follows from the answers of the peers to pledge requests.
     pub fn cancellations_known_at(&self) -> Secs {
-        self.pledges.informed_at(&self.peers)
+        self.pledges.complete_answers_at(&self.peers)
     }
 
     /// Whether the last renewal of the lease failed.
     pub fn renewal_failing(&self) -> bool {
-        self.lease.is_failing()
+        self.renewal.is_failing()
     }
 
-    /// Steps with time.
+    /// Advances timers: retries, renewals, and the start of an election.
     pub fn tick(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) -> LeadershipChange {
-        self.removal.resend_if_due(now, out);
+        self.key_removal.resend_if_due(now, out);
         match &self.role {
-            Role::Follower => self.follow(now, replica, out),
-            Role::LeaseRequested { since } | Role::Reading { since, .. } => {
+            Role::Follower => self.tick_follower(now, replica, out),
+            Role::LeaseRequested { since } | Role::ReadingTerm { since, .. } => {
                 self.step.resend_if_due(now, out);
                 if now > *since + LEADER_LEASE_S {
-                    self.fall_back(now);
+                    self.become_follower(now);
                 }
             }
             Role::Candidate { since, .. } => {
                 self.step.resend_if_due(now, out);
-                // The lease isn't renewed, so by then whatever became of the transaction, the
-                // key is gone or was never there.
+                // The lease isn't renewed meanwhile, so by now the key has expired with it or was
+                // never written.
                 if now > *since + LEADER_LEASE_S + 1.0 {
-                    self.fall_back(now);
+                    self.become_follower(now);
                 }
             }
             Role::Leader(leadership) => {
                 let (lease, term) = (leadership.lease, leadership.term);
-                self.lease.renew_if_due(now, lease, out);
-                if self.lease.is_failing() && !self.peers.is_empty() {
-                    self.pledges.ask_if_due(now, term, replica.revision, out);
+                self.renewal.renew_if_due(now, lease, out);
+                if self.renewal.is_failing() && !self.peers.is_empty() {
+                    self.pledges.request_if_due(now, term, replica.revision, out);
                 }
             }
         }
         LeadershipChange::None
     }
 
-    /// Whether the controller that workers try after us is the silent one.
-    pub fn next_in_turn(&mut self, silent: bool) {
-        self.candidacy.note_next_silent(silent);
+    /// Records whether the controller that workers try after this one is unreachable while others
+    /// are reachable.
+    pub fn note_next_unreachable(&mut self, unreachable: bool) {
+        self.candidacy.set_next_unreachable(unreachable);
     }
 
-    /// Whether any other controller was heard lately.
-    pub fn note_peer_heard(&mut self, now: Secs, any: bool) {
-        self.candidacy.note_alone(now, !any && !self.peers.is_empty());
+    /// Records whether any peer was heard recently.
+    pub fn note_peer_heard(&mut self, now: Secs, heard_any: bool) {
+        self.candidacy.note_isolated(now, !heard_any && !self.peers.is_empty());
     }
 
-    /// Whether this process still waits lest its earlier self has pledged.
-    pub fn fresh(&self) -> bool {
-        self.candidacy.is_fresh() && !self.peers.is_empty()
+    /// Whether this process is still in its startup wait, because its previous process may have
+    /// given a pledge.
+    pub fn is_starting_up(&self) -> bool {
+        self.candidacy.has_startup_wait() && !self.peers.is_empty()
     }
 
-    /// A peer that was alive after our start says whether it leads. Only a leader can hold a
-    /// pledge of our earlier process; if none of the peers is one, there is nothing to wait
-    /// for.
-    pub fn peer_leads(&mut self, now: Secs, peer: NodeId, leading: bool) {
+    /// Records whether a peer that answered since this process started leads. Only a leader can
+    /// hold a pledge of the previous process, so the startup wait ends once no peer leads.
+    pub fn note_peer_role(&mut self, now: Secs, peer: NodeId, leading: bool) {
         self.candidacy.note_peer_leads(now, peer, leading);
     }
 
-    /// Gives up the leadership so that a controller that workers can reach may win it.
+    /// Gives up the leadership, so that another controller, such as one that workers can reach, can
+    /// win it.
     pub fn resign(
         &mut self,
         now: Secs,
@@ -240,11 +245,12 @@
         out: &mut ActionSink,
     ) -> LeadershipChange {
         if let Some(held) = self.leadership() {
-            let removal = StoreRequest::RevokeLease(held.lease);
-            // Lost, it would leave workers without a leader until the lease ends.
-            self.removal.send(now, removal, out);
+            let key_removal = StoreRequest::RevokeLease(held.lease);
+            // If this request were lost, workers would have no leader until the lease expired, so
+            // it is retried.
+            self.key_removal.send(now, key_removal, out);
         }
-        let change = self.lose(now, reason);
+        let change = self.lose_leadership(now, reason);
         let pause = match reason {
             LossReason::Transferred => TRANSFER_GRACE_S,
             _ => RESIGNED_S,
@@ -253,26 +259,26 @@
         change
     }
 
-    /// Loses a leadership, if we hold one.
-    pub fn lose(&mut self, now: Secs, reason: LossReason) -> LeadershipChange {
+    /// Ends the leadership, if this controller holds it.
+    pub fn lose_leadership(&mut self, now: Secs, reason: LossReason) -> LeadershipChange {
         let led = self.leadership().is_some();
-        self.lease.abandon();
-        self.fall_back(now);
+        self.renewal.abandon();
+        self.become_follower(now);
         if led { LeadershipChange::Lost(reason) } else { LeadershipChange::None }
     }
 
-    /// Whether an answer of the store is for us; if so, takes it.
-    pub fn store(
+    /// Handles an answer of the state service. Returns `None` if it belongs to another component.
+    pub fn handle_store_result(
         &mut self,
         now: Secs,
         op: OpId,
         result: &StoreResult,
         out: &mut ActionSink,
     ) -> Option<LeadershipChange> {
-        if self.removal.answered(op) {
+        if self.key_removal.take_answer(op) {
             return Some(LeadershipChange::None);
         }
-        if let Some(sent) = self.lease.answered(op) {
+        if let Some(sent) = self.renewal.take_answer(op) {
             return Some(self.renewal_answered(now, sent, result));
         }
         self.campaign_answered(now, op, result, out)
@@ -289,48 +295,49 @@
         };
         match result {
             StoreResult::LeaseRenewed => {
-                // Answers may come in another order than the renewals were sent.
-                leadership.valid_until = leadership.valid_until.max(lease::certain_until(sent));
-                self.lease.renewed(sent);
+                // Answers may arrive in a different order than the renewals were sent.
+                leadership.valid_until = leadership.valid_until.max(lease::guaranteed_until(sent));
+                self.renewal.renewed(sent);
                 LeadershipChange::None
             }
-            StoreResult::NoLease => self.lose(now, LossReason::LeaseGone),
+            StoreResult::NoLease => self.lose_leadership(now, LossReason::LeaseGone),
             _ => {
-                self.lease.failed(now);
+                self.renewal.failed(now);
                 LeadershipChange::None
             }
         }
     }
 
-    /// The watched leader key changed.
+    /// Handles a change of the watched leader key.
     pub fn leader_changed(&mut self, now: Secs, replica: &Replica) -> LeadershipChange {
         let seen = replica.leader.as_ref();
         match (&self.role, seen) {
-            // Removed: before the watch has shown our own key, it may be an older removal;
-            // the renewal will find out.
+            // The leader key was removed. Until the watch has shown this controller's own key, this
+            // may be an older removal; the next renewal tells.
             (Role::Leader(_), None) => LeadershipChange::None,
             (Role::Leader(held), Some((_, version))) if *version <= held.version => {
                 LeadershipChange::None
             }
-            (Role::Leader(_), Some(_)) => self.lose(now, LossReason::Superseded),
+            (Role::Leader(_), Some(_)) => self.lose_leadership(now, LossReason::Superseded),
             (Role::Candidate { lease, since, term }, Some((record, version)))
                 if record.boot == self.boot && record.lease == *lease =>
             {
                 let (lease, since, term) = (*lease, *since, *term);
-                self.win(now, lease, since, term, *version)
+                self.become_leader(now, lease, since, term, *version)
             }
             (Role::Candidate { .. }, Some(_)) => {
-                // Another won.
-                self.fall_back(now);
+                // Another controller won.
+                self.become_follower(now);
                 LeadershipChange::None
             }
             _ => LeadershipChange::None,
         }
     }
 
-    /// A leader asks us not to stand. `store_refuses`: the store has refused us lately too, so
-    /// that it has an outage as far as we can tell. Whether we pledge.
-    pub fn pledge_asked(
+    /// Handles a leader's request not to stand for election, and returns whether this controller
+    /// pledges. `store_refuses` states that the state service has refused this controller's own
+    /// recent requests too, so that, as far as it can tell, there is an outage.
+    pub fn handle_pledge_request(
         &mut self,
         now: Secs,
         (from, term): (&NodeId, u64),
@@ -345,9 +352,9 @@
         granted
     }
 
-    /// A peer answered a request sent at `sent`, and all cancellations that it told are known
-    /// by now.
-    pub fn pledged(&mut self, peer: NodeId, sent: Secs, answer: &PledgeAnswer) {
-        self.pledges.answered(peer, sent, answer);
+    /// Records a peer's answer to a pledge request that was sent at `sent`. All cancellations in
+    /// the answer must have been applied before.
+    pub fn handle_pledge_answer(&mut self, peer: NodeId, sent: Secs, answer: &PledgeAnswer) {
+        self.pledges.take_answer(peer, sent, answer);
     }
 }
--- a/crates/core/src/election/placement.rs
+++ b/crates/core/src/election/placement.rs
@@ -1,11 +1,12 @@
-//! Which controllers may lead, as far as workers' leases go: should the leader stand still,
-//! its workers must find another controller before their leases end.
+//! Which controllers are suitable leaders in view of worker leases: if the leader stalls, its
+//! workers must find another controller before their leases expire.
 //!
-//! Workers try the controllers in the order of their names, round and round. The last renewal
-//! of a lease is as old as a heartbeat interval and a quarter of it when the leader stops
-//! answering, and the worker spends [`WORKER_GIVES_UP_S`] on each controller that is silent:
-//! with a lease of 12 s and heartbeats every 2 s, two in a row take 12.5 s, and no election,
-//! however short, can save the lease. So a leader whose next in turn is down is badly placed.
+//! Workers try the controllers cyclically, in the order of their names. When the leader stops
+//! answering, the last lease renewal may be up to 1.25 heartbeat intervals old, and the worker
+//! spends [`WORKER_GIVES_UP_S`] on each unreachable controller. With a lease of 12 s and heartbeats
+//! every 2 s, two unreachable controllers in a row take 12.5 s, and no election can be short enough
+//! to save the lease. A leader is therefore badly placed if the next controller in the cycle is
+//! down.
 
 use crate::consts::{HEARTBEAT_JITTER, PLACEMENT_MARGIN_S, WORKER_GIVES_UP_S};
 use crate::event::Secs;
@@ -16,45 +17,47 @@
 #[derive(Debug)]
 pub struct Placement {
     ring: Vec<NodeId>,
-    /// Time that a worker may spend on silent controllers, the leader included, seconds.
-    search_most_s: Secs,
+    /// How long a worker may spend on unreachable controllers, including the leader, seconds.
+    search_budget_s: Secs,
 }
 
 impl Placement {
-    /// All controllers, and the interval and lease of workers, seconds.
+    /// Creates the placement for all `controllers`, given the workers' heartbeat interval and
+    /// lease, seconds.
     pub fn new(controllers: BTreeSet<NodeId>, heartbeat_interval_s: f64, lease_s: f64) -> Self {
         let renewed_before_s = heartbeat_interval_s * (1.0 + HEARTBEAT_JITTER);
-        let search_most_s = lease_s - renewed_before_s - PLACEMENT_MARGIN_S;
-        Self { ring: controllers.into_iter().collect(), search_most_s }
+        let search_budget_s = lease_s - renewed_before_s - PLACEMENT_MARGIN_S;
+        Self { ring: controllers.into_iter().collect(), search_budget_s }
     }
 
-    /// Whether workers of that leader would find another controller in time if it stood still
-    /// while these are silent.
-    pub fn is_safe(&self, leader: &NodeId, silent: &BTreeSet<NodeId>) -> bool {
-        let silent_controllers = 1 + self.silent_after(leader, silent);
-        silent_controllers as f64 * WORKER_GIVES_UP_S <= self.search_most_s
+    /// Whether workers of `leader` would find another controller before their leases expire if it
+    /// stalled while the controllers in `unreachable` are unreachable.
+    pub fn is_safe(&self, leader: &NodeId, unreachable: &BTreeSet<NodeId>) -> bool {
+        let unreachable_controllers = 1 + self.unreachable_after(leader, unreachable);
+        unreachable_controllers as f64 * WORKER_GIVES_UP_S <= self.search_budget_s
     }
 
-    /// Whether leases are too short for two silent controllers in a row, so that no worker may
-    /// be sent on needlessly.
+    /// Whether leases are too short for two unreachable controllers in a row, so that no worker may
+    /// be redirected needlessly.
     pub fn has_short_leases(&self) -> bool {
-        2.0 * WORKER_GIVES_UP_S > self.search_most_s
+        2.0 * WORKER_GIVES_UP_S > self.search_budget_s
     }
 
-    /// How many silent controllers in a row workers try after that one.
-    fn silent_after(&self, leader: &NodeId, silent: &BTreeSet<NodeId>) -> usize {
+    /// How many unreachable controllers in a row workers try after `leader`.
+    fn unreachable_after(&self, leader: &NodeId, unreachable: &BTreeSet<NodeId>) -> usize {
         let at = self.ring.iter().position(|node| node == leader).unwrap_or(0);
         let others = self.ring.iter().cycle().skip(at + 1).take(self.ring.len() - 1);
-        others.take_while(|node| silent.contains(*node)).count()
+        others.take_while(|node| unreachable.contains(*node)).count()
     }
 
-    /// The controller that should lead instead of that leader, if it is badly placed: the next
-    /// well placed one in turn that isn't silent.
-    pub fn better(&self, leader: &NodeId, silent: &BTreeSet<NodeId>) -> Option<&NodeId> {
-        if self.is_safe(leader, silent) {
+    /// The controller that should lead instead of `leader`, if that one is badly placed: the first
+    /// reachable one in name order that is well placed.
+    pub fn better(&self, leader: &NodeId, unreachable: &BTreeSet<NodeId>) -> Option<&NodeId> {
+        if self.is_safe(leader, unreachable) {
             return None;
         }
-        let well_placed = |node: &&NodeId| !silent.contains(*node) && self.is_safe(node, silent);
+        let well_placed =
+            |node: &&NodeId| !unreachable.contains(*node) && self.is_safe(node, unreachable);
         self.ring.iter().filter(|node| *node != leader).find(well_placed)
     }
 }
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,7 +1,7 @@
-//! The leader's state and what moves it. Its parts: `recover` (taking over), `heartbeats`,
-//! `orders` and `direct_results` (workers), `attempts` and `revocation` (what may run), `place`,
-//! `gangs` and `preempt` (who runs where), `writer` (records), `cloud_requests`, `provision`
-//! and `deprovision` (machines).
+//! The state of the leader and its event handlers. The rest of the leader is in these modules:
+//! `recover` (takeover), `heartbeats`, `orders` and `direct_results` (communication with workers),
+//! `attempts` and `revocation` (which attempts may run), `place`, `gangs` and `preempt`
+//! (placement), `writer` (records), `cloud_requests`, `provision` and `deprovision` (machines).
 
 use crate::cascade::CascadeLists;
 use crate::cells::Cells;
@@ -31,66 +31,66 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// What an answer of the state service was about, seen from one part of the leader.
+/// Which part of the leader an answer of the state service belongs to, as seen from one part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
-    /// Another part's.
+    /// The answer belongs to another part.
     NotOurs,
-    /// Ours.
+    /// The answer belongs to this part.
     Ours,
-    /// Ours, and it shows that another leads.
+    /// The answer belongs to this part and shows that another controller leads.
     NotLeading,
 }
 
-/// What a leader's decisions rest on.
+/// The knowledge that a leader's decisions are based on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Knowledge {
-    /// Every cancellation that was confirmed to a user before then is known, seconds.
+    /// Every cancellation that was confirmed to a user before this time is known, seconds.
     pub known_at: Secs,
-    /// The copy of the store is whole up to this revision.
+    /// The replica is complete up to this revision.
     pub revision: u64,
-    /// The leader may act until then, as of its last news of the store, seconds.
+    /// The leader may act until this time, as of the last update from the state service, seconds.
     pub authority_until: Secs,
 }
 
-/// A leader in office.
+/// The state of a controller while it leads.
 #[derive(Debug)]
 pub struct Leader {
     pub(crate) facts: Arc<Facts>,
     pub(crate) term: Term,
-    /// Version of the leader key, condition of all writes.
+    /// Version of the leader key; all writes are conditional on it.
     pub(crate) version: u64,
     pub(crate) rng: StdRng,
     pub(crate) loading: Option<Loading>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
-    /// DAG dependencies among them, and the cascade of cancellations.
+    /// DAG dependencies among the jobs, and cascading cancellations.
     pub(crate) dependencies: DependencyGraph,
-    /// The lists in which large cascades become durable.
+    /// The lists that record large cascades durably.
     pub(crate) cascade_lists: CascadeLists,
-    /// Whether every controller is known to read such lists.
+    /// Whether every controller is known to support these lists.
     pub cascade_lists_allowed: bool,
     pub(crate) machines: Machines,
     pub(crate) released_machines: BTreeMap<MachineId, Secs>,
     pub(crate) directs: HashMap<OpId, DirectSent>,
     pub(crate) next_attempt: u32,
-    /// The last machine number given out, by any leader.
+    /// The highest machine number assigned by any leader.
     pub(crate) next_number: u32,
-    /// Whether the last pass left work waiting, and the CPUs that the smallest
-    /// task seen takes: whether a machine that comes free is worth a look.
+    /// Whether the last placement pass left tasks waiting, and the CPUs of the smallest task seen:
+    /// together they tell whether a pass is worthwhile for a machine with free capacity.
     pub(crate) backlog: bool,
     pub(crate) least_cpus: f64,
-    /// Who waits, as of the last pass.
+    /// The waiting tasks as of the last placement pass.
     pub(crate) queue_snapshot: QueueSnapshot,
-    /// What arrays ask of each image that any waits for, as of the last pass.
+    /// The demand of waiting arrays for each image, as of the last placement pass.
     pub(crate) images: HashMap<String, Demand>,
-    /// Average time from placing an array's task to its running, fetch
-    /// included, seconds.
+    /// Average time from the placement of an array's task until it runs, including the image fetch,
+    /// seconds.
     pub(crate) start_lag: Secs,
     next_step: Secs,
     next_sweep: Secs,
-    /// When it was elected.
+    /// When this controller was elected.
     elected_at: Secs,
-    /// Since when this process has had the processor when it wanted it.
+    /// Since when this process has been scheduled on a processor without delay.
     pub(crate) prompt_since: Secs,
     pub(crate) next_push: Secs,
     pub(crate) writer: Writer,
@@ -103,22 +103,22 @@
     next_progress: Secs,
     progress_rounds: u32,
     progress_sent: BTreeMap<JobId, TaskCounts>,
-    /// What its decisions rest on.
+    /// The knowledge that its decisions are based on.
     pub knowledge: Knowledge,
-    /// The format that every controller was heard to run at least; 0 while one was not heard.
+    /// The lowest format that any controller was heard to run; 0 while one hasn't been heard.
     pub common_format: u32,
     pub(crate) fencing: FencingToken,
     /// Machines with unconfirmed starts.
     pub(crate) machines_with_unconfirmed_starts: BTreeSet<MachineId>,
-    /// What came of them.
+    /// Counters of the outcomes of unconfirmed starts.
     pub revocations: RevocationCounters,
     pub(crate) next_unconfirmed_log: Secs,
-    /// Lines for the log: what was decided, and why.
+    /// Log lines: decisions and their reasons.
     pub log: Log,
 }
 
 impl Leader {
-    /// Takes office: loads, then recovers, then places.
+    /// Starts a leadership: loads the records, then recovers, then places tasks.
     pub fn new(
         facts: Arc<Facts>,
         term: Term,
@@ -174,12 +174,12 @@
         leader
     }
 
-    /// Final states written since the last call.
+    /// Takes the terminal states that were written since the last call.
     pub fn take_terminal_states(&mut self) -> Vec<(JobId, EndRecord)> {
         std::mem::take(&mut self.terminal_states)
     }
 
-    /// Steps with time. Only called while we may act.
+    /// Advances timers. Called only while this controller may act.
     pub fn tick(&mut self, now: Secs, wall_ms: u64, replica: &Replica, out: &mut ActionSink) {
         if self.loading.is_some() {
             return self.keep_loading(now, wall_ms, replica, out);
@@ -199,8 +199,8 @@
             self.log_unconfirmed_starts(now);
         }
         let pause = PLACE_EVERY_S.max(self.machines.len() as f64 * PLACE_PER_MACHINE_S);
-        let placing = self.place_due && now >= self.placed_at + pause;
-        if placing || now >= self.placed_at + PLACE_IDLE_S.max(pause) {
+        let pass_due = self.place_due && now >= self.placed_at + pause;
+        if pass_due || now >= self.placed_at + PLACE_IDLE_S.max(pause) {
             self.place_due = false;
             self.placed_at = now;
             self.place(now, None);
@@ -212,8 +212,8 @@
         self.push_direct(now, out);
     }
 
-    /// A watched key changed.
-    pub fn change(&mut self, now: Secs, wall_ms: u64, change: &Change, replica: &Replica) {
+    /// Handles a change of a watched key.
+    pub fn apply_change(&mut self, now: Secs, wall_ms: u64, change: &Change, replica: &Replica) {
         if self.loading.is_some() {
             return;
         }
@@ -241,14 +241,15 @@
         }
     }
 
-    /// Whether a job's record was last written for a transfer, by a leader and not by users.
+    /// Whether a job's record was last written by a leader for a transfer, and not on behalf of a
+    /// user.
     fn written_for_transfer(id: &JobId, replica: &Replica) -> bool {
         replica.specs.get(id).is_some_and(|(record, _)| {
             record.forward.is_some() || record.origin.is_some() || record.refusals > 0
         })
     }
 
-    /// A job as the watch brings it, or as the store had it at the beginning.
+    /// Adds or updates a job from the replica.
     pub(crate) fn learn_job(&mut self, now: Secs, wall_ms: u64, id: &JobId, replica: &Replica) {
         let Some((record, version)) = replica.specs.get(id) else {
             return;
@@ -260,10 +261,11 @@
         self.track_dependencies(now, id, replica);
     }
 
-    /// A job that isn't known yet, as the watch brings it, or as this leader recorded it.
+    /// Adds a job that isn't known yet, from the watch or from this leader's own write.
     ///
-    /// Either may come first. (A job of another cell once came by the watch, was placed, and
-    /// then, as the answer to its record came, was taken for a new one and started again.)
+    /// Either may come first, so a known job is left alone. Without this check, a job of another
+    /// cell arrived by the watch and was placed; the answer to the write of its record then added
+    /// it as a new job, and it was started again.
     pub(crate) fn add_job(
         &mut self,
         now: Secs,
@@ -301,15 +303,15 @@
         self.place_due = true;
     }
 
-    /// Machines learn their size from their type.
+    /// Updates the sizes of all machines from their machine types.
     pub(crate) fn learn_types(&mut self) {
         for m in self.machines.values_mut() {
             m.learn_type(self.cloud_requests.types.iter().find(|t| t.name == m.info.kind));
         }
     }
 
-    /// A heartbeat of a worker.
-    pub fn heartbeat(
+    /// Handles a heartbeat of a worker.
+    pub fn handle_heartbeat(
         &mut self,
         now: Secs,
         to: ReplyTo,
@@ -321,8 +323,8 @@
         out.reply(to, answer.unwrap_or(Answer::Unavailable(RETRY_STORE_S)));
     }
 
-    /// The store answered one of ours. Whether we still lead.
-    pub fn store(
+    /// Handles an answer of the state service. Returns whether this controller still leads.
+    pub fn handle_store_result(
         &mut self,
         now: Secs,
         wall_ms: u64,
@@ -349,15 +351,16 @@
         }
     }
 
-    /// The cloud answered.
-    pub fn cloud(&mut self, now: Secs, op: OpId, result: CloudResult) {
+    /// Handles an answer of the cloud.
+    pub fn handle_cloud_result(&mut self, now: Secs, op: OpId, result: CloudResult) {
         if self.loading.is_none() {
             self.cloud_answered(now, op, result);
         }
     }
 
-    /// How far jobs are, for this controller's own answers and the peers'.
-    /// (The leader's users once saw no progress: it was sent to peers only.)
+    /// Progress of the jobs that has changed since the last call, for this controller's own users
+    /// and for the peers. It must reach both: when it was sent only to the peers, users of the
+    /// leader saw no progress.
     pub fn progress_updates(&mut self, now: Secs) -> Vec<JobCounts> {
         if now < self.next_progress {
             return Vec::new();
@@ -369,61 +372,64 @@
         }
         let mut updates = Vec::new();
         for (id, job) in &self.jobs {
-            let here = TaskCounts { done: job.finished.len(), running: job.running() };
-            let counts = self.counts_elsewhere(id).unwrap_or(here);
+            let local_counts = TaskCounts { done: job.finished.len(), running: job.running() };
+            let counts = self.counts_elsewhere(id).unwrap_or(local_counts);
             if self.progress_sent.get(id) != Some(&counts) {
                 self.progress_sent.insert(id.clone(), counts);
                 updates.push(JobCounts { job: id.clone(), counts });
             }
         }
-        let gone: BTreeSet<JobId> =
+        let ended: BTreeSet<JobId> =
             self.progress_sent.keys().filter(|id| !self.jobs.contains_key(*id)).cloned().collect();
-        self.progress_sent.retain(|id, _| !gone.contains(id));
+        self.progress_sent.retain(|id, _| !ended.contains(id));
         updates
     }
 
-    /// Whether workers that reported have all fallen silent at once: then it
-    /// is us who are cut off, and their leases run out unless another leads.
+    /// Whether all workers that had reported have become unreachable at once. Then this controller
+    /// is the partitioned one, and the workers' leases will expire unless another controller leads.
     ///
-    /// (A leader short of processor time once heard nobody for seconds, and resigned;
-    /// so did the next, which had all the work of taking over besides.)
+    /// A process that was short of processor time doesn't count this silence: a leader that got no
+    /// processor for seconds, and so heard no worker, resigned, and so did its successor, which
+    /// also had the work of the takeover.
     pub fn workers_unreachable(&self, now: Secs) -> bool {
-        let silence =
+        let silence_limit =
             self.facts.heartbeat_interval_s * WORKERS_SILENT_HEARTBEATS + WORKERS_SILENT_MARGIN_S;
-        // Answers to the direct commands of a new leader count as heard, and then workers may
-        // wait for their last leader until they give it up. (One that resigned after 3.5 s
-        // left them to their leases.)
-        if !self.prompt_for(now, silence) || now - self.elected_at < GONE_AFTER_S {
+        // Answers to the direct commands of a new leader count as contact, and workers may then
+        // wait for their previous leader until they give up on it. A leader that resigned after 3.5
+        // s left its workers' leases to expire.
+        if !self.prompt_for(now, silence_limit) || now - self.elected_at < GONE_AFTER_S {
             return false;
         }
-        let mut silent = 0;
+        let mut unreachable = 0;
         for at in self.machines.values().filter(|m| m.lapsed.is_none()).filter_map(|m| m.heard) {
-            if now - at <= silence {
-                // Mostly the first: this is asked with every batch.
+            if now - at <= silence_limit {
+                // The usual case returns at the first machine; this runs with every batch of
+                // events.
                 return false;
             }
-            silent += 1;
+            unreachable += 1;
         }
-        silent >= WORKERS_SILENT_LEAST
+        unreachable >= WORKERS_SILENT_LEAST
     }
 
-    /// Whether its takeover is over, and every recorded machine accounted for, since a while.
+    /// Whether the takeover has been complete, with every recorded machine accounted for, and the
+    /// leadership has lasted long enough for a transfer.
     pub fn is_settled(&self, now: Secs) -> bool {
         self.loading.is_none() && !self.recovering && now - self.elected_at >= TRANSFER_AFTER_S
     }
 
-    /// Whether this process has had the processor whenever it wanted it for so long.
-    /// Before, silence says nothing of those that are silent.
+    /// Whether this process has been scheduled without delay for at least `span` seconds. Before
+    /// that, silence doesn't show that the others are unreachable.
     pub(crate) fn prompt_for(&self, now: Secs, span: Secs) -> bool {
         now - self.prompt_since > span
     }
 
-    /// A step came late.
-    pub fn late_step(&mut self, now: Secs) {
+    /// Records that a step ran late.
+    pub fn note_late_step(&mut self, now: Secs) {
         self.prompt_since = now;
     }
 
-    /// CPUs and GPUs that a team's tasks use or may use.
+    /// CPUs and GPUs that the tasks of each team use or may use.
     pub(crate) fn team_usage(&self) -> BTreeMap<String, [f64; 2]> {
         let mut usage: BTreeMap<String, [f64; 2]> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -438,7 +444,7 @@
         usage
     }
 
-    /// How many service tasks wait.
+    /// The jobs of kind service that have waiting tasks.
     pub(crate) fn waiting_services(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values().filter(|j| j.spec().kind == Kind::Service && j.waiting() > 0)
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! One controller: events and time in, actions out.
+//! One controller as a state machine: events and time go in, actions come out.
 //!
-//! [`leadership`] decides when it may act for all, [`worker_heartbeats`] takes what workers
-//! send, and [`peers`] what other controllers and other cells do.
+//! [`leadership`] decides when it may act as leader, [`worker_heartbeats`] handles messages of
+//! workers, and [`peers`] those of other controllers and other cells.
 
 mod leadership;
 mod peers;
@@ -23,40 +23,40 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a peer last said of itself.
+/// The last known state of a peer.
 #[derive(Clone, Copy, Debug)]
-struct PeerWord {
-    /// When.
-    at: Secs,
-    /// Whether the store serves it.
+struct PeerState {
+    /// When the peer was last heard from.
+    heard_at: Secs,
+    /// Whether the state service answers the peer.
     store_ok: bool,
-    /// When it last said, in answer to a question of ours, that it doesn't lead; `None`: it
-    /// leads, or hasn't answered.
-    follows: Option<Secs>,
+    /// When the peer last reported, in answer to a request of this controller, that it doesn't
+    /// lead. `None` if it leads or hasn't answered.
+    not_leading_at: Option<Secs>,
 }
 
-impl PeerWord {
-    /// A heartbeat of the peer, after what it said before.
-    fn next(before: Option<&Self>, now: Secs, store_ok: bool, leading: Option<bool>) -> Self {
-        let follows = match leading {
+impl PeerState {
+    /// Updates the previous state with a heartbeat of the peer.
+    fn updated(before: Option<&Self>, now: Secs, store_ok: bool, leading: Option<bool>) -> Self {
+        let not_leading_at = match leading {
             Some(true) => None,
             Some(false) => Some(now),
-            None => before.and_then(|word| word.follows),
+            None => before.and_then(|state| state.not_leading_at),
         };
-        Self { at: now, store_ok, follows }
+        Self { heard_at: now, store_ok, not_leading_at }
     }
 }
 
-/// A leader as the watch shows it.
+/// A leader as shown by the watch.
 #[derive(Clone, Debug, PartialEq)]
-struct ShownLeader {
+struct WatchedLeader {
     node: NodeId,
     term: u64,
-    /// Since when.
+    /// When the watch first showed it.
     since: Secs,
 }
 
-/// A controller's whole state.
+/// The whole state of one controller.
 #[derive(Debug)]
 pub struct Node {
     facts: Arc<Facts>,
@@ -68,34 +68,36 @@
     types_op: Option<OpId>,
     next_types: Secs,
     out: ActionSink,
-    store_fails: u32,
+    store_failures: u32,
     store_ok_at: Secs,
-    probe: Option<OpId>,
+    store_probe: Option<OpId>,
     next_heartbeat: Secs,
-    /// When the next step was asked for.
-    due: Secs,
-    peers: BTreeMap<NodeId, PeerWord>,
-    /// The leader, as the watch last showed it.
-    leader_shown: Option<ShownLeader>,
-    /// When each controller that the watch showed as leader was last seen to lead.
-    led_until: BTreeMap<NodeId, Secs>,
-    /// What every configured controller is known to run.
+    /// When the next step was due.
+    next_step_due: Secs,
+    peers: BTreeMap<NodeId, PeerState>,
+    /// The leader that the watch last showed.
+    watched_leader: Option<WatchedLeader>,
+    /// For each controller that the watch has shown as leader, when it was last shown.
+    last_led_at: BTreeMap<NodeId, Secs>,
+    /// Which version every configured controller is known to run.
     membership: Membership,
-    /// Heartbeats that wait for the outcome of an election.
+    /// Heartbeats held back until the outcome of an election is known.
     waiting_heartbeats: WaitingHeartbeats,
-    /// Which controllers may lead while others are silent.
+    /// Which controllers are suitable leaders while others are unreachable.
     placement: Placement,
-    /// When it may next hand its leadership over.
+    /// Earliest time for the next handover of the leadership.
     next_transfer: Secs,
     log: Log,
 }
 
 impl Node {
-    /// A fresh process. `boot` is random and tells it from earlier ones.
+    /// State of a newly started process. `boot` is random and distinguishes it from earlier
+    /// processes.
     pub fn new(facts: Facts, boot: u64, now: Secs) -> Self {
         let facts = Arc::new(facts);
         let log = Log::new(facts.log);
-        let election = Election::new(facts.node.clone(), facts.others.clone(), boot, now).founded();
+        let election = Election::new(facts.node.clone(), facts.others.clone(), boot, now)
+            .skip_startup_wait_if_single();
         let controllers = facts.others.iter().chain([&facts.node]).cloned().collect();
         let placement = Placement::new(controllers, facts.heartbeat_interval_s, facts.lease_s);
         let membership = Membership::new(facts.node.clone(), &facts.others, now);
@@ -109,14 +111,14 @@
             types_op: None,
             next_types: now,
             out: ActionSink::default(),
-            store_fails: 0,
+            store_failures: 0,
             store_ok_at: now,
-            probe: None,
+            store_probe: None,
             next_heartbeat: now,
-            due: now,
+            next_step_due: now,
             peers: BTreeMap::new(),
-            leader_shown: None,
-            led_until: BTreeMap::new(),
+            watched_leader: None,
+            last_led_at: BTreeMap::new(),
             membership,
             waiting_heartbeats: WaitingHeartbeats::default(),
             placement,
@@ -125,70 +127,70 @@
         }
     }
 
-    /// What is to be done since the last call.
+    /// Takes the actions to carry out that have accumulated since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out.actions)
     }
 
-    /// Decisions since the last call, for the log.
+    /// Takes the log lines that have accumulated since the last call.
     pub fn take_log(&mut self) -> Vec<LogLine> {
         let mut log = self.log.take();
-        if let Some(l) = &mut self.leader {
-            log.append(&mut l.log.take());
+        if let Some(leader) = &mut self.leader {
+            log.append(&mut leader.log.take());
         }
         log
     }
 
-    /// The leader's state, while in office. For tests.
+    /// The leader's state while this controller leads. For tests.
     pub fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
 
-    /// The version gate of DAG dependencies: whether every configured controller is known
-    /// to run a version that keeps `waits_on`, as it was heard or as the store records it.
-    /// Until then users' dependencies are refused, lest an old leader start a job before
-    /// what it waits on is done.
+    /// The version gate of DAG dependencies: whether every configured controller is known to run a
+    /// version that keeps `waits_on`, either from its announcement or from the record in the state
+    /// service. Until then users' dependencies are refused; otherwise a leader of an older version
+    /// could start a job before its dependencies are done.
     pub fn dependencies_allowed(&self) -> bool {
         self.membership.all_run_at_least(DEPENDENCIES_FORMAT, self.replica.format_in_store())
     }
 
-    /// What every configured controller is known to run.
+    /// Which version every configured controller is known to run.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    fn store_bad(&self) -> bool {
-        self.store_fails >= STORE_BAD_AFTER
+    fn store_unavailable(&self) -> bool {
+        self.store_failures >= STORE_BAD_AFTER
     }
 
-    /// When [`Node::tick`] should be called at the latest.
+    /// The latest time for the next call of [`Node::tick`].
     pub fn wake(&self, now: Secs) -> Secs {
         let usual = now + if self.leader.is_some() { LEADER_STEP_S } else { FOLLOWER_STEP_S };
         self.user_api.wake().map_or(usual, |w| usual.min(w))
     }
 
-    /// Takes an event.
+    /// Handles an event.
     pub fn handle(&mut self, now: Secs, wall_ms: u64, event: Event) {
         match event {
-            Event::User(to, UserRequest::Health) => self.health(now, to),
+            Event::User(to, UserRequest::Health) => self.handle_health_request(now, to),
             Event::User(to, req) => self.with_user_api(now, wall_ms, |user_api, context, out| {
                 user_api.ask(context, to, req, out)
             }),
-            Event::Heartbeat(to, heartbeat) => self.heartbeat(now, to, heartbeat),
-            Event::Store(op, result) => self.store(now, wall_ms, op, result),
+            Event::Heartbeat(to, heartbeat) => self.handle_heartbeat(now, to, heartbeat),
+            Event::Store(op, result) => self.handle_store_result(now, wall_ms, op, result),
             Event::Watch(news) => {
                 let changes = self.replica.apply(news);
                 for change in &changes {
                     if matches!(change, Change::Leader | Change::All) {
-                        self.note_leader(now);
-                        let turn = self.election.leader_changed(now, &self.replica);
-                        self.change_leadership(now, turn);
+                        self.log_leader_change(now);
+                        let leadership_change = self.election.leader_changed(now, &self.replica);
+                        self.change_leadership(now, leadership_change);
                     }
-                    if let Some(l) = &mut self.leader {
-                        l.change(now, wall_ms, change, &self.replica);
+                    if let Some(leader) = &mut self.leader {
+                        leader.apply_change(now, wall_ms, change, &self.replica);
                     }
                 }
-                self.note_knowledge();
+                self.update_knowledge();
             }
             Event::Cloud(op, result) => {
                 if self.types_op == Some(op) {
@@ -196,83 +198,88 @@
                     if let CloudResult::Types(types) = result {
                         self.types = Some(types);
                     }
-                } else if let Some(l) = &mut self.leader {
-                    l.cloud(now, op, result);
+                } else if let Some(leader) = &mut self.leader {
+                    leader.handle_cloud_result(now, op, result);
                 }
             }
             Event::Direct(op, result) => {
-                if let Some(l) = &mut self.leader {
-                    l.direct(now, op, result);
+                if let Some(leader) = &mut self.leader {
+                    leader.direct(now, op, result);
                 }
             }
-            Event::Peer(news) => self.peer(now, news),
-            Event::CellRequest(to, request) => self.cell_request(now, wall_ms, to, *request),
+            Event::Peer(news) => self.handle_peer_news(now, news),
+            Event::CellRequest(to, request) => self.handle_cell_request(now, wall_ms, to, *request),
             Event::Members(to) => {
                 let view = self.membership.view(now, self.replica.format_in_store());
                 self.out.reply(to, Answer::Members(Box::new(view)));
             }
             Event::CellAnswer(op, answer) => {
-                // Whatever comes of it depends on the leader key in the store.
-                if let Some(l) = &mut self.leader {
-                    l.cell_answered(now, op, answer, &self.replica, &mut self.out);
+                // Any effect of this answer is conditional on the leader key in the state service.
+                if let Some(leader) = &mut self.leader {
+                    leader.cell_answered(now, op, answer, &self.replica, &mut self.out);
                 }
             }
         }
     }
 
-    /// Steps with time; call after each batch of events.
+    /// Advances timers; call this after each batch of events.
     pub fn tick(&mut self, now: Secs, wall_ms: u64) {
-        if now > self.due + LATE_STEP_S
-            && let Some(l) = &mut self.leader
+        if now > self.next_step_due + LATE_STEP_S
+            && let Some(leader) = &mut self.leader
         {
-            l.late_step(now);
+            leader.note_late_step(now);
         }
-        self.due = now + LEADER_STEP_S;
-        let company = self.peers.values().any(|peer| now - peer.at < HEARTBEAT_FRESH_S);
-        self.election.note_peer_heard(now, company);
-        self.election.next_in_turn(company && !self.heard(now, self.facts.next_in_turn()));
-        let turn = self.election.tick(now, &self.replica, &mut self.out);
-        self.change_leadership(now, turn);
-        if self.leader.as_ref().is_some_and(|l| l.workers_unreachable(now))
+        self.next_step_due = now + LEADER_STEP_S;
+        let hears_peers = self.peers.values().any(|peer| now - peer.heard_at < HEARTBEAT_FRESH_S);
+        self.election.note_peer_heard(now, hears_peers);
+        self.election.note_next_unreachable(
+            hears_peers && !self.recently_heard(now, self.facts.next_in_turn()),
+        );
+        let leadership_change = self.election.tick(now, &self.replica, &mut self.out);
+        self.change_leadership(now, leadership_change);
+        if self.leader.as_ref().is_some_and(|leader| leader.workers_unreachable(now))
             && !self.facts.others.is_empty()
-            && !self.store_bad()
+            && !self.store_unavailable()
         {
-            // The store alone still hears us: someone else should lead. Where it refuses us
-            // too, resigning wins nothing: in an outage nobody can be elected (a leader of
-            // three machines that missed two heartbeats each once left them to their
-            // leases), and a leader refused alone loses its key by itself.
+            // The workers can't reach this controller but the state service can, so another
+            // controller should lead. If the state service refuses requests too, resigning gains
+            // nothing: nobody can be elected during an outage (a leader of three machines that
+            // missed two heartbeats each resigned in one, and their leases expired), and a leader
+            // that alone is refused loses its key anyway.
             self.resign(now, LossReason::WorkersUnreachable);
         }
-        if self.out_of_date(now) {
+        if self.is_replica_stale(now) {
             self.resign(now, LossReason::OutOfDate);
         }
         self.transfer_if_badly_placed(now);
         let cascade_lists_allowed = self.dependencies_allowed();
         if self.may_act(now)
-            && let Some(l) = &mut self.leader
+            && let Some(leader) = &mut self.leader
         {
-            l.common_format = self.membership.common_format();
-            l.cascade_lists_allowed = cascade_lists_allowed;
-            l.tick(now, wall_ms, &self.replica, &mut self.out);
-            for (id, end) in l.take_terminal_states() {
+            leader.common_format = self.membership.common_format();
+            leader.cascade_lists_allowed = cascade_lists_allowed;
+            leader.tick(now, wall_ms, &self.replica, &mut self.out);
+            for (id, end) in leader.take_terminal_states() {
                 self.user_api.remember(&id, end);
             }
-            let updates = l.progress_updates(now);
+            let updates = leader.progress_updates(now);
             if !updates.is_empty() {
-                self.learn_progress(updates.clone());
+                self.apply_progress(updates.clone());
                 self.out.actions.push(Action::SendProgress(updates));
             }
         }
         self.answer_waiting_heartbeats(now);
         self.with_user_api(now, wall_ms, |user_api, context, out| user_api.tick(context, out));
         if now >= self.next_heartbeat {
-            let every = if self.election.fresh() { HEARTBEAT_FIRST_S } else { HEARTBEAT_EVERY_S };
+            let every =
+                if self.election.is_starting_up() { HEARTBEAT_FIRST_S } else { HEARTBEAT_EVERY_S };
             self.next_heartbeat = now + every;
-            let (store_ok, leading) = (!self.store_bad(), self.election.leadership().is_some());
+            let (store_ok, leading) =
+                (!self.store_unavailable(), self.election.leadership().is_some());
             self.out.actions.push(Action::PeerHeartbeat { store_ok, leading });
         }
-        if self.probe.is_none() && now - self.store_ok_at > STORE_PROBE_S {
-            self.probe = Some(self.out.store(StoreRequest::Get(TERM.into())));
+        if self.store_probe.is_none() && now - self.store_ok_at > STORE_PROBE_S {
+            self.store_probe = Some(self.out.store(StoreRequest::Get(TERM.into())));
         }
         let known = self.types.is_some() || self.replica.types.is_some();
         if !known && self.types_op.is_none() && now >= self.next_types {
@@ -281,8 +288,8 @@
         }
     }
 
-    fn heard(&self, now: Secs, peer: Option<&NodeId>) -> bool {
-        let at = peer.and_then(|p| self.peers.get(p)).map(|peer| peer.at);
+    fn recently_heard(&self, now: Secs, peer: Option<&NodeId>) -> bool {
+        let at = peer.and_then(|p| self.peers.get(p)).map(|peer| peer.heard_at);
         peer.is_none() || at.is_some_and(|at| now - at < HEARTBEAT_FRESH_S)
     }
 
@@ -293,74 +300,78 @@
         f: impl FnOnce(&mut UserApi, &RequestContext<'_>, &mut ActionSink),
     ) {
         let dependencies_allowed = self.dependencies_allowed();
-        let around = RequestContext {
+        let context = RequestContext {
             now,
             wall_ms,
             facts: &self.facts,
             replica: &self.replica,
             types: self.types.as_deref().or(self.replica.types.as_deref()),
-            store_bad: self.store_fails >= STORE_BAD_AFTER,
-            // The version gate: only once every controller runs a version that knows
-            // DAG dependencies (an old leader would start such a job at once).
+            store_bad: self.store_failures >= STORE_BAD_AFTER,
+            // The version gate: dependencies are allowed only once every controller runs a version
+            // that supports them, as a leader of an older version would start such a job at once.
             dependencies_allowed,
         };
-        f(&mut self.user_api, &around, &mut self.out);
-        // Before any answer leaves: what we tell users, we know ourselves.
+        f(&mut self.user_api, &context, &mut self.out);
+        // This precedes the sending of any answer: whatever users are told, this controller itself
+        // knows.
         for (id, revision) in self.user_api.take_confirmed() {
-            self.learn_cancelled(now, &id, revision);
+            self.apply_cancellation(now, &id, revision);
         }
     }
 
-    fn learn_cancelled(&mut self, now: Secs, id: &JobId, revision: u64) {
-        if self.replica.confirmed(id, revision)
-            && let Some(l) = &mut self.leader
+    fn apply_cancellation(&mut self, now: Secs, id: &JobId, revision: u64) {
+        if self.replica.note_confirmed(id, revision)
+            && let Some(leader) = &mut self.leader
         {
-            l.cancel(now, id);
+            leader.cancel(now, id);
         }
     }
 
-    // Healthy if the store serves us, or serves nobody: in an outage of the
-    // store no controller is better than another. One that neither the store
-    // serves nor any peer is heard by is the one cut off.
-    fn health(&mut self, now: Secs, to: ReplyTo) {
+    // A controller is healthy if the state service answers it, or answers no controller at all: in
+    // an outage of the state service no controller is better than another. A controller that
+    // neither the state service answers nor any peer is heard from is itself partitioned, and
+    // unhealthy.
+    fn handle_health_request(&mut self, now: Secs, to: ReplyTo) {
         let mut heard =
-            self.peers.values().filter(|peer| now - peer.at < HEARTBEAT_FRESH_S).peekable();
+            self.peers.values().filter(|peer| now - peer.heard_at < HEARTBEAT_FRESH_S).peekable();
         let alone = heard.peek().is_none() && !self.facts.others.is_empty();
         let better = alone || heard.any(|peer| peer.store_ok);
-        let healthy = self.replica.synced && !(self.store_bad() && better);
+        let healthy = self.replica.synced && !(self.store_unavailable() && better);
         let answer = if healthy { Answer::Healthy } else { Answer::Unavailable(RETRY_STORE_S) };
         self.out.reply(to, answer);
     }
 
-    fn store(&mut self, now: Secs, wall_ms: u64, op: OpId, result: StoreResult) {
+    fn handle_store_result(&mut self, now: Secs, wall_ms: u64, op: OpId, result: StoreResult) {
         match result {
             StoreResult::Refused | StoreResult::Unknown => {
-                self.store_fails = self.store_fails.saturating_add(1);
+                self.store_failures = self.store_failures.saturating_add(1);
             }
             _ => {
-                self.store_fails = 0;
+                self.store_failures = 0;
                 self.store_ok_at = now;
             }
         }
-        if self.probe == Some(op) {
-            self.probe = None;
+        if self.store_probe == Some(op) {
+            self.store_probe = None;
             return;
         }
-        if let Some(turn) = self.election.store(now, op, &result, &mut self.out) {
-            return self.change_leadership(now, turn);
+        if let Some(leadership_change) =
+            self.election.handle_store_result(now, op, &result, &mut self.out)
+        {
+            return self.change_leadership(now, leadership_change);
         }
-        let mut ours = false;
+        let mut handled = false;
         self.with_user_api(now, wall_ms, |user_api, context, out| {
-            ours = user_api.store(context, op, &result, out)
+            handled = user_api.store(context, op, &result, out)
         });
-        if ours {
+        if handled {
             return;
         }
-        if let Some(l) = &mut self.leader
-            && !l.store(now, wall_ms, op, result, &self.replica, &mut self.out)
+        if let Some(leader) = &mut self.leader
+            && !leader.handle_store_result(now, wall_ms, op, result, &self.replica, &mut self.out)
         {
-            let turn = self.election.lose(now, LossReason::Deposed);
-            self.change_leadership(now, turn);
+            let leadership_change = self.election.lose_leadership(now, LossReason::Deposed);
+            self.change_leadership(now, leadership_change);
         }
     }
 }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -1,24 +1,25 @@
-//! What other controllers and other cells say and ask.
+//! Handling of messages from other controllers and other cells.
 
-use super::{Node, PeerWord};
+use super::{Node, PeerState};
 use crate::consts::PLEDGE_CANCELS;
 use crate::event::*;
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest, Exchange};
 use marblebarrow_proto::ids::JobId;
 
 impl Node {
-    pub(super) fn peer(&mut self, now: Secs, news: PeerNews) {
+    pub(super) fn handle_peer_news(&mut self, now: Secs, news: PeerNews) {
         match news {
             PeerNews::Heartbeat { node, store_ok, leading } => {
-                let word = PeerWord::next(self.peers.get(&node), now, store_ok, leading);
-                self.peers.insert(node.clone(), word);
+                let state = PeerState::updated(self.peers.get(&node), now, store_ok, leading);
+                self.peers.insert(node.clone(), state);
                 if let Some(leading) = leading {
-                    self.election.peer_leads(now, node, leading);
+                    self.election.note_peer_role(now, node, leading);
                 }
             }
             PeerNews::PledgeAsked { reply, from, term, revision, after } => {
-                let (refuses, replica) = (self.store_bad(), &self.replica);
-                let granted = self.election.pledge_asked(now, (&from, term), replica, refuses);
+                let (refuses, replica) = (self.store_unavailable(), &self.replica);
+                let granted =
+                    self.election.handle_pledge_request(now, (&from, term), replica, refuses);
                 let (cancelled, more) =
                     replica.cancelled_since(revision, after.as_ref(), PLEDGE_CANCELS);
                 let answer =
@@ -27,18 +28,20 @@
             }
             PeerNews::Pledged { node, sent, answer } => {
                 for (id, revision) in &answer.cancelled {
-                    self.learn_cancelled(now, id, *revision);
+                    self.apply_cancellation(now, id, *revision);
                 }
-                self.election.pledged(node, sent, &answer);
-                self.note_knowledge();
+                self.election.handle_pledge_answer(node, sent, &answer);
+                self.update_knowledge();
+            }
+            PeerNews::Progress(jobs) => self.apply_progress(jobs),
+            PeerNews::Announced { node, runs } => {
+                self.membership.note_announcement(&node, runs, now)
             }
-            PeerNews::Progress(jobs) => self.learn_progress(jobs),
-            PeerNews::Announced { node, runs } => self.membership.heard(&node, runs, now),
         }
     }
 
-    /// Another cell, or an operator, asks: only a leader answers.
-    pub(super) fn cell_request(
+    /// Handles a request of another cell or of an operator. Only a leader answers these.
+    pub(super) fn handle_cell_request(
         &mut self,
         now: Secs,
         wall_ms: u64,
@@ -84,7 +87,7 @@
         });
     }
 
-    pub(super) fn learn_progress(&mut self, jobs: Vec<JobCounts>) {
+    pub(super) fn apply_progress(&mut self, jobs: Vec<JobCounts>) {
         let specs = &self.replica.specs;
         let known = jobs
             .into_iter()
--- a/crates/core/src/node/worker_heartbeats.rs
+++ b/crates/core/src/node/worker_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers, as any controller takes them.
+//! Handling of worker heartbeats by any controller, leader or not.
 
 use super::Node;
 use crate::consts::{LEADER_LEASE_S, PEER_WORD_DELAY_S, WAITING_HEARTBEATS_PER_STEP};
@@ -7,21 +7,21 @@
 use marblebarrow_proto::wire::Heartbeat;
 
 impl Node {
-    /// A worker's heartbeat: the leader answers it, others name the leader, and while nobody
-    /// is known to lead it waits for the outcome of the election.
-    pub(super) fn heartbeat(&mut self, now: Secs, to: ReplyTo, heartbeat: Box<Heartbeat>) {
-        if self.answers_heartbeats(now) {
+    /// Handles a worker's heartbeat. The leader answers it, and other controllers redirect to the
+    /// leader. While no leader is known, the heartbeat waits for the outcome of the election.
+    pub(super) fn handle_heartbeat(&mut self, now: Secs, to: ReplyTo, heartbeat: Box<Heartbeat>) {
+        if self.is_acting_leader(now) {
             return self.answer_heartbeat(now, to, &heartbeat);
         }
-        if self.leader_soon_known(now) && self.waiting_heartbeats.has_room() {
+        if self.expects_leader_soon(now) && self.waiting_heartbeats.has_room() {
             return self.waiting_heartbeats.push(now, to, heartbeat);
         }
         self.answer_heartbeat(now, to, &heartbeat);
     }
 
-    /// Answers heartbeats that waited, once there is an answer or they waited long enough.
+    /// Answers waiting heartbeats once a leader is known, and those that have waited too long.
     pub(super) fn answer_waiting_heartbeats(&mut self, now: Secs) {
-        if self.answers_heartbeats(now) || self.other_leader(now).is_some() {
+        if self.is_acting_leader(now) || self.reachable_other_leader(now).is_some() {
             for _ in 0..WAITING_HEARTBEATS_PER_STEP {
                 let Some(waiting) = self.waiting_heartbeats.pop() else { return };
                 self.answer_heartbeat(now, waiting.to, &waiting.heartbeat);
@@ -32,52 +32,55 @@
         }
     }
 
-    fn answers_heartbeats(&self, now: Secs) -> bool {
+    fn is_acting_leader(&self, now: Secs) -> bool {
         self.leader.is_some() && self.may_act(now)
     }
 
-    /// Whether nobody is known to lead, and this controller will learn of a leader as soon as
-    /// there is one: the store served it lately, and its watch goes on. In an outage nobody can
-    /// be elected. Only where leases are short: with longer ones workers have the time to come
-    /// round, and those of a large fleet would hold most of the sockets meanwhile.
-    fn leader_soon_known(&self, now: Secs) -> bool {
+    /// Whether no leader is known but this controller will learn of one as soon as there is one:
+    /// the state service answered recently, and the watch is current. During an outage nobody can
+    /// be elected. This applies only where leases are short. Longer leases give workers the time to
+    /// try all controllers, and the waiting heartbeats of a large fleet would occupy most of the
+    /// sockets meanwhile.
+    fn expects_leader_soon(&self, now: Secs) -> bool {
         self.placement.has_short_leases()
-            && self.other_leader(now).is_none()
+            && self.reachable_other_leader(now).is_none()
             && self.replica.synced
             && now - self.store_ok_at < LEADER_LEASE_S
             && now - self.replica.current_at < self.facts.replica_age_to_resign()
     }
 
-    /// Another controller that leads, as the watch shows.
-    fn shown_leader(&self) -> Option<&NodeId> {
+    /// The leader that the watch shows, if that is another controller.
+    fn other_watched_leader(&self) -> Option<&NodeId> {
         let leader = self.replica.leader.as_ref().map(|(record, _)| &record.node);
         leader.filter(|node| **node != self.facts.node)
     }
 
-    /// The same, unless it is silent: then its key may be gone soon. (A renewal of a leader that
-    /// had ended was once carried out 3 s late, and workers were sent back to it, 4 s each.)
-    fn other_leader(&self, now: Secs) -> Option<&NodeId> {
-        let gives_way = |leader: &&NodeId| self.has_given_way(leader);
-        self.shown_leader().filter(|leader| self.heard(now, Some(*leader)) && !gives_way(leader))
+    /// The other controller that leads, unless it is unreachable or has stepped down: then its key
+    /// may disappear soon. Without this check, when a lease renewal of a dead leader was carried
+    /// out 3 s late, workers were redirected to it and spent 4 s each on it.
+    fn reachable_other_leader(&self, now: Secs) -> Option<&NodeId> {
+        let stepped_down = |leader: &&NodeId| self.has_stepped_down(leader);
+        self.other_watched_leader()
+            .filter(|leader| self.recently_heard(now, Some(*leader)) && !stepped_down(leader))
     }
 
-    /// Whether the controller that the watch shows as leader has said since that it doesn't
-    /// lead. (A leader that workers couldn't reach once resigned, the removal of its key was
-    /// carried out 3 s late, and workers were sent back to it.)
-    fn has_given_way(&self, leader: &NodeId) -> bool {
-        let Some(shown) = &self.leader_shown else { return false };
-        let follows = self.peers.get(leader).and_then(|word| word.follows);
-        // What it said before it was elected may have come after the watch's news.
-        follows.is_some_and(|at| at > shown.since + PEER_WORD_DELAY_S)
+    /// Whether the controller that the watch shows as leader has since reported that it doesn't
+    /// lead. Without this check, when a leader that workers couldn't reach resigned and the removal
+    /// of its key was carried out 3 s late, workers were redirected to it.
+    fn has_stepped_down(&self, leader: &NodeId) -> bool {
+        let Some(watched) = &self.watched_leader else { return false };
+        let not_leading_at = self.peers.get(leader).and_then(|state| state.not_leading_at);
+        // A report from before its election may arrive after the watch has shown the election.
+        not_leading_at.is_some_and(|at| at > watched.since + PEER_WORD_DELAY_S)
     }
 
     fn answer_heartbeat(&mut self, now: Secs, to: ReplyTo, heartbeat: &Heartbeat) {
         if self.may_act(now)
             && let Some(leader) = &mut self.leader
         {
-            return leader.heartbeat(now, to, heartbeat, &self.replica, &mut self.out);
+            return leader.handle_heartbeat(now, to, heartbeat, &self.replica, &mut self.out);
         }
-        let elsewhere = self.shown_leader().cloned();
+        let elsewhere = self.other_watched_leader().cloned();
         self.out.reply(to, Answer::Elsewhere(elsewhere));
     }
 }
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -1,5 +1,5 @@
-//! This controller's copy of the watched keys. It may lag: nothing is told a
-//! user, and nothing is decided for good, on its word alone.
+//! This controller's replica of the watched keys. It may lag, so no answer to a user and no final
+//! decision is based on it alone.
 
 use crate::cascaded_jobs::CascadedJobs;
 use crate::consts::CONFIRMED_CANCELLATIONS_MAX;
@@ -14,55 +14,57 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// What changed with a piece of news.
+/// What an update of the watch changed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
     /// The leader key was set or removed.
     Leader,
-    /// A job is there.
+    /// A job was added or updated.
     Job(JobId),
     /// A job was cancelled.
     Cancelled(JobId),
-    /// Everything was read anew.
+    /// Everything was read again.
     All,
 }
 
-/// The copy.
+/// The replica.
 #[derive(Debug, Default)]
 pub struct Replica {
-    /// Whether it was ever filled.
+    /// Whether it has been filled at least once.
     pub synced: bool,
-    /// The leader key and its version.
+    /// The leader key's record and version.
     pub leader: Option<(LeaderRecord, u64)>,
     /// Specs of unfinished jobs and their versions.
     pub specs: BTreeMap<JobId, (Arc<SpecRecord>, u64)>,
-    /// The copy is whole up to this revision.
+    /// The replica is complete up to this revision.
     pub revision: u64,
-    /// It was current when the request was sent that this is the time of: it
-    /// holds all that any controller had confirmed by then.
+    /// When the request behind the last update was sent. The replica contains everything that any
+    /// controller had confirmed by then.
     pub current_at: Secs,
-    /// Jobs marked as cancelled whose tasks may not all be gone yet, and the
-    /// revisions of the marks.
-    marked: BTreeMap<JobId, u64>,
-    /// Cancellations confirmed to users, by us or by a peer, that the copy is
-    /// too old to show, with their revisions.
+    /// Jobs marked as cancelled whose tasks may not all be gone yet, with the revisions of the
+    /// marks.
+    cancel_marks: BTreeMap<JobId, u64>,
+    /// Cancellations that this controller or a peer confirmed to users and that the replica is too
+    /// old to show, with their revisions.
     confirmed_cancellations: BTreeMap<JobId, u64>,
-    /// One of those found no room: until this revision we don't know all.
-    overflow: Option<u64>,
-    /// Jobs that a cascade cancelled.
+    /// Set when a confirmed cancellation exceeded the limit: up to this revision the known
+    /// cancellations are incomplete.
+    unrecorded_until: Option<u64>,
+    /// Jobs cancelled by a cascade.
     pub cascaded: CascadedJobs,
-    /// Machine types last seen by a leader.
+    /// The machine types that a leader last recorded.
     pub types: Option<Vec<MachineType>>,
-    /// Version of their key; 0: none.
+    /// Version of the machine types' key; 0 if there is none.
     pub types_version: u64,
     /// The format that every controller runs at least, and the version of its key.
     pub common_format: Option<(FormatRecord, u64)>,
-    /// Jobs accepted from other cells whose end their home may not have yet, and the
+    /// Jobs accepted from other cells whose end may not be known to their home cell yet, with the
     /// versions of these records.
     pub inbound: BTreeMap<JobId, (InboundRecord, u64)>,
-    /// Ends that another cell must be told are known here, and versions.
+    /// Ends of jobs that this cell must acknowledge to another cell, with the versions of these
+    /// records.
     pub acknowledge: BTreeMap<JobId, (AcknowledgeRecord, u64)>,
-    /// Jobs that may be elsewhere and whose users want them cancelled.
+    /// Jobs that may be in another cell and that their users want to cancel.
     pub cancel_wanted: BTreeSet<JobId>,
     /// Cells that an operator declared lost.
     pub lost_cells: BTreeSet<CellName>,
@@ -70,95 +72,96 @@
 }
 
 impl Replica {
-    /// Takes in news; returns what changed.
+    /// Applies an update and returns what changed.
     pub fn apply(&mut self, news: WatchNews) -> Vec<Change> {
         let changes = match news.content {
             WatchContent::Reset(items) => {
                 let before = std::mem::take(self);
-                // What was told users is not forgotten with the copy.
-                (self.synced, self.confirmed_cancellations, self.overflow) =
-                    (true, before.confirmed_cancellations, before.overflow);
+                // Confirmed cancellations outlive a reset of the replica.
+                (self.synced, self.confirmed_cancellations, self.unrecorded_until) =
+                    (true, before.confirmed_cancellations, before.unrecorded_until);
                 for item in items {
                     self.put(item.key, &item.value, item.version);
                 }
                 vec![Change::All]
             }
             WatchContent::Events(events) => {
-                events.into_iter().filter_map(|e| self.event(e)).collect()
+                events.into_iter().filter_map(|e| self.apply_event(e)).collect()
             }
         };
         self.revision = self.revision.max(news.revision);
         self.current_at = self.current_at.max(news.sent);
-        // What the copy is new enough to show, it shows.
-        let whole = self.revision;
-        self.confirmed_cancellations.retain(|_, revision| *revision > whole);
-        self.overflow = self.overflow.filter(|revision| *revision > whole);
+        // Drop the confirmed cancellations that the replica is new enough to show.
+        let shown_until = self.revision;
+        self.confirmed_cancellations.retain(|_, revision| *revision > shown_until);
+        self.unrecorded_until = self.unrecorded_until.filter(|revision| *revision > shown_until);
         changes
     }
 
-    /// The format that the store says every controller runs at least; 0 without a record.
+    /// The format that every controller runs at least according to the state service; 0 without a
+    /// record.
     pub fn format_in_store(&self) -> u32 {
         self.common_format.as_ref().map_or(0, |(record, _)| record.format)
     }
 
     /// Whether a job is known to be cancelled.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
-        self.marked.contains_key(id) || self.confirmed_cancellations.contains_key(id)
+        self.cancel_marks.contains_key(id) || self.confirmed_cancellations.contains_key(id)
     }
 
     /// Jobs known to be cancelled whose tasks may not all be gone yet.
     pub fn cancelled(&self) -> impl Iterator<Item = &JobId> {
-        self.marked.keys().chain(self.confirmed_cancellations.keys())
+        self.cancel_marks.keys().chain(self.confirmed_cancellations.keys())
     }
 
-    /// A cancellation was confirmed to a user, or is about to be, at that
-    /// revision. Whether that is news.
-    pub fn confirmed(&mut self, id: &JobId, revision: u64) -> bool {
+    /// Records a cancellation that was or is about to be confirmed to a user, at `revision`.
+    /// Returns whether it was unknown.
+    pub fn note_confirmed(&mut self, id: &JobId, revision: u64) -> bool {
         if revision <= self.revision || self.is_cancelled(id) {
             return false;
         }
         if self.confirmed_cancellations.len() >= CONFIRMED_CANCELLATIONS_MAX {
-            self.overflow = self.overflow.max(Some(revision));
+            self.unrecorded_until = self.unrecorded_until.max(Some(revision));
         } else {
             self.confirmed_cancellations.insert(id.clone(), revision);
         }
         true
     }
 
-    /// Whether we know every cancellation that this controller told a user,
-    /// those of its earlier processes included.
+    /// Whether this controller knows every cancellation that it has confirmed to a user, including
+    /// those of its earlier processes.
     pub fn is_complete(&self) -> bool {
-        self.synced && self.overflow.is_none()
+        self.synced && self.unrecorded_until.is_none()
     }
 
-    /// Jobs beyond `after` that were cancelled later than `revision`, in order,
-    /// and whether there are more.
+    /// Jobs after `after` in key order that were cancelled later than `revision`, at most `limit`
+    /// of them, and whether there are more.
     pub fn cancelled_since(
         &self,
         revision: u64,
         after: Option<&JobId>,
-        most: usize,
+        limit: usize,
     ) -> (Vec<(JobId, u64)>, bool) {
         let from = (after.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded);
         let later = |(_, at): &(&JobId, &u64)| **at > revision;
         let mut jobs: BTreeMap<JobId, u64> = BTreeMap::new();
-        for map in [&self.marked, &self.confirmed_cancellations] {
-            let some = map.range::<JobId, _>(from).filter(later).take(most + 1);
+        for map in [&self.cancel_marks, &self.confirmed_cancellations] {
+            let some = map.range::<JobId, _>(from).filter(later).take(limit + 1);
             jobs.extend(some.map(|(id, at)| (id.clone(), *at)));
         }
-        let more = jobs.len() > most;
-        (jobs.into_iter().take(most).collect(), more)
+        let more = jobs.len() > limit;
+        (jobs.into_iter().take(limit).collect(), more)
     }
 
-    fn event(&mut self, event: WatchEvent) -> Option<Change> {
+    fn apply_event(&mut self, event: WatchEvent) -> Option<Change> {
         match event {
             WatchEvent::Put { key, value, version } => self.put(key, &value, version),
             WatchEvent::Delete { key, version } => self.delete(&key, version),
         }
     }
 
-    // A first read of several pages is no snapshot: events may tell of changes
-    // that a later page already held, and must not undo what is newer.
+    // A first read of several pages isn't a snapshot: events may report changes that a later page
+    // already contained, and must not overwrite newer values.
     fn put(&mut self, key: String, value: &Value, version: u64) -> Option<Change> {
         if self.versions.get(&key).is_some_and(|&v| v >= version) {
             return None;
@@ -182,7 +185,7 @@
             Some(Change::Job(id))
         } else if let Some(id) = key.strip_prefix(records::CANCELS) {
             let id = JobId::new(id);
-            self.marked.insert(id.clone(), version);
+            self.cancel_marks.insert(id.clone(), version);
             Some(Change::Cancelled(id))
         } else if key == records::CASCADE_GENERATION {
             self.cascaded.set_generation(version);
@@ -210,7 +213,7 @@
         if let Some(id) = key.strip_prefix(records::SPECS) {
             self.specs.remove(&JobId::new(id));
         } else if let Some(id) = key.strip_prefix(records::CANCELS) {
-            self.marked.remove(&JobId::new(id));
+            self.cancel_marks.remove(&JobId::new(id));
         } else if key.starts_with(records::CASCADES) {
             self.cascaded.remove(key);
         } else {
