--- a/crates/core/src/heartbeats/agent_epochs.rs
+++ b/crates/core/src/heartbeats/agent_epochs.rs
@@ -1,4 +1,4 @@
-//! A heartbeat's news of its worker: its epoch, and what that proves.
+//! Applies what a heartbeat reports about its worker: its agent epoch, and what follows from that.
 
 use super::is_obsolete;
 use crate::event::Secs;
@@ -10,13 +10,13 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Takes a heartbeat's news, unless a newer message was taken before.
+    /// Applies a heartbeat, unless a newer message was applied before.
     pub(crate) fn apply_heartbeat(&mut self, now: Secs, heartbeat: &Heartbeat) {
         if self.released_machines.contains_key(&heartbeat.machine) {
             return;
         }
         let id = &heartbeat.machine;
-        self.meet_machine(now, heartbeat);
+        self.register_machine(now, heartbeat);
         let Some(m) = self.machines.get(id) else { return };
         if is_obsolete(heartbeat, m)
             || (heartbeat.agent_epoch, heartbeat.seq) <= (m.agent_epoch, m.seq)
@@ -26,8 +26,8 @@
         if m.agent_epoch != 0 && heartbeat.agent_epoch > m.agent_epoch {
             self.end_agent_epoch(now, id);
         }
-        self.take_agent_epoch(now, heartbeat);
-        self.take_reachability(now, heartbeat);
+        self.apply_agent_epoch(now, heartbeat);
+        self.update_reachability(now, heartbeat);
         self.revoke_shown(now, id);
         let mut listed = BTreeSet::new();
         for entry in &heartbeat.tasks {
@@ -36,8 +36,8 @@
         self.apply_absence(now, id, &listed);
     }
 
-    /// A machine that isn't known yet is from now on.
-    fn meet_machine(&mut self, now: Secs, heartbeat: &Heartbeat) {
+    /// Adds the machine if it isn't known yet.
+    fn register_machine(&mut self, now: Secs, heartbeat: &Heartbeat) {
         let machine = self
             .machines
             .entry(heartbeat.machine.clone())
@@ -48,8 +48,9 @@
         }
     }
 
-    /// The worker has begun a new epoch: its lease ended though we heard it, or it was
-    /// silent. Either way its tasks are gone, and it must show anew that it hears us.
+    /// Handles the start of a new agent epoch: the worker's lease expired, although its heartbeats
+    /// arrived or because they didn't. In both cases its tasks are gone, and the worker must show
+    /// again that answers reach it.
     fn end_agent_epoch(&mut self, now: Secs, id: &MachineId) {
         self.lose_tasks(id, now);
         let Some(m) = self.machines.get_mut(id) else { return };
@@ -59,15 +60,15 @@
         m.withheld = false;
     }
 
-    fn take_agent_epoch(&mut self, now: Secs, heartbeat: &Heartbeat) {
+    fn apply_agent_epoch(&mut self, now: Secs, heartbeat: &Heartbeat) {
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else { return };
         if m.heard.is_none() || m.lapsed.is_some() || m.agent_epoch != heartbeat.agent_epoch {
             self.place_due = true;
         }
         if m.agent_epoch != heartbeat.agent_epoch {
-            // Its lease counts from when the epoch began, which may be just now: counted
-            // from our last answer to the one before, it once seemed to end while tasks ran
-            // on.
+            // The new lease counts from the start of the epoch, which may be as late as now. When
+            // it was counted from the last answer to the previous epoch, the lease appeared to
+            // expire while tasks were still running.
             m.answered = now;
         }
         m.lapsed = None;
@@ -88,10 +89,10 @@
         m.notice = heartbeat.notice_s.map(|s| now + s);
     }
 
-    fn take_reachability(&mut self, now: Secs, heartbeat: &Heartbeat) {
+    fn update_reachability(&mut self, now: Secs, heartbeat: &Heartbeat) {
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else { return };
-        // It has seen our token: whatever older leaders sent is void, and this list is all
-        // there is.
+        // The worker has seen this leader's fencing token, so commands of earlier leaders have no
+        // effect any more and the list is complete.
         if !m.confirmed && heartbeat.fencing_token >= self.term.0 {
             m.confirmed = true;
             m.reached = Some(now);
@@ -102,7 +103,7 @@
     }
 }
 
-/// What a heartbeat tells to be recorded of its machine.
+/// The record to store for a machine first seen in this heartbeat.
 fn machine_record(heartbeat: &Heartbeat) -> MachineRecord {
     MachineRecord {
         kind: heartbeat.kind.clone(),
--- a/crates/core/src/heartbeats/mod.rs
+++ b/crates/core/src/heartbeats/mod.rs
@@ -1,7 +1,7 @@
-//! Heartbeats of workers, and the commands that the answers carry.
+//! Worker heartbeats, and the commands carried in the answers.
 //!
-//! [`agent_epochs`] takes a heartbeat's news of its worker, [`tasks`] of each task listed, and
-//! [`absence`] of the tasks that aren't; [`outcomes`] books tasks that ended.
+//! [`agent_epochs`] applies what a heartbeat reports about its worker, [`tasks`] handles each task
+//! listed, [`absence`] the tasks that aren't listed, and [`outcomes`] records tasks that ended.
 
 mod absence;
 mod agent_epochs;
@@ -18,7 +18,8 @@
 use marblebarrow_proto::wire::{Command, Heartbeat, HeartbeatAnswer, HeartbeatTask, TaskState};
 
 impl Leader {
-    /// Takes a heartbeat and answers it; `None`: must not be answered with 200.
+    /// Applies a heartbeat and returns the answer. `None` means that it must not be answered with
+    /// status 200.
     pub(crate) fn answer_heartbeat(
         &mut self,
         now: Secs,
@@ -29,9 +30,9 @@
             return None;
         }
         if self.loading.is_some() {
-            // Leases go on; machines are counted from when loading ends. That may take as
-            // long as an outage of the store does, so what is known to be cancelled is
-            // stopped even now.
+            // Leases are renewed during loading, while machines are tracked only after it. Loading
+            // may last as long as an outage of the state service, so tasks known to be cancelled
+            // are stopped even now.
             let commands = stops_while_loading(heartbeat, replica);
             return Some(Answer::Heartbeat(HeartbeatAnswer {
                 fencing_token: self.term.0,
@@ -39,7 +40,11 @@
             }));
         }
         if self.machines.get(&heartbeat.machine).is_some_and(|m| is_late_copy(heartbeat, m)) {
-            if self.machines.get(&heartbeat.machine).is_some_and(|m| overtaken(now, heartbeat, m)) {
+            if self
+                .machines
+                .get(&heartbeat.machine)
+                .is_some_and(|m| overtaken_by_direct_command(now, heartbeat, m))
+            {
                 return self.answer_overtaken(now, heartbeat);
             }
             self.probe_after_late_copy(now, &heartbeat.machine);
@@ -56,7 +61,8 @@
         Some(Answer::Heartbeat(HeartbeatAnswer { fencing_token: token, commands }))
     }
 
-    /// Answers a heartbeat that a direct command overtook: its list is old, its worker waits.
+    /// Answers a heartbeat that was overtaken by a direct command: its task list is outdated, but
+    /// its worker still waits for the answer.
     fn answer_overtaken(&mut self, now: Secs, heartbeat: &Heartbeat) -> Option<Answer> {
         let id = &heartbeat.machine;
         if !self.renew_lease(now, id)? {
@@ -67,8 +73,8 @@
         Some(Answer::Heartbeat(HeartbeatAnswer { fencing_token, commands }))
     }
 
-    /// A late copy may also mean that the worker began anew, which only a fresh exchange can
-    /// tell.
+    /// Probes the machine: a late copy may also mean that the worker restarted, which only a new
+    /// exchange can show.
     fn probe_after_late_copy(&mut self, now: Secs, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id) else { return };
         if !m.reborn && m.reached.is_none_or(|at| now - at > WORKER_MARGIN_S) {
@@ -76,7 +82,7 @@
         }
     }
 
-    /// Whether the answer may renew the lease of the worker's tasks; if so, counts it from
+    /// Whether the answer may renew the lease of the worker's tasks. If so, the lease counts from
     /// now.
     fn renew_lease(&mut self, now: Secs, id: &MachineId) -> Option<bool> {
         if self.machines.get(id)?.lapsed.is_some() || !self.may_renew(now, id) {
@@ -88,9 +94,9 @@
         Some(true)
     }
 
-    /// What becomes free is filled at once, in the same answer if the start is recorded
-    /// already. Where a start binds a job to this cell, a machine whose tasks were lost waits
-    /// for a full pass, which knows that these wait too.
+    /// Places tasks on freed capacity at once; if their start is already recorded, the same answer
+    /// carries the commands. Where a start binds a job to this cell, a machine whose tasks were
+    /// lost waits for a full placement pass, which considers the lost tasks too.
     fn fill_machine(&mut self, now: Secs, id: &MachineId) -> Option<()> {
         let tasks_lost_at = self.machines.get(id)?.tasks_lost_at;
         if self.cells.is_some() && tasks_lost_at.is_some_and(|at| at >= self.placed_at) {
@@ -104,12 +110,12 @@
 
     fn commands_for_answer(&mut self, now: Secs, id: &MachineId) -> Option<Vec<Command>> {
         if self.machines.get(id)?.direct.is_some() {
-            // Direct commands are under way: two ways at once would cross. The end of
-            // cancelled tasks may, as it is repeated until a heartbeat shows it: an answer that
-            // renews their lease must carry it.
+            // Direct commands are in flight, and commands sent both ways could overtake each other.
+            // Stops of cancelled tasks are sent regardless: they are repeated until a heartbeat
+            // confirms them, and an answer that renews the lease of such tasks must carry them.
             return Some(self.stops(id, |job| job.is_none_or(|j| j.cancelled)));
         }
-        let (commands, starts) = self.compose(id);
+        let (commands, starts) = self.compose_commands(id);
         for (task, _) in starts {
             let live = live_attempt_mut(&mut self.jobs, &task);
             if let Some(live) = live {
@@ -119,8 +125,9 @@
         Some(commands)
     }
 
-    /// What the interval of a worker's own heartbeats proves: one that got no answer waits for
-    /// it, then tries elsewhere, so one that is back sooner got it.
+    /// Infers from the interval between a worker's heartbeats whether answers reach it: a worker
+    /// that gets no answer waits for the timeout and then tries another controller, so one that
+    /// returns sooner got its answer.
     fn note_heartbeat_interval(&mut self, now: Secs, heartbeat: &Heartbeat) {
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else { return };
         let soon =
@@ -133,21 +140,22 @@
     }
 }
 
-/// Whether a heartbeat is a copy that came late: its sender gave it up long ago, and an answer
-/// would only make a dead machine's lease seem alive.
+/// Whether a heartbeat is a copy that arrived late. Its sender gave it up long ago, and counting an
+/// answer as a lease renewal would make a dead machine appear alive.
 fn is_late_copy(heartbeat: &Heartbeat, m: &Machine) -> bool {
     (heartbeat.agent_epoch, heartbeat.seq) <= (m.agent_epoch, m.heartbeat_seq)
         || heartbeat.agent_epoch < m.agent_epoch
         || is_obsolete(heartbeat, m)
 }
 
-/// Whether a heartbeat shows a lower fencing token only as a direct command, which was sent
+/// Whether a heartbeat shows a lower fencing token only because a direct command, which was sent
 /// after it or at the same time, arrived and was answered first. Its worker still waits for the
-/// answer, and would take a refusal for this controller's, and try the next.
+/// answer; it would take a refusal as coming from this controller and try the next one.
 ///
-/// (A new leader that had shown workers its token once refused the heartbeats that were under
-/// way, sent them on to a controller that was down, and their leases ended.)
-fn overtaken(now: Secs, heartbeat: &Heartbeat, m: &Machine) -> bool {
+/// Without this check, a new leader that had already shown workers its fencing token refused the
+/// heartbeats in flight; the workers went on to a controller that was down, and their leases
+/// expired.
+fn overtaken_by_direct_command(now: Secs, heartbeat: &Heartbeat, m: &Machine) -> bool {
     heartbeat.agent_epoch == m.agent_epoch
         && !m.reborn
         && m.lapsed.is_none()
@@ -157,15 +165,15 @@
         && now - m.token_risen_at < WORKER_DROPS_S
 }
 
-/// Whether a heartbeat comes from an epoch whose lease ended, or from before the worker began
-/// anew: the highest token seen never falls.
+/// Whether a heartbeat comes from an epoch whose lease expired, or from before the worker
+/// restarted: the highest fencing token that a worker has seen never decreases.
 fn is_obsolete(heartbeat: &Heartbeat, m: &Machine) -> bool {
     heartbeat.fencing_token < m.fencing_token
         || m.reborn
         || m.lapsed.is_some_and(|lapsed| heartbeat.agent_epoch <= lapsed)
 }
 
-/// Commands that end what a heartbeat lists of jobs known to be cancelled.
+/// Stop commands for the listed tasks whose jobs are known to be cancelled.
 fn stops_while_loading(heartbeat: &Heartbeat, replica: &Replica) -> Vec<Command> {
     let cancelled = |entry: &&HeartbeatTask| {
         TaskId::parse(&entry.task).is_some_and(|task| replica.is_cancelled(&task.job))
--- a/crates/core/src/heartbeats/outcomes.rs
+++ b/crates/core/src/heartbeats/outcomes.rs
@@ -1,4 +1,4 @@
-//! Tasks that ended: what it says of the task, its job and its machine.
+//! Handling of tasks that ended: the effect on the task, its job and its machine.
 
 use crate::consts::SLOW_FACTOR;
 use crate::event::Secs;
@@ -8,16 +8,16 @@
 use marblebarrow_proto::job::Kind;
 use marblebarrow_proto::wire::Why;
 
-/// Ended tasks of a job from which on one that takes much longer is slow.
+/// How many tasks of a job must have ended before a much slower one counts as slow.
 const SLOW_LEAST_SAMPLES: u32 = 2;
 
-/// How long an attempt ran, among others of its job.
+/// The run time of an attempt, compared with the other tasks of its job.
 struct RunTime {
-    /// Seconds, if its beginning was seen.
+    /// How long the attempt ran, seconds; `None` if its start wasn't observed.
     run: Option<Secs>,
-    /// Mean of the job's tasks that ended before, seconds.
+    /// Mean run time of the job's tasks that ended before, seconds.
     mean: Option<Secs>,
-    /// How many these are.
+    /// The number of tasks in that mean.
     samples: u32,
 }
 
@@ -28,19 +28,19 @@
         Self { run, mean: job.mean_run(), samples: job.runs.0 }
     }
 
-    /// Whether it took much longer than the others, if that can be told.
+    /// Whether the attempt took much longer than the others; `None` if there is too little data.
     fn is_slow(&self) -> Option<bool> {
         let (run, mean) = (self.run?, self.mean?);
         (self.samples >= SLOW_LEAST_SAMPLES).then_some(run > mean * SLOW_FACTOR)
     }
 }
 
-/// What the end of a task says of its machine.
-struct Verdict {
+/// The end of a task, as far as it concerns its machine.
+struct TaskEnd {
     outcome: Outcome,
     why: Why,
-    /// The job has succeeded before, so that a failure speaks of the machine.
-    job_is_sound: bool,
+    /// Whether the job has succeeded before, so that a failure indicates a fault of the machine.
+    job_has_succeeded: bool,
     run_time: RunTime,
 }
 
@@ -54,14 +54,15 @@
 }
 
 impl Leader {
-    /// A worker lists a task as ended. `booked`: it is the attempt that is booked there.
+    /// Handles a task that a worker lists as ended. `placed` states that this is the attempt
+    /// currently placed on the machine.
     pub(super) fn task_ended(
         &mut self,
         now: Secs,
         id: &MachineId,
         task: &TaskId,
         why: Why,
-        booked: bool,
+        placed: bool,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let run_time = RunTime::of(job, task.index, now);
@@ -69,39 +70,40 @@
         if why == Why::Alone {
             job.whole_gang = true;
         }
-        if booked && outcome != Outcome::Done && job.spec().kind == Kind::Gang {
+        if placed && outcome != Outcome::Done && job.spec().kind == Kind::Gang {
             self.stop_gang(&task.job, task.index);
         }
         let Some(job) = self.jobs.get(&task.job) else { return };
-        // It can succeed: its failures so far were the machines'. Until then they say
-        // nothing: jobs submitted with a mistake fail everywhere, and many of them once would
-        // have had sound machines returned.
+        // The job has now succeeded, so its earlier failures were faults of the machines. Until
+        // then failures aren't attributed: jobs submitted with a mistake fail everywhere, and many
+        // of them would have caused sound machines to be returned.
         let faulty = if outcome == Outcome::Done { job.unexplained() } else { Vec::new() };
-        let verdict = Verdict { outcome, why, job_is_sound: job.sound(), run_time };
-        self.book_outcome(now, task, outcome, booked);
+        let end = TaskEnd { outcome, why, job_has_succeeded: job.sound(), run_time };
+        self.record_outcome(now, task, outcome, placed);
         for other in faulty {
             if let Some(machine) = self.machines.get_mut(&other) {
                 machine.errors += 1;
             }
         }
-        if booked {
-            self.judge_machine(id, task, &verdict);
+        if placed {
+            self.update_machine_health(id, task, &end);
         }
     }
 
-    /// A result counts whichever attempt it is from; any other end only of the one booked.
-    fn book_outcome(&mut self, now: Secs, task: &TaskId, outcome: Outcome, booked: bool) {
+    /// Records the end of an attempt. A success counts from any attempt, any other outcome only
+    /// from the one currently placed.
+    fn record_outcome(&mut self, now: Secs, task: &TaskId, outcome: Outcome, placed: bool) {
         let Some(job) = self.jobs.get(&task.job) else { return };
         let is_result = outcome == Outcome::Done && !job.finished.contains(task.index);
-        if is_result && !booked {
+        if is_result && !placed {
             self.stop_duplicate(task);
         }
-        if is_result || booked {
+        if is_result || placed {
             self.over(&task.job, task.index, outcome, now);
         }
     }
 
-    /// The result is here; the other attempt is of no more use.
+    /// Stops the placed attempt of a task of which another attempt succeeded.
     fn stop_duplicate(&mut self, task: &TaskId) {
         let live = live_attempt_mut(&mut self.jobs, task);
         let Some(live) = live else { return };
@@ -112,36 +114,37 @@
         }
     }
 
-    /// Counts what an end says of the machine: failures, and tasks in a row that ran slowly.
-    fn judge_machine(&mut self, id: &MachineId, task: &TaskId, verdict: &Verdict) {
+    /// Updates the machine's count of failures and of consecutive slow tasks.
+    fn update_machine_health(&mut self, id: &MachineId, task: &TaskId, end: &TaskEnd) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        match verdict.outcome {
+        match end.outcome {
             Outcome::Done => {
                 machine.errors = 0;
-                // A machine that takes much longer than others for the same job is slow,
-                // whatever the job.
-                if let Some(slow) = verdict.run_time.is_slow() {
+                // A machine that takes much longer than others for the same job is slow, whichever
+                // job that is.
+                if let Some(slow) = end.run_time.is_slow() {
                     machine.slow = if slow { machine.slow + 1 } else { 0 };
                 }
             }
             Outcome::Error => {
-                machine.errors += u32::from(verdict.job_is_sound);
+                machine.errors += u32::from(end.job_has_succeeded);
                 self.log.push(|| format!("event=failed task={task} machine={id}"));
             }
             Outcome::Refused => {
-                let why = verdict.why;
+                let why = end.why;
                 self.log.push(|| format!("event=refused task={task} machine={id} why={why:?}"));
             }
             Outcome::Lost => {}
         }
     }
 
-    /// A gang runs whole or not at all: the others end too, saving if they can, and it is
-    /// placed again when all are gone.
-    fn stop_gang(&mut self, id: &JobId, lost: u32) {
+    /// Stops the other tasks of a gang that lost one, with a grace period to save their work: a
+    /// gang runs whole or not at all. It is placed again when all its tasks are gone.
+    fn stop_gang(&mut self, id: &JobId, lost_index: u32) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let grace = job.eviction_grace();
-        for (_, live) in job.live.iter_mut().filter(|(n, l)| **n != lost && l.stop.is_none()) {
+        for (_, live) in job.live.iter_mut().filter(|(n, l)| **n != lost_index && l.stop.is_none())
+        {
             live.stop = Some(grace);
             if let Some(machine) = self.machines.get_mut(&live.machine) {
                 machine.push = true;
--- a/crates/core/src/heartbeats/tasks.rs
+++ b/crates/core/src/heartbeats/tasks.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of the tasks that a heartbeat lists with those that are booked.
+//! Reconciliation of the tasks listed in a heartbeat with those placed on its machine.
 
 use crate::consts::LAG_WEIGHT;
 use crate::event::Secs;
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Takes an entry of a heartbeat. Tasks that are booked on the machine and run or will run
+    /// Applies one entry of a heartbeat. Tasks that are placed on the machine and run or will run
     /// there are added to `listed`.
     pub(super) fn apply_task(
         &mut self,
@@ -26,7 +26,7 @@
         let exit = exit_reason(entry);
         let job = self.jobs.get(&task.job).filter(|job| task.index < job.spec().tasks);
         let Some(job) = job else {
-            // Over and closed, or never ours.
+            // The job is over and closed, or was never known to this cell.
             if let Some(why) = exit {
                 m.exited.insert(key, why);
             } else {
@@ -34,25 +34,25 @@
             }
             return;
         };
-        let is_booked = |live: &Live| live.machine == *id && live.attempt == entry.attempt;
-        let booked = job.live.get(&task.index).is_some_and(is_booked);
+        let is_placed = |live: &Live| live.machine == *id && live.attempt == entry.attempt;
+        let placed = job.live.get(&task.index).is_some_and(is_placed);
         if let Some(why) = exit {
-            if booked {
+            if placed {
                 m.reached = Some(now);
             }
             m.exited.insert(key, why);
-            self.task_ended(now, id, &task, why, booked);
-        } else if booked {
+            self.task_ended(now, id, &task, why, placed);
+        } else if placed {
             self.confirm_attempt(now, id, &task, entry.state);
             listed.insert(task);
         } else if !self.is_newer_attempt(&task, entry.attempt) {
-            self.note_stranger(id, task, entry.attempt);
+            self.note_unneeded_attempt(id, task, entry.attempt);
         } else if self.adopt_attempt(now, id, &task, entry).is_some() {
             listed.insert(task);
         }
     }
 
-    /// The worker lists a booked attempt: it got the command.
+    /// Records that the worker lists a placed attempt, so the start command arrived.
     fn confirm_attempt(&mut self, now: Secs, id: &MachineId, task: &TaskId, state: TaskState) {
         let Some(m) = self.machines.get_mut(id) else { return };
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
@@ -94,17 +94,17 @@
         job.ran_for(now - ran_from);
     }
 
-    /// Attempts are ordered: a later one was only made when the earlier was surely gone. So
-    /// of two, the smaller comes from an old heartbeat, even if this term has only just learnt
-    /// of either.
+    /// Whether an attempt is newer than the placed one. Attempts are ordered: a later one is
+    /// created only when the earlier one is certainly gone. The lower of two attempts therefore
+    /// comes from an old heartbeat, even if this leader has only just learnt of both.
     fn is_newer_attempt(&self, task: &TaskId, attempt: Attempt) -> bool {
         let Some(job) = self.jobs.get(&task.job) else { return false };
         let newer = job.live.get(&task.index).is_none_or(|live| live.attempt < attempt);
         newer && !job.finished.contains(task.index)
     }
 
-    /// An attempt that nobody needs.
-    fn note_stranger(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
+    /// Records an attempt that isn't needed, so that it gets stopped.
+    fn note_unneeded_attempt(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
         self.log.push(|| {
             format!(
                 "event=stranger task={task} attempt={} machine={id} term={}",
@@ -116,7 +116,7 @@
         }
     }
 
-    /// An attempt started under an earlier term is ours from now on.
+    /// Adopts an attempt that was started under an earlier term.
     fn adopt_attempt(
         &mut self,
         now: Secs,
@@ -145,12 +145,12 @@
     }
 }
 
-/// Why the task ended, if it did.
+/// Why the task ended; `None` if it hasn't.
 fn exit_reason(entry: &HeartbeatTask) -> Option<Why> {
     (entry.state == TaskState::Exited).then(|| entry.why.unwrap_or(Why::Other))
 }
 
-/// An attempt that an earlier leader started, as a heartbeat lists it.
+/// State of an attempt that an earlier leader started, as listed in a heartbeat.
 fn adopted(id: &MachineId, entry: &HeartbeatTask, cancelled: bool, now: Secs) -> Live {
     let running = entry.state == TaskState::Running;
     Live {
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -193,7 +193,7 @@
             self.expire_leases(now);
             self.check_recovered(now);
             self.drain_noticed(now);
-            self.check_reach(now);
+            self.probe_doubtful_machines(now);
             self.unplace(now);
             self.revoke_unconfirmed_starts(now, out);
             self.log_unconfirmed_starts(now);
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to workers, directly or in answers, whether they arrive, and leases.
+//! Commands to workers, sent directly or in heartbeat answers; probes of whether they arrive;
+//! expiry of worker leases.
 
 use crate::consts::*;
 use crate::direct_results::DirectSent;
@@ -10,22 +11,23 @@
 use marblebarrow_proto::wire::{Command, Why};
 use std::cmp::Ordering;
 
-/// A machine that waits for a direct order.
-struct WaitingOrder {
-    /// It didn't answer the last one.
+/// A machine that waits for a direct command.
+struct WaitingDirectCommand {
+    /// Whether it left the last direct command unanswered.
     unreached: bool,
-    /// Nothing is to be done there: it is only asked whether it hears us.
+    /// Whether there is no command to send, only a probe of whether the machine can be reached.
     only_probe: bool,
-    /// Since when, at the longest.
+    /// The earliest time from which it may have been waiting.
     since: Secs,
     machine: MachineId,
 }
 
-impl WaitingOrder {
-    /// Those that answered last time first: each silent one holds a thread for a second or
-    /// two. Then those with something to do, as starts wait for it; then who waited
-    /// longest. (In order of names, the last machines of a fleet with few threads were
-    /// never asked at all.)
+impl WaitingDirectCommand {
+    /// Order of sending. Machines that answered last time come first, as each unreachable one
+    /// occupies a thread for a second or two. Among these, machines with commands precede probes,
+    /// because starts wait for the commands; then the longest waiting come first. When machines
+    /// were served in the order of their names, the last ones of a fleet with few threads were
+    /// never contacted at all.
     fn compare(&self, other: &Self) -> Ordering {
         self.unreached
             .cmp(&other.unreached)
@@ -35,7 +37,8 @@
 }
 
 impl Leader {
-    /// What must end on a machine, of jobs of that kind (`None`: over and closed).
+    /// Stop commands for a machine's tasks, restricted to the jobs that `of` selects. `of` gets
+    /// `None` for a job that is over and closed.
     pub(crate) fn stops(&self, id: &MachineId, of: impl Fn(Option<&Job>) -> bool) -> Vec<Command> {
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
@@ -46,17 +49,18 @@
             grace_s,
         };
         let wanted = |task: &TaskId| of(self.jobs.get(&task.job));
-        let strangers = m.strangers.iter().filter(|(task, _)| wanted(task));
-        let strangers = strangers.map(|(task, attempt)| stop(task, *attempt, 0.0));
-        let ours = m.tasks.iter().filter(|task| wanted(task)).filter_map(|task| {
+        let unneeded = m.strangers.iter().filter(|(task, _)| wanted(task));
+        let unneeded = unneeded.map(|(task, attempt)| stop(task, *attempt, 0.0));
+        let stopping = m.tasks.iter().filter(|task| wanted(task)).filter_map(|task| {
             let live = live_attempt(&self.jobs, task)?;
             Some(stop(task, live.attempt, live.stop?))
         });
-        strangers.chain(ours).collect()
+        unneeded.chain(stopping).collect()
     }
 
-    /// The commands a machine should get now: stops, clears, then starts.
-    pub(crate) fn compose(&mut self, id: &MachineId) -> (Vec<Command>, Vec<AttemptKey>) {
+    /// The commands to send to a machine now: first stops, then removals from its list of exited
+    /// tasks, then starts. The second value lists the starts.
+    pub(crate) fn compose_commands(&mut self, id: &MachineId) -> (Vec<Command>, Vec<AttemptKey>) {
         let mut commands = self.stops(id, |_| true);
         let mut starts = Vec::new();
         let Some(m) = self.machines.get_mut(id) else {
@@ -99,7 +103,7 @@
         (commands, starts)
     }
 
-    /// Logs on what the permission rests to send commands to a machine.
+    /// Logs which knowledge the commands to a machine are based on.
     fn log_commands(&mut self, id: &MachineId, commands: usize, starts: &[AttemptKey]) {
         if commands == 0 {
             return;
@@ -114,17 +118,17 @@
         });
     }
 
-    /// Sends directly what shouldn't wait for the next heartbeat.
+    /// Sends commands directly to machines that shouldn't wait for their next heartbeat.
     pub(crate) fn push_direct(&mut self, now: Secs, out: &mut ActionSink) {
         if now < self.next_push {
             return;
         }
         self.next_push = now + PUSH_EVERY_S;
-        let most = self.facts.direct_most;
-        if self.directs.len() >= most {
+        let limit = self.facts.direct_most;
+        if self.directs.len() >= limit {
             return;
         }
-        let mut ready: Vec<WaitingOrder> = self
+        let mut ready: Vec<WaitingDirectCommand> = self
             .machines
             .iter()
             .filter(|(_, m)| {
@@ -132,18 +136,18 @@
                     && now >= m.direct_after
                     && (m.push && m.agent_epoch != 0 && m.lapsed.is_none() || m.probe_due)
             })
-            .map(|(id, m)| WaitingOrder {
+            .map(|(id, m)| WaitingDirectCommand {
                 unreached: m.unreached > 0,
                 only_probe: !m.push,
                 since: m.waiting_since(),
                 machine: id.clone(),
             })
             .collect();
-        ready.sort_by(WaitingOrder::compare);
+        ready.sort_by(WaitingDirectCommand::compare);
         let mut unreached = self.directs.values().filter(|d| d.unreached).count();
-        let most_unreached = ((most as f64 * UNREACHED_SHARE) as usize).max(1);
-        for WaitingOrder { unreached: is_unreached, machine: id, .. } in ready {
-            if self.directs.len() >= most || is_unreached && unreached >= most_unreached {
+        let unreached_limit = ((limit as f64 * UNREACHED_SHARE) as usize).max(1);
+        for WaitingDirectCommand { unreached: is_unreached, machine: id, .. } in ready {
+            if self.directs.len() >= limit || is_unreached && unreached >= unreached_limit {
                 break;
             }
             let Some((agent_epoch, probe_due)) =
@@ -151,11 +155,15 @@
             else {
                 continue;
             };
-            let (commands, starts) =
-                if agent_epoch != 0 { self.compose(&id) } else { (Vec::new(), Vec::new()) };
+            let (commands, starts) = if agent_epoch != 0 {
+                self.compose_commands(&id)
+            } else {
+                (Vec::new(), Vec::new())
+            };
             if probe_due || commands.iter().any(is_urgent) {
                 unreached += usize::from(is_unreached);
-                // An unknown epoch is refused, with the heartbeat we want.
+                // The worker refuses an unknown epoch and returns its heartbeat, which is what is
+                // needed.
                 self.send_direct(now, &id, agent_epoch.max(1), commands, starts, out);
             }
         }
@@ -200,33 +208,33 @@
         self.directs.insert(op, sent);
     }
 
-    /// Machines that are heard but haven't shown for long that they hear us are
-    /// asked directly, and so are those that missed a heartbeat.
-    pub(crate) fn check_reach(&mut self, now: Secs) {
-        let ask =
+    /// Schedules probes of machines whose heartbeats arrive but that haven't shown for long that
+    /// answers reach them, and of machines that missed a heartbeat.
+    pub(crate) fn probe_doubtful_machines(&mut self, now: Secs) {
+        let probe_after =
             (self.facts.heartbeat_interval_s * REACH_HEARTBEATS + WORKER_GIVES_UP_S) * PROBE_SHARE;
-        let quiet = self.facts.heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
+        let quiet_limit = self.facts.heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
         for m in self.machines.values_mut() {
             let Some(since) = m.heard.map(|h| now - h) else { continue };
             let heard = since < self.facts.heartbeat_interval_s * SILENT_HEARTBEATS;
-            let unsure = heard && m.reached.is_none_or(|at| now - at > ask);
-            let missed = since > quiet && m.unreached < QUIET_PROBES && m.lapsed.is_none();
-            if unsure || missed && !m.releasing {
+            let unconfirmed = heard && m.reached.is_none_or(|at| now - at > probe_after);
+            let missed = since > quiet_limit && m.unreached < QUIET_PROBES && m.lapsed.is_none();
+            if unconfirmed || missed && !m.releasing {
                 m.probe_due = true;
             }
         }
     }
 
-    /// Leases that surely ran out.
+    /// Handles worker leases that have certainly expired.
     pub(crate) fn expire_leases(&mut self, now: Secs) {
-        let life = self.facts.lease_s * (1.0 + DRIFT) + LEASE_MARGIN_S;
-        let lapsed: Vec<MachineId> = self
+        let lease_life = self.facts.lease_s * (1.0 + DRIFT) + LEASE_MARGIN_S;
+        let expired: Vec<MachineId> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.lapsed.is_none() && now > m.answered + life)
+            .filter(|(_, m)| m.lapsed.is_none() && now > m.answered + lease_life)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in lapsed {
+        for id in expired {
             if let Some(m) = self.machines.get_mut(&id) {
                 m.lapsed = Some(m.agent_epoch);
                 m.probe_due = false;
@@ -238,10 +246,10 @@
     }
 }
 
-/// Whether a command is worth a direct order. A worker's list of exited tasks may wait for
-/// the answer to its next heartbeat. (A machine whose next start wasn't recorded yet once got
-/// an order that cleared its list and nothing else: a third of all direct orders, and the
-/// start waited until that one was answered.)
+/// Whether a command is worth sending directly. Removals from a worker's list of exited tasks can
+/// wait for the answer to its next heartbeat. When they were sent directly to machines whose next
+/// start wasn't recorded yet, they made up a third of all direct commands, and the start had to
+/// wait for their answer.
 fn is_urgent(command: &Command) -> bool {
     !matches!(command, Command::Forget { .. })
 }
