--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,4 +1,4 @@
-//! The scheduler without input or output: events and time in, actions out.
+//! The scheduler core, free of input and output: events and time go in, actions come out.
 
 mod attempts;
 pub mod cascade;
--- a/crates/core/src/log.rs
+++ b/crates/core/src/log.rs
@@ -1,47 +1,47 @@
-//! Lines for the log: what was decided, and why.
+//! Log lines that state what was decided and why.
 //!
-//! Lines of level [`Level::Info`] are what an operator needs to see who led and what was at
-//! risk. Their number is bounded per second, whatever the size of the fleet; what exceeds the
-//! bound is counted. Lines of level [`Level::Debug`] are put together only if they are wanted.
+//! Lines of [`Level::Info`] tell an operator which controller led and what was at risk. They are
+//! rate-limited independently of the size of the fleet, and suppressed lines are counted. Lines of
+//! [`Level::Debug`] are formatted only if debug logging is enabled.
 
 use crate::consts::{INFO_LINES_BURST, INFO_LINES_PER_S};
 use crate::event::Secs;
 
-/// How much a line matters.
+/// Severity of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
     /// Always written.
     Info,
-    /// Written where every decision is wanted.
+    /// Written if debug logging is enabled.
     Debug,
 }
 
-/// A line.
+/// A log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// How much it matters.
+    /// Severity.
     pub level: Level,
-    /// `event=name key=value ...`.
+    /// The text, in the form `event=name key=value ...`.
     pub text: String,
 }
 
-/// Lines until they are taken.
+/// Buffer of log lines until they are taken.
 #[derive(Debug)]
 pub struct Log {
-    debug_wanted: bool,
+    debug_enabled: bool,
     lines: Vec<LogLine>,
-    /// Info lines that may be written now.
+    /// Number of info lines that may be written now.
     allowance: f64,
     allowance_at: Secs,
-    /// Info lines left out for the bound.
+    /// Number of info lines dropped by the rate limit.
     suppressed: u64,
 }
 
 impl Log {
-    /// A log that keeps debug lines if they are wanted.
-    pub fn new(debug_wanted: bool) -> Self {
+    /// Creates a log that keeps debug lines only if they are enabled.
+    pub fn new(debug_enabled: bool) -> Self {
         Self {
-            debug_wanted,
+            debug_enabled,
             lines: Vec::new(),
             allowance: INFO_LINES_BURST,
             allowance_at: 0.0,
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Adds a debug line.
+    /// Adds a debug line, if these are enabled.
     pub fn push(&mut self, line: impl FnOnce() -> String) {
-        if self.debug_wanted {
+        if self.debug_enabled {
             self.lines.push(LogLine { level: Level::Debug, text: line() });
         }
     }
 
-    /// Adds an info line, unless too many came lately.
+    /// Adds an info line, unless the rate limit is exceeded.
     pub fn info(&mut self, now: Secs, line: impl FnOnce() -> String) {
         let earned = (now - self.allowance_at).max(0.0) * INFO_LINES_PER_S;
         self.allowance = (self.allowance + earned).min(INFO_LINES_BURST);
@@ -69,17 +69,17 @@
         self.lines.push(LogLine { level: Level::Info, text: line() });
     }
 
-    /// How many info lines were left out so far.
+    /// Number of info lines dropped so far by the rate limit.
     pub fn suppressed(&self) -> u64 {
         self.suppressed
     }
 
-    /// Takes over the lines of another log that ends.
+    /// Appends the remaining lines of another log.
     pub fn append(&mut self, mut other: Vec<LogLine>) {
         self.lines.append(&mut other);
     }
 
-    /// The lines since the last call.
+    /// Takes the lines that have accumulated since the last call.
     pub fn take(&mut self) -> Vec<LogLine> {
         std::mem::take(&mut self.lines)
     }
