--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -1,5 +1,5 @@
-//! What a leader learns with its peers' pledges, how long it acts without, and when it
-//! gives up its office.
+//! Tests of a leader's authority: what it learns with its peers' pledges, how long it may act
+//! without them, and when it resigns.
 
 use marblebarrow_core::consts::{CANCEL_MARGIN_S, PLEDGE_CANCELS};
 use marblebarrow_core::event::*;
@@ -57,13 +57,13 @@
     put(cancel_key(&JobId::new(&format!("req-{n:06}"))), to_value(&true), version)
 }
 
-fn lead_record() -> ciborium::Value {
+fn leader_record() -> ciborium::Value {
     to_value(&LeaderRecord { node: NodeId::new("c0"), term: 1, lease: 7, boot: 0 })
 }
 
-/// The store's answers to a controller that it serves: it wins the first election.
-/// If `load`, its records are read too.
-fn serve(node: &mut Node, now: Secs, load: bool) {
+/// Answers the node's requests as a working state service would, so that it wins the first
+/// election. If `load` is set, the reads of its records are answered too.
+fn answer_store(node: &mut Node, now: Secs, load: bool) {
     for action in node.take_actions() {
         let Action::Store(op, req) = action else { continue };
         let result = match req {
@@ -80,7 +80,7 @@
     }
 }
 
-fn refuse(node: &mut Node, now: Secs) -> Vec<Action> {
+fn refuse_store(node: &mut Node, now: Secs) -> Vec<Action> {
     let actions = node.take_actions();
     for action in &actions {
         if let Action::Store(op, _) = action {
@@ -90,13 +90,13 @@
     actions
 }
 
-/// A leader that still loads, last told at that time that its copy is whole, up to
+/// A leader that is still loading. Its replica was last updated at `told_at` and is complete up to
 /// revision 5.
-fn leader(told_at: Secs) -> Node {
-    elected(told_at, false)
+fn loading_leader(told_at: Secs) -> Node {
+    elected_leader(told_at, false)
 }
 
-fn elected(told_at: Secs, load: bool) -> Node {
+fn elected_leader(told_at: Secs, load: bool) -> Node {
     elect(node(0, &[1, 2]), told_at, load)
 }
 
@@ -105,136 +105,147 @@
     let mut now = 0.0;
     while now < told_at {
         now += 0.1;
-        // Others are there.
+        // A peer is reachable.
         let news =
             PeerNews::Heartbeat { node: NodeId::new("c1"), store_ok: true, leading: Some(false) };
         node.handle(now, 0, Event::Peer(news));
         node.tick(now, 0);
-        serve(&mut node, now, load);
-        serve(&mut node, now, load);
+        answer_store(&mut node, now, load);
+        answer_store(&mut node, now, load);
         if node.authority().is_some() {
-            let events = vec![put(LEADER.into(), lead_record(), 5)];
+            let events = vec![put(LEADER.into(), leader_record(), 5)];
             node.handle(now, 0, watch(now, 5, WatchContent::Events(events)));
         }
     }
-    assert!(node.may_act(now), "leads");
+    assert!(node.may_act(now), "this controller leads");
     node
 }
 
-fn pledged(node: &mut Node, now: Secs, peer: usize, sent: Secs, answer: PledgeAnswer) {
+fn handle_pledge_answer(node: &mut Node, now: Secs, peer: usize, sent: Secs, answer: PledgeAnswer) {
     let peer = NodeId::new(&format!("c{peer}"));
     node.handle(now, 0, Event::Peer(PeerNews::Pledged { node: peer, sent, answer }));
 }
 
-fn good() -> PledgeAnswer {
+fn complete_pledge() -> PledgeAnswer {
     PledgeAnswer { granted: true, whole: true, ..PledgeAnswer::default() }
 }
 
-fn until(node: &Node) -> Secs {
-    node.authority().expect("leads").1
+fn authority_until(node: &Node) -> Secs {
+    node.authority().expect("this controller leads").1
 }
 
-/// Peers that pledge, but don't know all cancellations themselves, let the leader act
-/// just so long that leases which it renewed end in time for those it missed.
+/// Peers that pledge without knowing all cancellations let the leader act only for so long that the
+/// leases it renewed expire in time for the cancellations it doesn't know of.
 #[test]
-fn pledges_of_uninformed_peers_last_for_the_bound() {
-    let mut node = leader(10.0);
+fn pledges_of_peers_with_unknown_cancellations_are_bounded() {
+    let mut node = loading_leader(10.0);
     let last = 10.0 + CANCEL_S - LEASE_S;
     let mut now = 10.0;
-    let mut acted = now;
+    let mut acted_at = now;
     while now < 40.0 {
         now += 0.1;
         node.tick(now, 0);
-        refuse(&mut node, now);
-        pledged(&mut node, now, 1, now, good());
-        pledged(&mut node, now, 2, now, PledgeAnswer { whole: false, ..good() });
-        assert!(until(&node) < last - CANCEL_MARGIN_S + 0.1, "at {now}: {}", until(&node));
-        acted = if node.may_act(now) { now } else { acted };
+        refuse_store(&mut node, now);
+        handle_pledge_answer(&mut node, now, 1, now, complete_pledge());
+        handle_pledge_answer(
+            &mut node,
+            now,
+            2,
+            now,
+            PledgeAnswer { whole: false, ..complete_pledge() },
+        );
+        assert!(
+            authority_until(&node) < last - CANCEL_MARGIN_S + 0.1,
+            "at {now}: {}",
+            authority_until(&node)
+        );
+        acted_at = if node.may_act(now) { now } else { acted_at };
     }
-    assert!(acted > last - CANCEL_MARGIN_S - 0.3, "acted until {acted}");
-    // As soon as the other knows all, the leader goes on.
-    pledged(&mut node, now, 2, now, good());
+    assert!(acted_at > last - CANCEL_MARGIN_S - 0.3, "acted until {acted_at}");
+    // As soon as the other peer knows all cancellations, the leader may act again.
+    handle_pledge_answer(&mut node, now, 2, now, complete_pledge());
     assert!(node.may_act(now));
 }
 
-/// A late answer, or one that comes twice, counts from when it was asked for.
+/// A late or repeated answer counts from when its request was sent.
 #[test]
-fn late_and_repeated_pledges_count_from_their_asking() {
-    let mut node = leader(10.0);
+fn late_and_repeated_pledges_count_from_their_request() {
+    let mut node = loading_leader(10.0);
     let mut now = 10.0;
     while now < 20.0 {
         now += 0.1;
         node.tick(now, 0);
-        refuse(&mut node, now);
+        refuse_store(&mut node, now);
         for peer in [1, 2] {
-            pledged(&mut node, now, peer, 11.0, good());
+            handle_pledge_answer(&mut node, now, peer, 11.0, complete_pledge());
         }
-        // Its lease was renewed shortly before 10 s.
-        assert!(until(&node) <= 10.0 + 3.0, "at {now}: {}", until(&node));
+        // The lease was last renewed shortly before 10 s.
+        assert!(authority_until(&node) <= 10.0 + 3.0, "at {now}: {}", authority_until(&node));
     }
-    pledged(&mut node, now, 1, now, good());
+    handle_pledge_answer(&mut node, now, 1, now, complete_pledge());
     assert!(!node.may_act(now));
 }
 
-/// A leader that has a refusal asks, and names the revision that it knows.
-fn asked(node: &mut Node, now: &mut Secs) -> u64 {
+/// Refuses the leader's requests until it asks for pledges; returns the revision that it names as
+/// known.
+fn wait_for_pledge_request(node: &mut Node, now: &mut Secs) -> u64 {
     loop {
         *now += 0.1;
         node.tick(*now, 0);
-        for action in refuse(node, *now) {
+        for action in refuse_store(node, *now) {
             if let Action::AskPledges { revision, .. } = action {
                 return revision;
             }
         }
-        assert!(*now < 20.0, "asks");
+        assert!(*now < 20.0, "the leader asks for pledges");
     }
 }
 
-/// Many cancellations come in several answers; the pledge counts when all are in, and
-/// then the leader stops tasks of each of those jobs, even before its records are read.
+/// Many cancellations arrive in several answers. The pledge counts only when all are in; then the
+/// leader stops the tasks of all these jobs, even before it has read their records.
 #[test]
-fn a_pledge_counts_when_all_its_cancellations_are_in() {
-    let many = 2 * PLEDGE_CANCELS as u32 + 10;
-    let mut node = leader(10.0);
+fn a_pledge_counts_once_all_its_cancellations_have_arrived() {
+    let job_count = 2 * PLEDGE_CANCELS as u32 + 10;
+    let mut node = loading_leader(10.0);
     let mut now = 10.0;
-    let revision = asked(&mut node, &mut now);
+    let revision = wait_for_pledge_request(&mut node, &mut now);
     assert_eq!(revision, 5);
-    // The peer knows the leader, and what was cancelled before and after it last heard.
+    // The peer knows the leader, and cancellations from before and after the leader's last update.
     let mut peer = self::node(1, &[0, 2]);
-    let mut items = vec![put(LEADER.into(), lead_record(), 5), cancel(999_999, 4)];
-    items.extend((0..many).map(|n| cancel(n, 100 + u64::from(n))));
+    let mut items = vec![put(LEADER.into(), leader_record(), 5), cancel(999_999, 4)];
+    items.extend((0..job_count).map(|n| cancel(n, 100 + u64::from(n))));
     peer.handle(now, 0, watch(now, 0, WatchContent::Reset(Vec::new())));
     peer.handle(now, 0, watch(now, 5_000, WatchContent::Events(items)));
     peer.tick(now, 0);
     let mut at = now;
     while at < now + 3.0 {
         at += 0.1;
-        refuse(&mut peer, at);
+        refuse_store(&mut peer, at);
         peer.tick(at, 0);
     }
-    // Long after its lease: what it may do hangs on the pledges alone.
+    // Long after the lease: authority depends on the pledges alone.
     now = 15.0;
     node.tick(now, 0);
-    refuse(&mut node, now);
-    pledged(&mut node, now, 2, now, good());
+    refuse_store(&mut node, now);
+    handle_pledge_answer(&mut node, now, 2, now, complete_pledge());
     let mut after: Option<JobId> = None;
     let mut answers = 0;
     loop {
-        assert!(!node.may_act(now), "before the last answer");
+        assert!(!node.may_act(now), "acts before the last answer");
         let (reply, from) = (ReplyTo(1), NodeId::new("c0"));
         let news = PeerNews::PledgeAsked { reply, from, term: 1, revision, after: after.clone() };
         peer.handle(at, 0, Event::Peer(news));
-        let told = peer.take_actions().into_iter().find_map(|a| match a {
+        let reply = peer.take_actions().into_iter().find_map(|a| match a {
             Action::PledgeReply(_, answer) => Some(answer),
             _ => None,
         });
-        let answer = told.expect("answers");
+        let answer = reply.expect("the peer answers");
         assert!(answer.granted && answer.whole && answer.cancelled.len() <= PLEDGE_CANCELS);
         assert!(answer.cancelled.iter().all(|(_, at)| *at > revision));
         answers += 1;
         after = answer.cancelled.last().map(|(id, _)| id.clone());
         let more = answer.more;
-        pledged(&mut node, now, 1, now, answer);
+        handle_pledge_answer(&mut node, now, 1, now, answer);
         if !more {
             break;
         }
@@ -247,19 +258,19 @@
         state: TaskState::Running,
         why: None,
     };
-    let heartbeat = heartbeat(1, 1, vec![task(0), task(many - 1), task(many)]);
+    let heartbeat = heartbeat(1, 1, vec![task(0), task(job_count - 1), task(job_count)]);
     node.take_actions();
     node.handle(now, 0, Event::Heartbeat(ReplyTo(9), Box::new(heartbeat)));
-    let told = node.take_actions().into_iter().find_map(|a| match a {
+    let reply = node.take_actions().into_iter().find_map(|a| match a {
         Action::Reply(_, Answer::Heartbeat(answer)) => Some(answer.commands),
         _ => None,
     });
-    let commands = told.expect("renews the lease");
+    let commands = reply.expect("the heartbeat is answered");
     let stopped = |n: u32| {
         let task = format!("req-{n:06}/0");
         commands.iter().any(|c| matches!(c, Command::Stop { task: t, .. } if *t == task))
     };
-    assert!(stopped(0) && stopped(many - 1) && !stopped(many), "{commands:?}");
+    assert!(stopped(0) && stopped(job_count - 1) && !stopped(job_count), "{commands:?}");
 }
 
 fn heartbeat(machine: u32, seq: u64, tasks: Vec<HeartbeatTask>) -> Heartbeat {
@@ -277,13 +288,14 @@
     }
 }
 
-/// A leader that had no processor for seconds has heard nobody meanwhile: that says
-/// nothing of its workers, and it keeps its office. Only when it hears nobody though
-/// it had the processor all the time does it give it up. (On a small processor leaders
-/// once resigned one after the other, each overloaded by taking over.)
+/// Guards against a leader that takes its own lack of processor time for a partition. A process
+/// that got no processor for seconds has heard from no worker, which doesn't show that the workers
+/// are unreachable, so it must not resign. It must resign only if it hears nothing while it is
+/// scheduled without delay. Without the distinction, leaders on a small processor resigned one
+/// after the other, each overloaded by its takeover.
 #[test]
-fn a_leader_short_of_processor_time_is_not_deaf() {
-    let mut node = elected(10.0, true);
+fn a_leader_short_of_processor_time_does_not_resign() {
+    let mut node = elected_leader(10.0, true);
     let mut now = 10.0;
     for machine in 1..=5 {
         let heartbeat = Box::new(heartbeat(machine, 1, Vec::new()));
@@ -291,38 +303,38 @@
     }
     let step = |node: &mut Node, now: Secs| {
         node.tick(now, 0);
-        serve(node, now, true);
+        answer_store(node, now, true);
         let news = WatchContent::Events(Vec::new());
         node.handle(now, 0, watch(now, 5, news));
         node.authority().is_some()
     };
-    // No more reports; steps come late, again and again, for 4 s.
+    // No more heartbeats arrive, and steps run late again and again for 4 s.
     for _ in 0..5 {
         now += 0.8;
-        assert!(step(&mut node, now), "resigns at {now}, short of processor time");
+        assert!(step(&mut node, now), "resigned at {now} although it was short of processor time");
     }
     let prompt_from = now;
     while step(&mut node, now) {
         now += 0.05;
-        assert!(now < prompt_from + 5.0, "hears nobody, and keeps its office");
+        assert!(now < prompt_from + 5.0, "did not resign although it heard no worker");
     }
-    assert!(now > prompt_from + 1.0, "resigns after {}", now - prompt_from);
+    assert!(now > prompt_from + 1.0, "resigned after {}", now - prompt_from);
 }
 
-/// How a watch ends.
+/// How a watch request ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WatchEnd {
-    /// Without news, when its time is over.
-    Quiet,
-    /// Without news, so long before its time is over.
+    /// Without news, at the end of its block time.
+    TimedOut,
+    /// Without news, after this share of its block time.
     Early(f64),
-    /// Its answer never comes.
+    /// Its answer never arrives.
     Lost,
 }
 
 fn watch_end() -> impl Strategy<Value = WatchEnd> {
     prop_oneof![
-        6 => Just(WatchEnd::Quiet),
+        6 => Just(WatchEnd::TimedOut),
         1 => (0.0..0.5f64).prop_map(WatchEnd::Early),
         1 => Just(WatchEnd::Lost),
     ]
@@ -331,12 +343,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(20), ..ProptestConfig::default() })]
 
-    /// A store on which nothing changes for minutes costs no leader its office, whatever
-    /// the time for cancellations, though the store answers slowly and now and then a watch
-    /// is lost (not twice in a row). Leaders once resigned after 3 s of quiet where
-    /// cancellations have 12 s, one after the other, and no job's end was ever told.
+    /// A leader must not resign because nothing changes in the state service for minutes, whatever
+    /// the time limit for cancellations is, even if the state service answers slowly and single
+    /// watch requests are lost (never two in a row). With a limit of 12 s, leaders used to resign
+    /// after 3 s without changes, one after the other, and the end of no job was ever reported.
     #[test]
-    fn a_quiet_store_costs_no_leader_its_office(
+    fn no_leader_resigns_because_the_store_has_no_changes(
         lease_s in 1.0..30.0f64,
         cancel_s in 1.0..90.0f64,
         ends in proptest::collection::vec(watch_end(), 64),
@@ -361,7 +373,7 @@
             while now < sent + wait {
                 now += 0.05;
                 node.tick(now, 0);
-                serve(&mut node, now, true);
+                answer_store(&mut node, now, true);
                 prop_assert!(node.may_act(now), "at {now}, watch sent at {sent}: {end:?}");
             }
             if answered {
--- a/crates/core/tests/log.rs
+++ b/crates/core/tests/log.rs
@@ -1,4 +1,4 @@
-//! What an operator sees at the `info` level.
+//! Tests of the log lines that an operator sees at the `info` level.
 
 use marblebarrow_core::consts::{INFO_LINES_BURST, INFO_LINES_PER_S};
 use marblebarrow_core::log::{Level, Log};
@@ -8,8 +8,8 @@
     world.info.iter().filter(|line| line.contains(event)).count()
 }
 
-/// Whatever happens at once, and for however long, lines stay within their bound, and those
-/// left out are counted.
+/// The number of lines stays within the rate limit however many events occur, and suppressed lines
+/// are counted.
 #[test]
 fn info_lines_are_bounded_per_second() {
     let mut log = Log::new(false);
@@ -18,23 +18,23 @@
         log.info(f64::from(line) / f64::from(lines_per_s), || "event=example".into());
     }
     let written = log.take();
-    let most = INFO_LINES_BURST + INFO_LINES_PER_S * f64::from(seconds);
-    assert!(written.len() as f64 <= most, "{} lines", written.len());
+    let limit = INFO_LINES_BURST + INFO_LINES_PER_S * f64::from(seconds);
+    assert!(written.len() as f64 <= limit, "{} lines", written.len());
     assert!(written.iter().all(|line| line.level == Level::Info));
     assert_eq!(log.suppressed(), (seconds * lines_per_s) as u64 - written.len() as u64);
 }
 
-/// Debug lines that nobody wants are not even put together.
+/// Debug lines aren't even formatted unless they are enabled.
 #[test]
-fn unwanted_debug_lines_are_not_made() {
+fn disabled_debug_lines_are_not_formatted() {
     let mut log = Log::new(false);
-    log.push(|| unreachable!("nobody wants it"));
+    log.push(|| unreachable!("debug lines are disabled"));
     assert!(log.take().is_empty());
 }
 
-/// Every change of leadership is told with its term and reason.
+/// Every change of leadership is logged with its term and reason.
 #[test]
-fn changes_of_leadership_are_told() {
+fn changes_of_leadership_are_logged() {
     let refused = Trouble::AtLeader(Box::new(Trouble::StoreRefuses(0, 60)));
     let mut world = World::new(3, vec![(200, refused)]);
     world.run(1_600);
@@ -45,9 +45,9 @@
     assert!(count_of(&world, "event=leader node=") >= 4, "{:?}", world.info);
 }
 
-/// A start that went unanswered is told, with task, machine and epoch.
+/// An unanswered start command is logged with its task, machine and epoch.
 #[test]
-fn unconfirmed_starts_are_told() {
+fn unconfirmed_starts_are_logged() {
     let mut world = World::new(4, vec![(150, Trouble::MachineDeaf(0, 60))]);
     world.run(1_600);
     assert_eq!(world.broken, Vec::<String>::new());
--- a/crates/core/tests/stuck_watch.rs
+++ b/crates/core/tests/stuck_watch.rs
@@ -1,10 +1,11 @@
-//! Polls at a controller whose watch brings nothing while the store serves it otherwise.
+//! Polls at a controller whose watch delivers nothing while the state service answers its other
+//! requests.
 //!
-//! What happened: after a cascade cancelled jobs, such a controller answered 503 to polls of
-//! every job that wasn't over, whether the cascade had touched it or not, for as long as the
-//! watch was stuck: 75 s and longer, by which a job counts as forgotten. Why: its answers are
-//! proven by the cascade generation that its copy shows, and only the watch brought a newer
-//! one. What showed it: the first test below, where every answer in 90 s was `Unavailable`.
+//! The fault: after a cascade had cancelled jobs, such a controller answered 503 to polls of every
+//! unfinished job, whether the cascade concerned it or not, for as long as the watch was stuck.
+//! That took 75 s and longer, after which a job counts as forgotten. The cause: its answers are
+//! validated against the cascade generation in its replica, and only the watch updated that. The
+//! first test below reproduced it: every answer in 90 s was `Unavailable`.
 
 mod support;
 
@@ -21,18 +22,19 @@
 use std::collections::BTreeMap;
 use support::{facts, job, spec};
 
-/// Users wait so long for the answer to a poll (protocol page), seconds.
+/// How long users wait for the answer to a poll (protocol page), seconds.
 const USER_WAITS_S: f64 = 2.0;
-/// Users ask about every so many seconds (protocol page).
+/// Time between two polls of a user (protocol page), seconds.
 const POLL_EVERY_S: f64 = 5.0;
-/// A job unanswered for so long, seconds, is forgotten.
+/// Time after which an unanswered job counts as forgotten, seconds.
 const FORGOTTEN_S: f64 = 75.0;
 const STEP_S: f64 = 0.1;
-/// Keys in a page of the stand-in store: less than it holds lists.
+/// Keys per page of the simulated state service: fewer than the number of lists.
 const PAGE: usize = 2;
 
-/// A store with versions, and one controller's user API with an old copy of it.
-struct Scene {
+/// A simulated state service with versions, and the user API of one controller with an outdated
+/// replica.
+struct Fixture {
     kv: BTreeMap<String, Item>,
     revision: u64,
     replica: Replica,
@@ -40,8 +42,8 @@
     facts: Facts,
     now: f64,
     reads: usize,
-    /// Called when the lists are read, before each page.
-    between_pages: Option<fn(&mut BTreeMap<String, Item>)>,
+    /// Called before each page of a range read.
+    before_page: Option<fn(&mut BTreeMap<String, Item>)>,
 }
 
 fn array(number: u32) -> JobSpec {
@@ -52,17 +54,17 @@
     kv.insert(key.clone(), Item { key, value, version });
 }
 
-/// A cascade cancels these jobs.
+/// Records a cascade that cancels these jobs.
 fn cancel(kv: &mut BTreeMap<String, Item>, list: u32, jobs: &[u32], version: u64) {
     let record = CascadeRecord { jobs: jobs.iter().copied().map(job).collect() };
     put(kv, cascade_key(3, list), to_value(&record), version);
     put(kv, CASCADE_GENERATION.into(), to_value(&true), version);
 }
 
-impl Scene {
-    /// Jobs 1 to 9 are accepted, as the copy shows. Then its watch is stuck, and a cascade
+impl Fixture {
+    /// Jobs 1 to 9 are accepted and in the replica. Then the watch gets stuck, and a cascade
     /// cancels jobs 1 to 6, in three lists.
-    fn stuck() -> Self {
+    fn with_stuck_watch() -> Self {
         let mut kv = BTreeMap::new();
         for number in 1..=9 {
             let record = to_value(&SpecRecord::submitted(array(number), 0));
@@ -82,37 +84,38 @@
             facts: facts(),
             now: 1.0,
             reads: 0,
-            between_pages: None,
+            before_page: None,
         }
     }
 
-    /// What a user is told; `None`: nothing in the time that users wait.
+    /// Sends a request and returns the answer, or `None` if none arrives in the time that users
+    /// wait.
     fn ask(&mut self, request: UserRequest) -> Option<Answer> {
         let mut out = ActionSink::default();
-        let mut told = None;
+        let mut reply = None;
         let until = self.now + USER_WAITS_S;
         let mut request = Some(request);
-        while told.is_none() && self.now < until {
+        while reply.is_none() && self.now < until {
             let api = &mut self.api;
-            let here = context(&self.facts, &self.replica, self.now);
+            let request_context = context(&self.facts, &self.replica, self.now);
             match request.take() {
-                Some(request) => api.ask(&here, ReplyTo(1), request, &mut out),
-                None => api.tick(&here, &mut out),
+                Some(request) => api.ask(&request_context, ReplyTo(1), request, &mut out),
+                None => api.tick(&request_context, &mut out),
             }
             self.now += STEP_S;
             while let Some(action) = out.actions.pop() {
                 match action {
-                    Action::Reply(_, answer) => told = Some(answer),
+                    Action::Reply(_, answer) => reply = Some(answer),
                     Action::Store(op, request) => {
                         let result = self.store(&request);
-                        let here = context(&self.facts, &self.replica, self.now);
-                        self.api.store(&here, op, &result, &mut out);
+                        let request_context = context(&self.facts, &self.replica, self.now);
+                        self.api.store(&request_context, op, &result, &mut out);
                     }
                     other => panic!("{other:?}"),
                 }
             }
         }
-        told
+        reply
     }
 
     fn poll(&mut self, number: u32) -> Option<Stage> {
@@ -126,7 +129,7 @@
         match request {
             StoreRequest::Get(key) => StoreResult::Value(self.kv.get(key).cloned()),
             StoreRequest::Range { prefix, after } => {
-                if let Some(change) = self.between_pages {
+                if let Some(change) = self.before_page {
                     change(&mut self.kv);
                 }
                 self.reads += 1;
@@ -169,61 +172,61 @@
     }
 }
 
-/// Users ask again and again for as long as it takes to be forgotten, and longer: jobs that the
-/// cascade cancelled are told as aborted, the others as they are.
+/// Users poll repeatedly for longer than it takes for a job to count as forgotten. Jobs that the
+/// cascade cancelled must be reported as cancelled, the others with their actual stage.
 #[test]
-fn polls_are_answered_though_the_watch_is_stuck() {
-    let mut scene = Scene::stuck();
+fn polls_are_answered_while_the_watch_is_stuck() {
+    let mut fixture = Fixture::with_stuck_watch();
     let mut answered = 0;
-    while scene.now < FORGOTTEN_S + 3.0 * POLL_EVERY_S {
+    while fixture.now < FORGOTTEN_S + 3.0 * POLL_EVERY_S {
         for number in 1..=9 {
-            let stage = scene.poll(number);
-            let right = if number <= 6 { Stage::Cancelled } else { Stage::Queued };
-            assert!(stage.is_none() || stage == Some(right), "{number}: {stage:?}");
+            let stage = fixture.poll(number);
+            let expected = if number <= 6 { Stage::Cancelled } else { Stage::Queued };
+            assert!(stage.is_none() || stage == Some(expected), "{number}: {stage:?}");
             answered += u32::from(stage.is_some());
         }
-        scene.now += POLL_EVERY_S;
+        fixture.now += POLL_EVERY_S;
     }
-    assert!(answered > 0, "no poll was answered in {:.0} s", scene.now);
+    assert!(answered > 0, "no poll was answered in {:.0} s", fixture.now);
     for number in 1..=9 {
-        assert!(scene.poll(number).is_some(), "{number} is unanswered at the end");
+        assert!(fixture.poll(number).is_some(), "{number} is unanswered at the end");
     }
 }
 
-/// The lists are read once for each cascade, not for each poll.
+/// The lists are read once per cascade, not once per poll.
 #[test]
-fn the_lists_are_read_once() {
-    let mut scene = Scene::stuck();
+fn cascade_lists_are_read_once_per_cascade() {
+    let mut fixture = Fixture::with_stuck_watch();
     for _ in 0..3 {
         (1..=9).for_each(|number| {
-            scene.poll(number);
+            fixture.poll(number);
         });
     }
-    assert_eq!(scene.reads, 2, "pages of one read");
-    cancel(&mut scene.kv, 3, &[7], 13);
-    assert_eq!(scene.poll(7), Some(Stage::Cancelled));
-    assert_eq!(scene.poll(8), Some(Stage::Queued));
-    assert_eq!(scene.reads, 5);
+    assert_eq!(fixture.reads, 2, "pages of one read");
+    cancel(&mut fixture.kv, 3, &[7], 13);
+    assert_eq!(fixture.poll(7), Some(Stage::Cancelled));
+    assert_eq!(fixture.poll(8), Some(Stage::Queued));
+    assert_eq!(fixture.reads, 5);
 }
 
-/// A list is added or removed between the pages: nobody is told something older.
+/// If a list is added or removed between two pages of a read, no poll may get an outdated answer.
 #[test]
-fn lists_that_change_while_they_are_read_mislead_nobody() {
-    let mut scene = Scene::stuck();
-    scene.between_pages = Some(|kv| {
-        // Added behind the page that is read next, with a new generation.
+fn lists_that_change_during_a_read_give_no_outdated_answer() {
+    let mut fixture = Fixture::with_stuck_watch();
+    fixture.before_page = Some(|kv| {
+        // Added at a key before the page that is read next, with a new generation.
         let version = kv.values().map(|item| item.version).max().unwrap_or(0) + 1;
         if version < 15 {
             cancel(kv, 0, &[1, 2, 7], version);
         }
     });
-    let stage = scene.poll(7);
+    let stage = fixture.poll(7);
     assert!(stage.is_none() || stage == Some(Stage::Cancelled), "{stage:?}");
-    assert_eq!(scene.poll(7).or_else(|| scene.poll(7)), Some(Stage::Cancelled));
+    assert_eq!(fixture.poll(7).or_else(|| fixture.poll(7)), Some(Stage::Cancelled));
 
-    let mut scene = Scene::stuck();
-    scene.between_pages = Some(|kv| {
-        // Its jobs got their final states, and the list is removed.
+    let mut fixture = Fixture::with_stuck_watch();
+    fixture.before_page = Some(|kv| {
+        // The jobs of the list reached their terminal states, and the list was removed.
         for number in [5, 6] {
             let end = to_value(&EndRecord { cancelled: true, tasks: 1 });
             put(kv, end_key(&job(number)), end, 14);
@@ -231,6 +234,6 @@
         }
         kv.remove(&cascade_key(3, 2));
     });
-    assert_eq!(scene.poll(5).or_else(|| scene.poll(5)), Some(Stage::Cancelled));
-    assert_eq!(scene.poll(9).or_else(|| scene.poll(9)), Some(Stage::Queued));
+    assert_eq!(fixture.poll(5).or_else(|| fixture.poll(5)), Some(Stage::Cancelled));
+    assert_eq!(fixture.poll(9).or_else(|| fixture.poll(9)), Some(Stage::Queued));
 }
