--- a/crates/core/src/consts/election.rs
+++ b/crates/core/src/consts/election.rs
@@ -1,114 +1,120 @@
-//! Elections, the lease of the leader key, pledges and transfers.
+//! Timing of elections, the lease of the leader key, pledges and leadership transfers.
 
-/// Lease of the leader key, milliseconds: short, so that a dead leader is
-/// replaced soon; long enough for a slow answer of the state service (a few
-/// hundred ms) and a processor stall.
+/// Lease of the leader key, in milliseconds. Short, so that a failed leader is replaced soon; long
+/// enough for a slow answer of the state service (a few hundred ms) and a processor stall.
 pub const LEADER_LEASE_MS: u64 = 3_000;
-/// The same in seconds.
+/// [`LEADER_LEASE_MS`] in seconds.
 pub const LEADER_LEASE_S: f64 = LEADER_LEASE_MS as f64 / 1e3;
-/// Seconds between renewals: five tries within a lease.
+/// Interval between renewals of the leader lease, in seconds: five attempts within a lease.
 pub const KEEP_ALIVE_EVERY_S: f64 = 0.6;
-/// Renewals without an answer that may be under way at once, as many as the threads that make
-/// them: one lost answer holds up no other, and there are four tries within a lease.
+/// Maximum number of concurrent lease renewals, equal to the number of threads that send them. One
+/// lost answer then doesn't delay the next renewal, and four attempts remain within a lease.
 pub const RENEWALS_UNANSWERED_MAX: usize = 2;
-/// Taken off a lease's certain life, seconds: owner-queue delay between the
-/// authority check and the bytes leaving.
+/// Safety margin subtracted from the guaranteed remaining time of the leader lease, in seconds. It
+/// covers the queueing delay in the owner thread between the authority check and the moment the
+/// bytes leave the process.
 pub const LEADER_LEASE_MARGIN_S: f64 = 0.25;
-/// Clock drift allowed for, as a fraction: the protocol's 0.05% between two
-/// clocks, doubled.
+/// Clock drift allowed for, as a fraction: twice the protocol's bound of 0.05% between two clocks.
 pub const DRIFT: f64 = 0.001;
-/// A leader that no worker reports to for this many heartbeat intervals, while
-/// several did before, is cut off from them and resigns.
+/// Number of heartbeat intervals without any worker heartbeat after which a leader, if several
+/// workers reported to it before, considers itself partitioned from them and resigns.
 pub const WORKERS_SILENT_HEARTBEATS: f64 = 1.3;
-/// Added to that, seconds.
+/// Added to [`WORKERS_SILENT_HEARTBEATS`] intervals, in seconds.
 pub const WORKERS_SILENT_MARGIN_S: f64 = 0.6;
-/// A step that comes so much later than it should, seconds, says that this process had
-/// no processor: what it hasn't heard meanwhile says nothing of the others.
+/// A step that runs this many seconds late shows that the process had no processor time; heartbeats
+/// missed in that time say nothing about the other processes.
 pub const LATE_STEP_S: f64 = 0.25;
-/// Workers that must have been heard for their common silence to say that.
+/// Minimum number of workers that must have been heard from before the absence of all heartbeats
+/// counts as a partition of the leader.
 pub const WORKERS_SILENT_LEAST: usize = 3;
-/// After resigning a controller doesn't stand for this long,
-/// seconds, so that another can.
+/// How long a controller doesn't stand for election after it resigned, in seconds, so that another
+/// one can win.
 pub const RESIGNED_S: f64 = 8.0;
-/// A controller that hears no other stands this much later, seconds: if the
-/// others live, it is the one that is cut off, and they stand within less. No longer
-/// than that: where one was down and the leader stood still, the third waited 4 s,
-/// and hundreds of workers that asked it in between went on to the one that was down
-/// and outlived their leases.
+/// Extra delay before a controller that hears from no other controller stands for election, in
+/// seconds. If the others are alive, this controller is the partitioned one, and they stand within
+/// less than this. It must not be longer: with one controller down and the leader stalled, the
+/// third waited 4 s; hundreds of workers that contacted it meanwhile moved on to the controller
+/// that was down, and their leases expired.
 pub const ALONE_S: f64 = 1.0;
-/// How long a pledge not to stand lasts, seconds. A fresh process waits this
-/// long before standing, so it must stay short.
+/// Duration of a pledge not to stand for election, in seconds. A restarted process waits this long
+/// before it stands, so the value must stay short.
 pub const PLEDGE_S: f64 = 1.6;
-/// Cancellations that one answer to a request for a pledge names: some 20 bytes
-/// each, so that a message fits a frame.
+/// Maximum number of cancellations in one answer to a pledge request: some 20 bytes each, so that a
+/// message fits a frame.
 pub const PLEDGE_CANCELS: usize = 500;
-/// Cancellations confirmed to users that a controller keeps until its copy of the
-/// store shows them: minutes of them at the store's highest rate, in half a MB.
+/// Maximum number of cancellations confirmed to users that a controller keeps until its replica of
+/// the store shows them: minutes' worth at the store's highest rate, in half a MB.
 pub const CONFIRMED_CANCELLATIONS_MAX: usize = 4_096;
-/// Taken off the time that cancelled tasks may take, when reckoning how long a
-/// leader may keep leases without news of cancellations, seconds: the answer's way,
-/// and a worker's look at its lease.
+/// Safety margin subtracted from the time in which cancelled tasks must stop, when computing how
+/// long a leader may renew leases without news of cancellations, in seconds. It covers the transit
+/// time of the answer and the worker's interval between lease checks.
 pub const CANCEL_MARGIN_S: f64 = 1.0;
-/// While the store serves a leader, its copy may lag so much, seconds, however little
-/// time cancelled tasks have: a watch's blocking, its slack and a retry.
+/// Lower bound for the permitted lag of a leader's replica while the store serves the leader, in
+/// seconds, however short the time for cancelled tasks is: the blocking time of a watch, its slack
+/// and a retry.
 pub const WATCH_LAG_S: f64 = 4.5;
-/// A leader that the store serves, but tells nothing new, resigns this share of the
-/// time before its leases would have to run out: room for an election, ...
+/// A leader that the store serves but whose replica gets no updates resigns before the worker
+/// leases would have to run out. This is the lead time, as a share of the permitted replica age; it
+/// leaves room for an election. [`STALE_MOST_S`] caps it.
 pub const STALE_SHARE: f64 = 0.4;
-/// ... and no earlier than this before, seconds.
+/// Upper bound of the lead time given by [`STALE_SHARE`], in seconds.
 pub const STALE_MOST_S: f64 = 6.0;
-/// Share of the age at which a leader with an old copy resigns that a watch may block, and
-/// that its answer may be late after that: the copy may get as old as two blocking times
-/// on a quiet store, and as two, a lost answer's wait and a retry when one is lost.
+/// Share of the replica age at which a leader resigns that a watch may block; its answer may be
+/// late by the same share after that. The replica gets as old as two blocking times on a quiet
+/// store, and as two blocking times, the wait for a lost answer and a retry when one answer is
+/// lost.
 pub const WATCH_TIMING_SHARE: f64 = 0.2;
-/// Longest that a watch blocks, seconds: so short that one held by a cut is soon given up.
+/// Maximum blocking time of a watch, in seconds: short, so that a watch stuck behind a partition is
+/// soon given up.
 pub const WATCH_BLOCK_MOST_S: f64 = 2.5;
-/// Longest wait for the answer of a watch beyond its blocking, seconds.
+/// Maximum wait for the answer of a watch beyond its blocking time, in seconds.
 pub const WATCH_SLACK_MOST_S: f64 = 1.5;
-/// How often the leader asks for pledges while the store refuses it, seconds.
+/// Interval at which the leader asks for pledges while the store refuses its requests, in seconds.
 pub const PLEDGE_EVERY_S: f64 = 0.35;
-/// Most that followers wait apart before standing, seconds, so that they
-/// seldom collide.
+/// Upper bound of the random delay before a follower stands for election, in seconds, so that
+/// candidates seldom collide.
 pub const STAND_SPREAD_S: f64 = 0.15;
-/// Workers that get no answer try the controllers in turn. One whose next in turn
-/// is silent stands this much later, seconds: should it stand still in its turn,
-/// workers would spend two timeouts on their way to the third, more than the
-/// shortest leases last.
+/// Extra delay before a controller stands for election while the controller that workers try after
+/// it is unreachable, in seconds. Workers without an answer try the controllers in turn. If this
+/// controller won and then stalled, workers would spend two timeouts before they reach the third
+/// controller, more than the shortest leases last.
 pub const NEXT_SILENT_S: f64 = 0.5;
-/// Share of its interval by which a worker's heartbeat may come later than it (protocol page).
+/// Share of its interval by which a worker's heartbeat may be late (protocol page).
 pub const HEARTBEAT_JITTER: f64 = 0.25;
-/// Time for the way to a controller and back that a worker's lease must still last when it has
-/// found one, seconds.
+/// Time that must remain on a worker's lease when the worker finds the leader, in seconds; it
+/// covers the round trip to the controller.
 pub const PLACEMENT_MARGIN_S: f64 = 0.5;
-/// A leader hands over because a controller is silent only once it was for so long, seconds:
-/// a restart or a short cut is over by then, and a takeover costs users a second of starts.
+/// How long a controller must be unreachable before the leader hands over because of it, in
+/// seconds. A restart or a short partition is over by then, and a takeover costs users a second of
+/// starts.
 pub const TRANSFER_SILENT_S: f64 = 10.0;
-/// A leader hands over no sooner after its election, seconds: its takeover comes first.
+/// Minimum time between a leader's election and a transfer of leadership, in seconds: its own
+/// takeover has to finish first.
 pub const TRANSFER_AFTER_S: f64 = 3.0;
-/// Least time between two transfers of leadership by the same process, seconds: whatever
-/// flaps, each controller causes one such change a minute at most.
+/// Minimum time between two leadership transfers by the same process, in seconds. Whatever flaps,
+/// each controller causes at most one such change a minute.
 pub const TRANSFER_EVERY_S: f64 = 60.0;
-/// After handing over a controller doesn't stand for this long, seconds: enough for the other
-/// to win, and little if that one has just failed.
+/// How long a controller doesn't stand for election after it handed over, in seconds: enough for
+/// the other controller to win, and little lost if that one has just failed.
 pub const TRANSFER_GRACE_S: f64 = 2.0;
-/// Longest wait of a heartbeat for the outcome of an election, seconds: workers wait 4 s for
-/// an answer, of which its way takes a part.
+/// Maximum time a worker heartbeat is held while an election is in progress, in seconds. Workers
+/// wait 4 s for an answer, and its transit takes a part of that.
 pub const HEARTBEAT_WAIT_S: f64 = 3.0;
-/// Heartbeats that may wait so: half as many again as the largest fleet has machines. Each is a
-/// few hundred bytes.
+/// Maximum number of heartbeats held during an election: 1.5 times the number of machines in the
+/// largest fleet. Each takes a few hundred bytes.
 pub const HEARTBEATS_WAITING_MAX: usize = 6_000;
-/// Heartbeats that waited and are answered in one step at most, so that what is due comes in
-/// between.
+/// Maximum number of held heartbeats answered in one step, so that other due work runs in between.
 pub const WAITING_HEARTBEATS_PER_STEP: usize = 128;
-/// A request of an election that has no answer after so long is sent once more, seconds: the
-/// state service takes a few hundred ms now and then, while workers' leases wait for a leader.
+/// An election request without an answer is sent once more after this time, in seconds. The state
+/// service occasionally takes a few hundred ms, while workers' leases run down without a leader.
 pub const ELECTION_RESEND_S: f64 = 0.5;
-/// Wait after a failed attempt to stand, seconds.
+/// Delay after a failed attempt to stand for election, in seconds.
 pub const STAND_RETRY_S: f64 = 0.4;
 
-/// Least time between two raises of the fencing token while a cancelled job's start is
-/// unconfirmed, seconds: one change of the store each, and all machines with unconfirmed starts by
-/// then share it.
+/// Minimum time between two raises of the fencing token while a cancelled job's start is
+/// unconfirmed, in seconds. Each raise costs one change of the store and serves all machines that
+/// have unconfirmed starts by then.
 pub const RAISE_CANCELLED_EVERY_S: f64 = 1.0;
-/// The same where only booked room, or an entry that can't be cleared, waits for it, seconds.
+/// Minimum time between two raises of the fencing token when only reserved capacity, or a task
+/// entry that can't be cleared, waits for it, in seconds.
 pub const RAISE_EVERY_S: f64 = 3.0;
--- a/crates/core/src/consts/fleet.rs
+++ b/crates/core/src/consts/fleet.rs
@@ -1,146 +1,154 @@
-//! The fleet: renting and returning machines.
+//! Limits and timing for renting and returning machines.
 
-/// How often the machine list is read, seconds; slower than the cloud's lag
-/// would need, quicker than boots end.
+/// Interval between reads of the machine list, in seconds: longer than the cloud's list lag
+/// requires, shorter than a boot.
 pub const LIST_EVERY_S: f64 = 3.0;
-/// How often machine types (and spot prices) are read, seconds.
+/// Interval between reads of the machine types and spot prices, in seconds.
 pub const TYPES_EVERY_S: f64 = 60.0;
-/// How often the fleet's state is logged, seconds.
+/// Interval at which the state of the fleet is logged, in seconds.
 pub const FLEET_LOG_S: f64 = 10.0;
-/// A new leader rents nothing for so long, seconds, unless no machine is up:
-/// those that are report first.
+/// How long a new leader rents no machines, in seconds, unless no machine is up; the running
+/// machines have to report first.
 pub const RENT_AFTER_S: f64 = 4.0;
-/// How often renting and returning is thought over, seconds.
+/// Interval between evaluations of renting and returning machines, in seconds.
 pub const FLEET_EVERY_S: f64 = 0.5;
-/// An idle machine is returned after this long, seconds: about a boot and a
-/// fetch, since a machine returned costs its next renter that.
+/// An idle ordinary machine is returned after this time, in seconds: about a boot and an image
+/// fetch, the cost of renting it again.
 pub const IDLE_S: f64 = 10.0;
-/// The same for spot machines, which cost less and may not be had again.
+/// An idle spot machine is returned after this time, in seconds; it costs less than an ordinary one
+/// and may not be available again.
 pub const IDLE_SPOT_S: f64 = 15.0;
-/// Idle machines are kept longer by the time that fetching their rare images
-/// took, since their next user is spared it, but by no more than this, seconds.
+/// Upper bound of the extra time for which an idle machine is kept because of its rare images, in
+/// seconds. The extra time is what fetching these images took, since the next user is spared the
+/// fetch.
 pub const IDLE_IMAGES_S: f64 = 60.0;
-/// An image is rare while no more machines of its kind than this hold it: what
-/// a large fleet holds a hundred times over is not lost with one machine.
+/// An image is rare while at most this many machines of its kind hold it. An image that hundreds of
+/// machines of a large fleet hold is not lost with one machine.
 pub const RARE_HOLDERS: u32 = 4;
-/// The same for ordinary machines, whose idle second costs twice as much.
+/// [`IDLE_IMAGES_S`] for ordinary machines, whose idle second costs twice as much, in seconds.
 pub const IDLE_IMAGES_ORDINARY_S: f64 = 30.0;
-/// Arrays that keep ordinary machines busy for this long, seconds, are worth
-/// spot machines in their place: that pays for boots and fetches in a minute.
+/// Arrays that keep ordinary machines busy for this long are moved to spot machines, in seconds:
+/// the saving pays for boots and fetches in a minute.
 pub const SPOT_REPLACE_AFTER_S: f64 = 20.0;
-/// Share of those CPUs that is rented as spot at a time; also the least CPUs
-/// worth it, in machines.
+/// Share of the CPUs to be replaced that is rented as spot at a time; also the minimum CPUs worth
+/// replacing, in machines.
 pub const SPOT_REPLACE_SHARE: f64 = 0.3;
-/// An idle job (work for spare capacity) that could use spot machines, and of which
-/// nothing began, gets an ordinary machine after this long, seconds.
+/// A low-priority job (work for spare capacity) that could use spot machines and of which nothing
+/// has started gets an ordinary machine after this time, in seconds.
 pub const SPARE_BEGIN_S: f64 = 30.0;
-/// A machine is rented for idle work only if it keeps it busy for so long, seconds:
-/// twice the least bill.
+/// A machine is rented for low-priority work only if that work keeps it busy for this long, in
+/// seconds: twice the minimum bill.
 pub const SPARE_BUSY_S: f64 = 120.0;
-/// And all that it needs, like any other job, after this long, seconds: it shall
-/// run some day, whatever the others leave.
+/// After this time a low-priority job gets all the machines that it needs, like any other job, in
+/// seconds, so that it runs eventually even if the other jobs leave no capacity.
 pub const SPARE_LATEST_S: f64 = 900.0;
-/// A backlog of arrays that lasted this long, seconds, is worth machines of its
-/// own, however short: half of a usual boot.
+/// A backlog of array tasks that has lasted this long is worth machines of its own, however short
+/// it is, in seconds: half of a usual boot.
 pub const BACKLOG_S: f64 = 12.0;
-/// It should be worked off within this, seconds: the least that a machine is
-/// worth renting for.
+/// Target time in which a backlog should be worked off, in seconds; also the minimum use that
+/// justifies renting a machine.
 pub const DRAIN_S: f64 = 45.0;
-/// A job without a deadline whose class has an aim on being done is due after this
-/// share of it: room for what goes wrong.
+/// A job without a deadline whose class has a completion objective is due after this share of it;
+/// the rest is a reserve for faults.
 pub const FINISH_SHARE: f64 = 0.6;
-/// A machine costs this long at least (protocol page), seconds.
+/// Minimum billed time of a machine (protocol page), in seconds.
 pub const LEAST_BILL_S: f64 = 60.0;
-/// Weight of a boot just seen in what is expected of the next: most of it, as boots
-/// come by the dozen and trouble with them ends as suddenly as it begins.
+/// Weight of the latest boot in the moving average of boot times. It is high because machines boot
+/// by the dozen and slow boots end as suddenly as they begin.
 pub const BOOT_WEIGHT: f64 = 0.3;
-/// Usual spread of boots (protocol page: to 1.5 times the usual).
+/// Usual spread of boot times, as a multiple of the usual one (the protocol page says up to 1.5
+/// times).
 pub const BOOT_SPREAD: f64 = 1.6;
-/// Machines overdue by that, of a type and zone, that say boots are slow there.
+/// Number of machines of one type and zone overdue by [`BOOT_SPREAD`] from which boots there count
+/// as slow.
 pub const BOOTS_LATE: usize = 2;
-/// Slowest boots reckoned with, in usual ones: beyond, machines won't come.
+/// Upper bound of the expected boot time, as a multiple of the usual one. Machines that take longer
+/// are not expected to come up.
 pub const BOOT_SLOWEST: f64 = 8.0;
-/// A boot that is overdue takes this share of what was expected more.
+/// An overdue boot is expected to take this share of its expected time longer.
 pub const BOOT_MORE: f64 = 0.3;
-/// A machine counts as room on its way for this many expected boots.
+/// A booting machine counts as future capacity for this many expected boot times.
 pub const BOOT_COUNTED: f64 = 2.0;
-/// Bounds of the boots that the warm reserve reckons with, in usual ones: what is
-/// kept warm is paid for, trouble or not.
+/// Bounds of the boot time used to size the warm reserve, as multiples of the usual one. The upper
+/// bound limits the cost, as warm capacity is paid for also while boots are slow.
 pub const BOOT_WARM: (f64, f64) = (0.5, 2.0);
-/// A boot of more than this many times the usual is given up.
+/// A boot that takes more than this many times the usual one is given up.
 pub const BOOT_GIVE_UP: f64 = 4.0;
-/// A zone that had no capacity isn't asked again for this long, seconds.
+/// A zone that had no capacity isn't asked again for this long, in seconds.
 pub const NO_CAPACITY_S: f64 = 15.0;
-/// Replicas are moved together, to return a machine, at most so often, seconds.
+/// Minimum interval between two consolidations, which move replicas together to return a machine,
+/// in seconds.
 pub const CONSOLIDATE_EVERY_S: f64 = 4.0;
-/// In a fleet of more than this many machines the pause shrinks in proportion.
+/// Fleet size, in machines, above which [`CONSOLIDATE_EVERY_S`] shrinks in proportion.
 pub const CONSOLIDATE_FLEET: f64 = 40.0;
-/// A replica is not moved before it has run this long, seconds: a start that is
-/// stopped within half a minute counts for nobody.
+/// Minimum run time of a replica before it is moved, in seconds: a start that is stopped within
+/// half a minute counts for no objective.
 pub const CONSOLIDATE_AGE_S: f64 = 35.0;
-/// Only machines used up to this share are emptied by moving replicas.
+/// Only machines whose utilisation is at most this share are emptied by moving replicas.
 pub const CONSOLIDATE_SHARE: f64 = 0.5;
-/// Machines in one rental request (protocol page).
+/// Maximum number of machines in one rental request (protocol page).
 pub const RENT_MAX: u32 = 50;
-/// Rents without an answer beyond which no more are sent: one lost answer (some seconds, then
-/// a retry) holds up no others, while a cloud that answers none is not asked for more and more.
+/// Maximum number of rental requests in flight. One lost answer (some seconds, then a retry)
+/// doesn't block the others, while a cloud that answers none isn't asked for more and more
+/// machines.
 pub const RENTS_UNANSWERED_MAX: usize = 4;
-/// The same for releases: two are as many as the threads that ask the cloud.
+/// Maximum number of release requests in flight: two, as many as the threads that call the cloud.
 pub const RELEASES_UNANSWERED_MAX: usize = 2;
-/// Machines that one round of renting plans at most, if the fleet is small:
-/// capacity shows only when it is asked for, and a wrong guess costs a minute
-/// each.
+/// Maximum number of machines that one round of renting plans in a small fleet. Available capacity
+/// shows only when it is asked for, and each wrong guess costs a minute of a machine.
 pub const PLAN_MAX: usize = 24;
-/// And as a share of the tasks that find no room, if many do.
+/// Maximum number of machines that one round of renting plans, as a share of the tasks that find no
+/// room, if there are many such tasks.
 pub const PLAN_SHARE: f64 = 0.125;
-/// Of the machines that could take a lost replica at once, as they hold its image
-/// and have or lend the room, so many are kept, as a share of the replicas of that
-/// image: machines die by the dozen, and a fetch keeps users waiting.
+/// Machines kept that can take over a lost replica at once, because they hold its image and have or
+/// can free the capacity, as a share of the replicas of that image. Machines fail by the dozen, and
+/// a fetch keeps users waiting.
 pub const HOLDERS_SHARE: f64 = 0.1;
-/// Idle machines returned in one round, as a share of those that may go.
+/// Idle machines returned in one round, as a share of those that may be returned.
 pub const SCALE_IN_SHARE: f64 = 0.15;
-/// Machines in one release (protocol page: 100).
+/// Maximum number of machines in one release request (protocol page: 100).
 pub const RELEASE_MAX: usize = 100;
-/// How long a released machine's name is remembered, in list lags.
+/// How long the name of a released machine is remembered, in multiples of the list lag.
 pub const RELEASED_KEPT_LAGS: f64 = 20.0;
-/// Part of the cloud's request rate that is used.
+/// Share of the cloud's request rate limit that is used.
 pub const CLOUD_SHARE: f64 = 0.8;
-/// Wait after a failed cloud request, seconds.
+/// Delay after a failed cloud request, in seconds.
 pub const CLOUD_RETRY_S: f64 = 1.0;
-/// Arrivals are averaged over this long, seconds, for the warm reserve.
+/// Averaging window of the arrival rate that sizes the warm reserve, in seconds.
 pub const RATE_WINDOW_S: f64 = 60.0;
-/// Tasks of one service that count as arrivals: one job of thousands is no rate.
+/// Maximum number of tasks of one service that count as arrivals: a single job with thousands of
+/// tasks says nothing about the rate.
 pub const ARRIVAL_TASKS_MAX: u32 = 16;
-/// Spare service places kept, as a multiple of the arrivals expected while a
-/// machine boots and fetches.
+/// Spare service slots kept, as a multiple of the arrivals expected while a machine boots and
+/// fetches its images.
 pub const WARM_FACTOR: f64 = 1.5;
-/// Service places kept spare at least, while services have been seen.
+/// Minimum number of spare service slots once services have been seen.
 pub const WARM_MIN: f64 = 1.0;
-/// A job's last task takes about this many times the mean, as tasks differ.
+/// A job's last task takes about this many times the mean, as run times vary.
 pub const RUN_SPREAD: f64 = 2.0;
-/// Tasks that an objective wants started within so long are due to start after this share
-/// of it: a machine may fetch an image, and some boots take longer.
+/// Tasks with a start objective are due to start after this share of it, as a machine may have to
+/// fetch an image and some boots take longer.
 pub const START_AIM_SHARE: f64 = 0.5;
-/// Between a job's last task and the next job's start: the heartbeat that tells of it, the
-/// write of its final state, placing and the command, seconds. Each stage of a pipeline
-/// takes so much besides its tasks.
+/// Time between the end of a job's last task and the start of a dependent job, in seconds: the
+/// heartbeat that reports the end, the write of the final state, placement and the start command.
+/// Each stage of a pipeline takes this long in addition to its tasks.
 pub const STAGE_LAG_S: f64 = 2.0;
-/// Renting reckons with this many times the mean for a job's last task: more
-/// than the usual spread, as estimates are off by half and machines get lost,
-/// and a late job costs users more than a machine for a minute.
+/// Multiple of the mean that renting assumes for a job's last task. It exceeds the usual spread
+/// because estimates are off by half and machines get lost, and a late job costs users more than a
+/// machine for a minute.
 pub const RENT_SPREAD: f64 = 2.5;
-/// Waiting tasks that a rental plan lays out at least, as a job may have
-/// 100,000; a large fleet starts so many within a boot.
+/// Minimum number of waiting tasks that a rental plan considers, as a job may have 100,000 tasks; a
+/// large fleet starts this many within a boot.
 pub const LAID_OUT_MIN: u32 = 4_000;
-/// And per CPU of the fleet: as many as start within two runs, or a backlog
-/// beyond a boot is never seen. (With 4,000 for 8,800 CPUs none ever was.)
+/// Waiting tasks that a rental plan considers per CPU of the fleet: as many as start within two run
+/// times. With fewer, a backlog longer than a boot is never seen; a limit of 4,000 tasks for 8,800
+/// CPUs hid every one.
 pub const LAID_OUT_SHARE: f64 = 2.0;
-/// A task that runs longer than the mean is thought to take this share of it
-/// more.
+/// A task that already runs longer than the mean is expected to take this share of the mean longer.
 pub const OVERDUE_SHARE: f64 = 0.3;
-/// Weight of a new sample in the average time from placing to running.
+/// Weight of a new sample in the moving average of the time from placement to running.
 pub const LAG_WEIGHT: f64 = 0.02;
-/// Waves in which a job's waiting tasks may run if its deadline leaves time.
+/// Maximum number of waves in which a job's waiting tasks may run if its deadline leaves time.
 pub const WAVES_MAX: f64 = 2.0;
-/// Run time assumed for a task nobody knows anything of, seconds.
+/// Run time assumed for a task without an estimate or samples, in seconds.
 pub const DEFAULT_RUN_S: f64 = 30.0;
--- a/crates/core/src/consts/logging.rs
+++ b/crates/core/src/consts/logging.rs
@@ -1,10 +1,10 @@
-//! The log.
+//! Rate limits and intervals of the log.
 
-/// Info lines a second at most, in the mean: a zone of a thousand machines that is cut off
-/// makes as many starts unconfirmed at once, and a log of them all helps nobody. A line costs
-/// some 10 us of a core, so this is 0.02%.
+/// Rate limit of info lines per second, on average. A zone of a thousand machines that is cut off
+/// makes as many starts unconfirmed at once, and logging each of them helps nobody. A line costs
+/// some 10 us of a core, so this rate takes 0.02%.
 pub const INFO_LINES_PER_S: f64 = 20.0;
-/// Info lines that may come at once.
+/// Burst size of the rate limit of info lines.
 pub const INFO_LINES_BURST: f64 = 60.0;
-/// How often a leader tells its counters of unconfirmed starts, seconds.
+/// Interval at which a leader logs its counters of unconfirmed starts, in seconds.
 pub const UNCONFIRMED_LOG_S: f64 = 60.0;
--- a/crates/core/src/consts/mod.rs
+++ b/crates/core/src/consts/mod.rs
@@ -1,5 +1,5 @@
-//! Every constant of the scheduler, with unit and reason. What the settings
-//! tell (heartbeat interval, worker lease, rates, limits) is read there instead.
+//! All constants of the scheduler, each with its unit and reason. Values that come from the
+//! settings (heartbeat interval, worker lease, rates, limits) are in [`crate::facts`] instead.
 
 mod cascades;
 mod election;
--- a/crates/core/src/consts/state_service.rs
+++ b/crates/core/src/consts/state_service.rs
@@ -1,67 +1,71 @@
-//! Requests of the state service and records in it.
+//! Requests to the state service and the sizes and write rates of its records.
 
-/// Consecutive failures after which the store counts as refusing us.
+/// Number of consecutive failures after which the controller considers that the store doesn't serve
+/// it.
 pub const STORE_BAD_AFTER: u32 = 2;
-/// A controller without other traffic looks at the store this often, seconds.
+/// Interval at which a controller without other store traffic probes the store, in seconds.
 pub const STORE_PROBE_S: f64 = 1.0;
-/// Share of the store's change rate that the leader's records may always take;
-/// the rest is for submissions and cancels at any controller.
+/// Share of the store's change rate that is always available to the leader's records; the rest is
+/// for submissions and cancellations at any controller.
 pub const LEADER_WRITE_SHARE: f64 = 0.6;
-/// The share they may take while users leave theirs unused.
+/// Share of the store's change rate that the leader's records may take while users leave theirs
+/// unused.
 pub const LEADER_WRITE_MAX: f64 = 0.9;
-/// Users' changes are averaged over this long, seconds.
+/// Averaging window of the users' change rate, in seconds.
 pub const USER_RATE_S: f64 = 5.0;
-/// Finished tasks gather for this long before they are written, seconds: only
-/// their machines' lists wait for it, and a job's end carries all of them.
+/// How long finished tasks are collected before they are written, in seconds. Only the task lists
+/// of their machines wait for this write, and the record of a job's end covers all its tasks.
 pub const FINISH_LAZY_S: f64 = 1.5;
-/// Machines gone gather for so long, seconds; images longer, see [`IMAGES_WRITE_SHARE`].
+/// How long removed machines are collected before their block is written, in seconds; image changes
+/// are collected for longer, see [`IMAGES_WRITE_SHARE`].
 pub const BLOCK_LAZY_S: f64 = 4.0;
-/// A job's end is written before all else when it waited this long, seconds:
-/// users may be told three seconds late.
+/// A job's end that has waited this long is written before everything else, in seconds: users may
+/// be told up to three seconds late.
 pub const CLOSE_LATEST_S: f64 = 1.0;
-/// Machines whose records are written together at most: a takeover reads few blocks, and
-/// one change of a machine rewrites no more than this.
+/// Maximum number of machines whose records share a block. A takeover reads few blocks, and a
+/// change of one machine rewrites no more than this many records.
 pub const BLOCK_MACHINES: usize = 24;
-/// What a machine's record takes of a block, bytes of JSON, images it holds included: a
-/// new block is given so many machines that it stays below the value limit.
+/// Expected size of a machine's record in a block, in bytes of JSON, including the images it holds.
+/// A new block gets as many machines as keep it below the value limit.
 pub const MACHINE_RECORD_BYTES: usize = 250;
-/// A machine's record may take this share of a value: images held longest ago are left
-/// out beyond. So a block of [`BLOCK_MACHINES`], as an earlier version or wider limits
-/// left it, splits into four, which one transaction of [`CHANGES_LEAST`] holds.
+/// Maximum share of a value that one machine's record may take; beyond it, the least recently held
+/// images are left out. A block of [`BLOCK_MACHINES`] written by an earlier version or under wider
+/// limits therefore splits into at most four, which fit into one transaction of [`CHANGES_LEAST`].
 pub const MACHINE_RECORD_SHARE: f64 = 1.0 / 6.0;
-/// Share of the value limit that records fill: how the state service writes JSON (spaces,
-/// escapes) is not ours to know.
+/// Share of the value limit that records fill. The margin is needed because the way the state
+/// service encodes JSON (spaces, escapes) is not specified.
 pub const VALUE_FILL: f64 = 0.8;
-/// Changes that a transaction must allow: a block split in four, or a job's end.
+/// Number of changes that a transaction must allow: a block split in four, or a job's end.
 pub const CHANGES_LEAST: usize = 4;
-/// After so many refusals in a row the next transactions have half as many changes, until
-/// one goes through: a burst of others' changes is over after one or two retries.
+/// Number of consecutive refusals after which the size of the next transactions is halved, until
+/// one succeeds. A burst of changes by others is over after one or two retries.
 pub const REFUSALS_PER_HALVING: u32 = 3;
-/// Value limit below which the writer never goes after rejections, bytes: a submission
-/// and a machine's record need about half of it.
+/// Lower bound of the value limit that the writer falls back to after rejections, in bytes: a
+/// submission and a machine's record need about half of it.
 pub const VALUE_BYTES_LEAST: usize = 1024;
-/// Share of the store's change rate that records may take which only list images: a
-/// new leader that lacks them fetches an image again. (At 15 changes a second and six
-/// machines a block, a fleet of hundreds would take the whole rate for them.)
+/// Share of the store's change rate available to records that change only in their list of images;
+/// a new leader that lacks these fetches an image again. Without this limit, at 15 changes a second
+/// and six machines a block, a fleet of hundreds would use up the whole rate.
 pub const IMAGES_WRITE_SHARE: f64 = 0.2;
-/// Share of the store's request rate for the checks behind polls, over all
-/// controllers.
+/// Share of the store's request rate available to the checks behind polls, over all controllers.
 pub const POLL_CHECK_SHARE: f64 = 0.3;
-/// Least time between two record transactions, seconds: a few batches a second.
+/// Minimum interval between two record transactions, in seconds, which makes a few batches a
+/// second.
 pub const FLUSH_EVERY_S: f64 = 0.05;
-/// Reads of records of uncertain version that may be under way at once: one less than the
-/// threads that make requests of the store, so that a store that answers none of them still
-/// leaves one to users' requests.
+/// Maximum number of concurrent reads of records of uncertain version: one less than the threads
+/// that send store requests, so that a store that answers none of these reads still leaves a thread
+/// for users' requests.
 pub const UNCERTAIN_READS_MAX: usize = 3;
-/// Wait before repeating a refused store request, seconds.
+/// Delay before a refused store request is retried, in seconds.
 pub const STORE_RETRY_S: f64 = 0.25;
-/// Keys asked for in a page: fits the service's 512 KiB answers and our memory.
+/// Number of keys requested per page: fits the service's 512 KiB answers and the controller's
+/// memory.
 pub const PAGE_LIMIT: u32 = 200;
-/// Conditions of a transaction per change allowed (protocol page).
+/// Conditions that a transaction may have per allowed change (protocol page).
 pub const CONDS_PER_OP: usize = 4;
-/// Conditions that a check of one DAG dependency takes: its spec and its final
-/// state, both absent (version 0).
+/// Number of conditions in the check of one DAG dependency: its spec and its final state, both
+/// absent (version 0).
 pub const CONDS_PER_DEPENDENCY: usize = 2;
-/// Bytes of JSON of the values in a transaction, beyond which no more is added: below the
-/// 64 KiB limit with room for one more value and for the conditions.
+/// Size of the values in a transaction, in bytes of JSON, beyond which nothing more is added: below
+/// the 64 KiB limit, with room for one more value and for the conditions.
 pub const TXN_BYTES: usize = 32 * 1024;
--- a/crates/core/src/consts/users.rs
+++ b/crates/core/src/consts/users.rs
@@ -1,35 +1,36 @@
-//! Users' requests, and heartbeats between controllers.
+//! Limits for user requests, and timing of heartbeats between controllers.
 
-/// Submissions and cancels waiting for the store at once, at each controller;
-/// more are told to come back. What the store takes from one in a second where
-/// it takes 60 to 90 changes from all.
+/// Maximum number of submissions and cancellations waiting for the store at each controller;
+/// further ones are told to retry later. This is what the store takes from one controller in a
+/// second if it takes 60 to 90 changes from all.
 pub const USER_WRITES_MAX: usize = 24;
-/// Polls waiting at once; more are told to come back. A controller has threads
-/// for some hundreds of users at once, and a check answers dozens of them.
+/// Maximum number of waiting polls; further ones are told to retry later. A controller has threads
+/// for some hundreds of concurrent users, and one check answers dozens of polls.
 pub const POLLS_MAX: usize = 400;
-/// Retry-After given when the store can't be reached, seconds: an outage ends
-/// unannounced, and this is the least that users wait anyway.
+/// `Retry-After` value while the store is unreachable, in seconds: an outage ends without notice,
+/// and this is the minimum that users wait anyway.
 pub const RETRY_STORE_S: u32 = 1;
-/// Retry-After given to a cancellation that another cell must confirm, seconds: its leader
-/// is asked once a second, and writes its record.
+/// `Retry-After` value for a cancellation that another cell must confirm, in seconds: that cell's
+/// leader is asked once a second and has to write its record.
 pub const RETRY_ELSEWHERE_S: u32 = 2;
-/// Retry-After given when this controller is too full, seconds.
+/// `Retry-After` value when this controller is overloaded, in seconds.
 pub const RETRY_FULL_S: u32 = 2;
-/// Final answers remembered; the rest are read from the store. A fleet of four
-/// thousand machines ends six jobs a second, and users ask again for minutes:
-/// about a quarter of an hour's, in less than two MB.
+/// Number of final answers cached; others are read from the store. A fleet of four thousand
+/// machines finishes six jobs a second, and users poll again for minutes: this covers about a
+/// quarter of an hour, in less than two MB.
 pub const FINALS_KEPT: usize = 6_000;
-/// How often the leader shows the followers progress, seconds: status may lag
-/// three seconds, and this is for display only.
+/// Interval at which the leader sends job progress to the followers, in seconds: status may lag
+/// three seconds, and progress is for display only.
 pub const PROGRESS_EVERY_S: f64 = 1.0;
-/// Every so many such rounds all jobs are shown, as a word may have been lost.
+/// Every such number of progress rounds all jobs are sent, in case an earlier message was lost.
 pub const PROGRESS_ALL_EVERY: u32 = 8;
-/// How often controllers beat to each other, seconds.
+/// Interval of heartbeats between controllers, in seconds.
 pub const HEARTBEAT_EVERY_S: f64 = 1.0;
-/// The same while a fresh process waits to learn that nobody leads.
+/// Interval of heartbeats between controllers while a restarted process waits to learn that there
+/// is no leader, in seconds.
 pub const HEARTBEAT_FIRST_S: f64 = 0.3;
-/// How long a peer's word may be under way, seconds: what comes later was said later than the
-/// watch's news.
+/// Maximum transit time assumed for a peer's message, in seconds: a message received later than
+/// this after a watch update was sent after that update.
 pub const PEER_WORD_DELAY_S: f64 = 0.5;
-/// A peer's word on the store is believed for this long, seconds.
+/// How long a peer's report on whether the store serves it is trusted, in seconds.
 pub const HEARTBEAT_FRESH_S: f64 = 2.5;
--- a/crates/core/src/consts/versions.rs
+++ b/crates/core/src/consts/versions.rs
@@ -1,14 +1,16 @@
-//! Versions during an upgrade.
+//! Record format versions during a rolling upgrade.
 
 use super::HEARTBEAT_FRESH_S;
 
-/// What this version's records and requests may hold, a number: 2 knows DAG dependencies
-/// (`waits_on`). Raised by a change that an older version would misread.
+/// Format number of the records and requests that this version reads and writes; format 2 added DAG
+/// dependencies (`waits_on`). It is raised by each change that an older version would misread.
 pub const FORMAT: u32 = 2;
-/// The format of a version that announces none: the one in production before formats.
+/// Format of a version that announces none: the version in production before formats were
+/// introduced.
 pub const PRODUCTION_FORMAT: u32 = 1;
-/// The format that users' DAG dependencies need on every controller.
+/// Format that every controller must support before users may submit DAG dependencies.
 pub const DEPENDENCIES_FORMAT: u32 = 2;
-/// A controller silent for longer is shown as such, and its sighting begins anew when it is
-/// heard again, seconds: as long as its word on the store, over two beats.
+/// A controller not heard from for longer than this is shown as unreachable, and the time it has
+/// been seen for restarts when it is heard again, in seconds. Same as the lifetime of its report on
+/// the store, over two heartbeats.
 pub const MEMBER_FRESH_S: f64 = HEARTBEAT_FRESH_S;
--- a/crates/core/src/consts/workers.rs
+++ b/crates/core/src/consts/workers.rs
@@ -1,90 +1,94 @@
-//! Workers: leases, heartbeats, direct commands.
+//! Workers: leases, heartbeats and direct commands.
 
-/// Added to a worker's lease before its tasks count as gone, seconds: our
+/// Margin added to a worker's lease before its tasks count as gone, in seconds: the controller's
 /// answer may leave a little after its time was noted.
 pub const LEASE_MARGIN_S: f64 = 0.5;
-/// A machine unheard for this many heartbeat intervals gets no new tasks.
+/// A machine not heard from for this many heartbeat intervals gets no new tasks.
 pub const SILENT_HEARTBEATS: f64 = 2.5;
-/// A machine whose lease ran out is kept this much longer, seconds: a cut ends,
-/// and a machine with its images is worth more than a new one.
+/// How long a machine is kept after its lease expired, in seconds. Partitions end, and a machine
+/// that holds its images is worth more than a new one.
 pub const LAPSED_KEPT_S: f64 = 30.0;
-/// A spot machine that is silent for this many heartbeat intervals,
-/// while others report, is returned: mostly it was taken, and a
-/// completed release proves its tasks gone long before their lease does.
+/// A spot machine that sends nothing for this many heartbeat intervals while others report is
+/// returned. Usually it was reclaimed by the cloud, and a completed release proves its tasks gone
+/// long before their lease does.
 pub const GONE_HEARTBEATS: f64 = 2.5;
-/// Added to that, seconds.
+/// Added to [`GONE_HEARTBEATS`] intervals, in seconds.
 pub const GONE_MARGIN_S: f64 = 1.0;
-/// A spot machine that a new leader couldn't reach so often, while most others
-/// answered, is returned: it was mostly taken, and its jobs wait for proof.
+/// Number of failed direct commands by a new leader after which a spot machine is returned,
+/// provided most others answered. Usually it was reclaimed by the cloud, and its jobs wait for
+/// proof that their tasks are gone.
 pub const PROBES: u32 = 2;
-/// Pause between two of these tries, seconds.
+/// Delay between two such direct commands, in seconds.
 pub const PROBE_AGAIN_S: f64 = 0.8;
-/// A machine that was heard before and is silent for this many heartbeat
-/// intervals is asked directly: heartbeats come within a quarter more than one.
+/// A machine that reported before and sends nothing for this many heartbeat intervals is probed
+/// directly; heartbeats come within 1.25 intervals.
 pub const QUIET_HEARTBEATS: f64 = 1.3;
-/// Added to that, seconds.
+/// Added to [`QUIET_HEARTBEATS`] intervals, in seconds.
 pub const QUIET_MARGIN_S: f64 = 0.6;
-/// Direct tries that must fail before a machine that serves is given up early.
+/// Number of direct probes that must fail before a machine that runs services is given up early.
 pub const QUIET_PROBES: u32 = 2;
-/// Within so many heartbeat intervals, of which each machine sends one, ...
+/// Window, in heartbeat intervals, in which a leader counts the machines heard from, to tell
+/// whether it receives heartbeats at all; each machine sends one per interval. See
+/// [`HEARING_SHARE`].
 pub const HEARING_HEARTBEATS: f64 = 0.6;
-/// ... so large a share of all machines must have been heard for us to be sure
-/// that we hear: half of what is expected, as a part of them may be dead.
+/// Share of all machines that must have been heard from within [`HEARING_HEARTBEATS`] for the
+/// leader to be sure that it receives heartbeats: half of what is expected, as a part of the
+/// machines may have failed.
 pub const HEARING_SHARE: f64 = 0.3;
-/// Share of a zone's machines that must be silent for it to be cut off rather
-/// than its machines dead, if there are other zones. Its replicas serve on until
-/// their leases end, and its machines are worth waiting for.
+/// Share of a zone's machines that must be unreachable for the zone to count as partitioned rather
+/// than its machines as failed, if there are other zones. The replicas of a partitioned zone serve
+/// on until their leases expire, and its machines are worth waiting for.
 pub const ZONE_CUT_SHARE: f64 = 0.5;
-/// Share of the direct commands under way that may be to machines which did not
-/// answer the last: a crowd of silent ones must not hold up the others.
+/// Share of the direct commands in flight that may go to machines which did not answer the last
+/// one, so that many unreachable machines don't delay the others.
 pub const UNREACHED_SHARE: f64 = 0.5;
-/// Least time between two rounds of direct commands, seconds: a round looks at
-/// all machines.
+/// Minimum interval between two rounds of direct commands, in seconds: a round scans all machines.
 pub const PUSH_EVERY_S: f64 = 0.02;
-/// No machine is given up as silent so soon after a takeover, seconds: workers
-/// need a heartbeat's timeout and a try or two to find the new leader.
+/// No machine is given up as unreachable within this time after a takeover, in seconds: workers
+/// need a heartbeat timeout and one or two attempts to find the new leader.
 pub const GONE_AFTER_S: f64 = 6.5;
-/// After a direct command failed, heartbeats carry the commands for this long,
-/// seconds.
+/// Backoff after a failed direct command, in seconds; until then, heartbeat answers carry the
+/// commands.
 pub const DIRECT_BACKOFF_S: f64 = 3.0;
-/// A worker drops an answer that comes later than this after it sent its
-/// report, seconds (protocol page).
+/// A worker discards an answer that arrives later than this after it sent its heartbeat, in seconds
+/// (protocol page).
 pub const WORKER_DROPS_S: f64 = 4.0;
-/// A worker that got no answer sends its next heartbeat no sooner than this after
-/// the last, seconds (protocol page: 4 s, then 1 s).
+/// Minimum time between the heartbeat of a worker that got no answer and its next one, in seconds
+/// (protocol page: 4 s, then 1 s).
 pub const WORKER_GIVES_UP_S: f64 = 5.0;
-/// Margin on either, seconds: clocks, and the way through our queue.
+/// Margin on [`WORKER_DROPS_S`] and [`WORKER_GIVES_UP_S`], in seconds: clock differences and the
+/// controller's queueing delay.
 pub const WORKER_MARGIN_S: f64 = 0.2;
-/// A machine that hasn't proven for this many heartbeat intervals, and a worker's
-/// patience, that our words reach it, gets no new tasks.
+/// Number of heartbeat intervals, plus a worker's timeout, within which a machine must have proven
+/// that answers reach it; otherwise it gets no new tasks.
 pub const REACH_HEARTBEATS: f64 = 2.0;
-/// After so much of that time it is asked directly.
+/// Share of that time after which the machine is probed directly.
 pub const PROBE_SHARE: f64 = 0.6;
-/// Commands in one message: an answer stays far below 64 KiB.
+/// Maximum number of commands in one message; an answer then stays far below 64 KiB.
 pub const COMMANDS_MAX: usize = 200;
-/// Task failures on a machine, with no success between, after which it gets no
-/// more work: mostly the machine is faulty.
+/// Number of task failures on a machine without a success in between after which it gets no more
+/// work: usually the machine is faulty.
 pub const MACHINE_ERRORS: u32 = 3;
-/// First wait before a failed task is tried again, seconds; doubles.
+/// Initial backoff before a failed task is retried, in seconds; it doubles with each failure.
 pub const ERROR_BACKOFF_S: f64 = 0.5;
-/// Longest such wait, seconds.
+/// Upper bound of the backoff of a failed task, in seconds.
 pub const ERROR_BACKOFF_MAX_S: f64 = 20.0;
-/// Wait before a refused task is tried again, seconds.
+/// Backoff before a refused task is retried, in seconds.
 pub const REFUSED_BACKOFF_S: f64 = 0.5;
-/// Different machines on which a job must have failed, with no success, to be
-/// taken for one submitted with a mistake.
+/// Number of different machines on which a job must have failed, without a success, to count as
+/// submitted with a mistake.
 pub const BAD_JOB_MACHINES: usize = 2;
-/// A replica that ran for this long, seconds, shows that its service is sound: those
-/// submitted with a mistake fail within seconds.
+/// Run time after which a replica shows that its service works, in seconds; services submitted with
+/// a mistake fail within seconds.
 pub const SERVES_S: f64 = 20.0;
-/// An evicted task gets this many times what its job says that saving takes.
+/// Multiple of the job's declared save time that an evicted task is given.
 pub const SAVE_GRACE: f64 = 2.0;
-/// Tasks that a job taken for mistaken may have under way at once.
+/// Maximum number of concurrent tasks of a job that counts as submitted with a mistake.
 pub const BAD_JOB_TASKS: usize = 1;
-/// A machine whose tasks take this many times their jobs' mean is slow.
+/// A machine is slow if its tasks take this many times the mean of their jobs.
 pub const SLOW_FACTOR: f64 = 2.2;
-/// Tasks that must say so in a row.
+/// Number of consecutive slow tasks after which a machine counts as slow.
 pub const SLOW_SAMPLES: u32 = 3;
 
-/// Sums of CPUs, GPUs and memory are compared with this tolerance: they are fractions.
+/// Tolerance for comparing sums of CPUs, GPUs and memory, which are fractional.
 pub const AMOUNT_TOLERANCE: f64 = 1e-9;
