--- a/crates/core/src/writer/answers.rs
+++ b/crates/core/src/writer/answers.rs
@@ -1,7 +1,7 @@
-//! What the state service answered to the leader's transactions and reads.
+//! Handles the state service's answers to the leader's transactions and reads.
 
 use super::uncertain::UncertainRecord;
-use super::{Entry, Mark, Running, Urgency};
+use super::{DirtyMark, Entry, InFlightTransaction, Urgency};
 use crate::consts::*;
 use crate::event::{ActionSink, OpId, Secs, StoreResult};
 use crate::jobs::{Job, Outcome, Phase};
@@ -13,7 +13,8 @@
 use marblebarrow_proto::records::{self, *};
 
 impl Leader {
-    /// A transaction or a read of ours was answered. False: we don't lead.
+    /// Handles an answer to a transaction or a read of the writer. Returns false if it shows that
+    /// this controller is no longer the leader.
     pub(crate) fn written(
         &mut self,
         now: Secs,
@@ -21,12 +22,12 @@
         result: StoreResult,
         out: &mut ActionSink,
     ) -> bool {
-        if let Some(record) = self.writer.uncertain.answered(op) {
+        if let Some(record) = self.writer.uncertain.handle_answer(op) {
             self.uncertain_record_read(now, record, result);
             return true;
         }
-        let running = self.writer.running.take_if(|running| running.op == op);
-        let Some(Running { shape, entries, .. }) = running else {
+        let in_flight = self.writer.in_flight.take_if(|in_flight| in_flight.op == op);
+        let Some(InFlightTransaction { shape, entries, .. }) = in_flight else {
             return true;
         };
         let refused = matches!(result, StoreResult::Refused);
@@ -41,33 +42,33 @@
             StoreResult::Conflict(keys) if keys.iter().any(|k| k == records::LEADER) => {
                 return false;
             }
-            // Not executed: as it was.
+            // Not executed, so the versions are unchanged.
             StoreResult::Refused => {
-                self.writer.next = now + STORE_RETRY_S;
-                entries.into_iter().for_each(|e| self.entry_again(now, e));
+                self.writer.next_flush = now + STORE_RETRY_S;
+                entries.into_iter().for_each(|e| self.requeue_entry(now, e));
             }
             StoreResult::Rejected => {
-                self.writer.next = now + STORE_RETRY_S;
+                self.writer.next_flush = now + STORE_RETRY_S;
                 self.rejected(now, shape);
-                entries.into_iter().for_each(|e| self.entry_again(now, e));
+                entries.into_iter().for_each(|e| self.requeue_entry(now, e));
             }
-            // Not executed, as the versions of some records weren't what we thought.
+            // Not executed, because the versions of some records differ from the expected ones.
             StoreResult::Conflict(keys) => {
-                let (stale, sound): (Vec<Entry>, Vec<Entry>) =
+                let (stale, unaffected): (Vec<Entry>, Vec<Entry>) =
                     entries.into_iter().partition(|entry| entry.failed(&keys));
                 if stale.is_empty() {
-                    self.writer.next = now + STORE_RETRY_S;
+                    self.writer.next_flush = now + STORE_RETRY_S;
                 }
                 self.uncertain_records(now, "conflict", stale);
-                sound.into_iter().for_each(|e| self.entry_again(now, e));
+                unaffected.into_iter().for_each(|e| self.requeue_entry(now, e));
             }
-            // Perhaps executed, perhaps later.
+            // May have been executed, or may be executed later.
             _ => self.uncertain_records(now, "no_answer", entries),
         }
         true
     }
 
-    /// The versions of these records aren't known any more.
+    /// Marks the versions of these records as uncertain.
     fn uncertain_records(&mut self, now: Secs, why: &str, entries: Vec<Entry>) {
         let records = entries.len();
         for entry in entries {
@@ -79,21 +80,22 @@
         });
     }
 
-    /// A record of uncertain version was read, or the read failed.
+    /// Handles the answer to a read of a record of uncertain version.
     fn uncertain_record_read(&mut self, now: Secs, record: UncertainRecord, result: StoreResult) {
         let StoreResult::Value(item) = result else {
             self.writer.next_read = now + STORE_RETRY_S;
             return self.writer.uncertain.read_failed(record);
         };
-        self.writer.uncertain.settled(&record.key);
+        self.writer.uncertain.version_known(&record.key);
         let version = item.as_ref().map_or(0, |i| i.version);
-        self.resynced(now, record, version, item.map(|i| i.value));
+        self.apply_read_record(now, record, version, item.map(|i| i.value));
         if self.writer.uncertain.is_empty() {
             self.log.info(now, || "event=records_known".to_owned());
         }
     }
 
-    /// The state service takes less than we thought: the limits may fall at any time.
+    /// Shrinks the limits after a rejected transaction: those of the state service may fall at any
+    /// time.
     fn rejected(&mut self, now: Secs, shape: TransactionShape) {
         self.writer.limits.shrink(shape);
         let limits = self.writer.limits;
@@ -107,6 +109,7 @@
         });
     }
 
+    /// Updates the state after a record was committed at this version.
     fn entry_written(&mut self, now: Secs, entry: Entry, version: u64) {
         match entry {
             Entry::Part { job, part, sets } => {
@@ -142,12 +145,13 @@
         }
     }
 
+    /// Removes a job whose end is recorded.
     pub(crate) fn closed(&mut self, now: Secs, id: &JobId, cancelled: bool, tasks: u32) {
-        // Attempts that are of no more use, if any.
-        let left: Vec<(u32, MachineId, Attempt)> = self.jobs.get(id).map_or(Vec::new(), |j| {
+        // Attempts that remain are stopped on their machines.
+        let leftover: Vec<(u32, MachineId, Attempt)> = self.jobs.get(id).map_or(Vec::new(), |j| {
             j.live.iter().map(|(n, l)| (*n, l.machine.clone(), l.attempt)).collect()
         });
-        for (n, machine, attempt) in left {
+        for (n, machine, attempt) in leftover {
             self.over(id, n, Outcome::Lost, now);
             if let Some(m) = self.machines.get_mut(&machine) {
                 m.strangers.insert((TaskId { job: id.clone(), index: n }, attempt));
@@ -179,8 +183,8 @@
         ));
     }
 
-    // A record's true version is known again.
-    fn resynced(
+    /// Applies the version and value of a record that were read after they had become uncertain.
+    fn apply_read_record(
         &mut self,
         now: Secs,
         record: UncertainRecord,
@@ -194,7 +198,7 @@
                     j.parts[part as usize] = version;
                     self.writer.touch_task(&job, part * PART_TASKS, now, true);
                 } else if version != 0 {
-                    // The job was closed meanwhile, when its version wasn't known.
+                    // The job was closed while the version of this record was uncertain.
                     self.writer.discard(key, version);
                 }
             }
@@ -202,26 +206,26 @@
                 if let Some(block) = self.writer.blocks.get_mut(&number) {
                     block.version = version;
                 }
-                self.entry_again(now, Entry::Block(number, names));
+                self.requeue_entry(now, Entry::Block(number, names));
             }
             Entry::Close { job, cancelled: false, tasks } => {
                 match value.as_ref().map(from_value::<EndRecord>) {
                     Some(Ok(end)) if end.cancelled => {
-                        // A user's cancel came first.
+                        // A user's cancellation was recorded first.
                         if let Some(j) = self.jobs.get_mut(&job) {
                             j.closing = false;
                         }
                         self.cancel(now, &job);
                     }
                     Some(_) => self.closed(now, &job, false, tasks),
-                    None => self.entry_again(now, Entry::Close { job, cancelled: false, tasks }),
+                    None => self.requeue_entry(now, Entry::Close { job, cancelled: false, tasks }),
                 }
             }
             Entry::Close { job, cancelled, tasks } => {
                 if value.is_none() {
                     self.closed(now, &job, cancelled, tasks);
                 } else {
-                    self.entry_again(now, Entry::Close { job, cancelled, tasks });
+                    self.requeue_entry(now, Entry::Close { job, cancelled, tasks });
                 }
             }
             Entry::Garbage(..) => {
@@ -233,22 +237,23 @@
             Entry::Format(format) => {
                 let lower = |record: &FormatRecord| record.format < format;
                 let stored = value.as_ref().map(from_value::<FormatRecord>);
-                // One that can't be read is left as it is.
+                // A record that can't be decoded is left as it is.
                 if stored.is_none_or(|read| read.as_ref().is_ok_and(lower)) {
-                    self.entry_again(now, entry);
+                    self.requeue_entry(now, entry);
                 }
             }
         }
     }
 
-    fn entry_again(&mut self, now: Secs, entry: Entry) {
+    /// Queues a record that was not written to be written again.
+    fn requeue_entry(&mut self, now: Secs, entry: Entry) {
         match entry {
             Entry::Part { job, part, .. } => {
                 self.writer.touch_task(&job, part * PART_TASKS, now, true);
             }
             Entry::Block(number, _) => {
                 if let Some(block) = self.writer.blocks.get_mut(&number) {
-                    Mark::merge(&mut block.mark, now, Urgency::Starts);
+                    DirtyMark::merge(&mut block.mark, now, Urgency::Starts);
                 }
             }
             Entry::Close { job, .. } => {
@@ -264,6 +269,7 @@
     }
 }
 
+/// Copies the tasks of one part from `from` to `into`.
 fn merge(into: &mut IntSet, from: &IntSet, part: u32) {
     let (start, len) = Job::part_range(part);
     PackedSet::pack(from, start, len).unpack(start, len, into);
--- a/crates/core/src/writer/batch.rs
+++ b/crates/core/src/writer/batch.rs
@@ -1,6 +1,6 @@
-//! The leader's next transaction: which records go into it, and in which shape.
+//! Builds the leader's next transaction: selects its records and fits them to the limits.
 
-use super::{Entry, Mark, Running, Urgency};
+use super::{DirtyMark, Entry, InFlightTransaction, Urgency};
 use crate::consts::*;
 use crate::event::{ActionSink, Secs, StoreRequest};
 use crate::jobs::Job;
@@ -16,23 +16,25 @@
 use marblebarrow_proto::records::*;
 use marblebarrow_proto::wire::{Cond, Txn, Write};
 
-/// A transaction as it grows.
+/// A transaction under construction.
 struct Batch {
     txn: Txn,
     entries: Vec<Entry>,
-    room: usize,
-    /// Bytes of the values as JSON, at most, and of the largest one.
+    /// Maximum number of changes.
+    max_changes: usize,
+    /// Upper bound of the size of all values, in bytes of JSON.
     bytes: usize,
+    /// The same for the largest value.
     largest_value: usize,
 }
 
 impl Batch {
-    fn full(&self) -> bool {
-        self.txn.writes.len() >= self.room || self.bytes > TXN_BYTES
+    fn is_full(&self) -> bool {
+        self.txn.writes.len() >= self.max_changes || self.bytes > TXN_BYTES
     }
-    /// Changes that still find room.
-    fn free(&self) -> usize {
-        self.room.saturating_sub(self.txn.writes.len())
+    /// Number of changes that still fit.
+    fn remaining(&self) -> usize {
+        self.max_changes.saturating_sub(self.txn.writes.len())
     }
     fn put(&mut self, key: String, version: u64, SizedValue { value, bytes }: SizedValue) {
         self.bytes += bytes;
@@ -40,20 +42,20 @@
         self.txn.conds.push(Cond { key: key.clone(), version });
         self.txn.writes.push(Write::Put { key, value, lease: None });
     }
-    fn drop_key(&mut self, key: String, version: u64) {
+    fn delete(&mut self, key: String, version: u64) {
         self.txn.conds.push(Cond { key: key.clone(), version });
         self.txn.writes.push(Write::Delete { key });
     }
 }
 
 impl Leader {
-    /// Sends the next transaction, if one is due.
+    /// Sends the next transaction if one is due.
     pub(crate) fn flush(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         let w = &mut self.writer;
         w.refill(now);
         self.read_uncertain(now, out);
         let w = &self.writer;
-        if w.running.is_some() || now < w.next {
+        if w.in_flight.is_some() || now < w.next_flush {
             return;
         }
         let Batch { txn, entries, largest_value, .. } = self.batch(now, replica);
@@ -62,13 +64,13 @@
         }
         let w = &mut self.writer;
         w.budget -= txn.writes.len() as f64;
-        w.next = now + FLUSH_EVERY_S;
+        w.next_flush = now + FLUSH_EVERY_S;
         let shape = TransactionShape { changes: txn.writes.len(), largest_value };
         let op = out.store(StoreRequest::Commit(txn));
-        w.running = Some(Running { op, shape, entries });
+        w.in_flight = Some(InFlightTransaction { op, shape, entries });
     }
 
-    /// Reads records whose version is uncertain.
+    /// Sends reads of records whose version is uncertain.
     fn read_uncertain(&mut self, now: Secs, out: &mut ActionSink) {
         let w = &mut self.writer;
         if now < w.next_read {
@@ -76,13 +78,13 @@
         }
         while let Some(record) = w.uncertain.next_to_read() {
             let op = out.store(StoreRequest::Get(record.key.clone()));
-            w.uncertain.reads(op, record);
+            w.uncertain.read_sent(op, record);
         }
     }
 
-    // What others wait for goes first: jobs whose end is overdue, machines and
-    // tasks whose starts wait (services before arrays), other ends; then, after
-    // a while in which they gather, finished tasks, images and machines gone.
+    /// Builds the next transaction in order of urgency: job ends that are overdue, machines and
+    /// tasks whose starts wait (services before arrays), other job ends; then, after a delay that
+    /// collects several changes, finished tasks, images and removed machines.
     fn batch(&mut self, now: Secs, replica: &Replica) -> Batch {
         let mut b = Batch {
             txn: Txn {
@@ -90,22 +92,21 @@
                 writes: Vec::new(),
             },
             entries: Vec::new(),
-            room: self.writer.changes_allowed(),
+            max_changes: self.writer.changes_allowed(),
             bytes: 0,
             largest_value: 0,
         };
-        if b.room == 0 {
+        if b.max_changes == 0 {
             return b;
         }
         if !self.batch_closes(now, CLOSE_LATEST_S, &mut b) && b.txn.writes.is_empty() {
-            // Saves up for an end that is overdue: it takes several changes at
-            // once, and single ones that always went before it once held up
-            // all ends for minutes.
+            // Saves the budget for an overdue job end, which needs several changes at once.
+            // Otherwise a stream of single changes delays all job ends for minutes.
             return b;
         }
         self.format_entry(replica, &mut b);
         if !self.batch_blocks(now, Urgency::Starts, &mut b) && b.txn.writes.is_empty() {
-            // Saves up likewise, for a block that splits.
+            // Likewise saves the budget for a block that has to be split.
             return b;
         }
         self.batch_parts(now, &mut b);
@@ -117,57 +118,58 @@
         b
     }
 
-    /// Adds records of no more use.
+    /// Adds deletions of obsolete records.
     fn batch_garbage(&mut self, b: &mut Batch) {
         let writer = &mut self.writer;
         let known = |key: &&String| !writer.uncertain.contains(key);
-        let free = b.free();
-        let keys: Vec<String> = writer.garbage.keys().filter(known).take(free).cloned().collect();
+        let remaining = b.remaining();
+        let keys: Vec<String> =
+            writer.garbage.keys().filter(known).take(remaining).cloned().collect();
         for key in keys {
-            if b.full() {
+            if b.is_full() {
                 break;
             }
             if let Some(version) = writer.garbage.remove(&key) {
                 b.entries.push(Entry::Garbage(key.clone(), version));
-                b.drop_key(key, version);
+                b.delete(key, version);
             }
         }
     }
 
-    /// Adds blocks of machines that are due; false if one found no room.
+    /// Adds the machine blocks of this urgency that are due; returns false if one didn't fit.
     fn batch_blocks(&mut self, now: Secs, urgency: Urgency, b: &mut Batch) -> bool {
-        let age = match urgency {
+        let min_age = match urgency {
             Urgency::Starts => 0.0,
             Urgency::Lazy => BLOCK_LAZY_S,
             Urgency::Images => self.images_age(),
         };
-        let due = |mark: &Mark| mark.urgency == urgency && now - mark.since >= age;
+        let due = |mark: &DirtyMark| mark.urgency == urgency && now - mark.since >= min_age;
         let blocks = self.writer.blocks.iter();
         let numbers: Vec<u32> = blocks
             .filter(|(_, block)| block.mark.as_ref().is_some_and(due))
             .filter(|(number, _)| !self.writer.uncertain.contains(&block_key(**number)))
             .map(|(number, _)| *number)
             .collect();
-        let mut all = true;
+        let mut all_fit = true;
         for number in numbers {
-            if b.full() {
+            if b.is_full() {
                 break;
             }
-            all &= self.add_block(number, b);
+            all_fit &= self.add_block(number, b);
         }
-        all
+        all_fit
     }
 
-    /// How long images gather before a block is written for them alone, seconds: so long
-    /// that all blocks together take their share of the store's changes.
+    /// How long image changes are collected before a block is written for them alone, in seconds:
+    /// long enough that all blocks together stay within their share of the store's change rate.
     fn images_age(&self) -> Secs {
         let blocks = self.writer.blocks.len() as f64;
-        (blocks / (self.writer.rps * IMAGES_WRITE_SHARE)).max(BLOCK_LAZY_S)
+        (blocks / (self.writer.store_rate * IMAGES_WRITE_SHARE)).max(BLOCK_LAZY_S)
     }
 
-    /// Adds a block, split where its records have outgrown a value; false if there is no
-    /// room for all that it splits into. They go in one transaction: a machine that is in
-    /// no block would be unknown to the next leader.
+    /// Adds a block, split if its records no longer fit one value; returns false if the resulting
+    /// blocks don't all fit. They must go into one transaction, because a machine that is in no
+    /// block is unknown to the next leader.
     fn add_block(&mut self, number: u32, b: &mut Batch) -> bool {
         let Some(block) = self.writer.blocks.get(&number) else { return true };
         let version = block.version;
@@ -179,13 +181,13 @@
         if machines.is_empty() {
             self.writer.blocks.entry(number).or_default().mark = None;
             if version != 0 {
-                b.drop_key(block_key(number), version);
+                b.delete(block_key(number), version);
                 b.entries.push(Entry::Block(number, Vec::new()));
             }
             return true;
         }
         let parts = split_block(machines, self.writer.limits);
-        if parts.len() > b.free() {
+        if parts.len() > b.remaining() {
             return false;
         }
         let mut numbers = vec![number];
@@ -197,6 +199,7 @@
         true
     }
 
+    /// Adds one block and assigns its machines to it.
     fn put_block(&mut self, number: u32, part: &SizedBlock, b: &mut Batch) {
         let SizedBlock { block: records, bytes } = part;
         let names: Vec<MachineId> = records.machines.iter().map(|(id, _)| id.clone()).collect();
@@ -213,11 +216,12 @@
         b.entries.push(Entry::Block(number, names));
     }
 
+    /// Adds the progress records that are due.
     fn batch_parts(&mut self, now: Secs, b: &mut Batch) {
         let mut due: Vec<(u8, Secs, (JobId, u32))> = Vec::new();
         let (jobs, uncertain) = (&self.jobs, &self.writer.uncertain);
         self.writer.parts.retain(|(id, part), mark| {
-            // A job that is complete is closed instead.
+            // A complete job is closed instead.
             let job = jobs.get(id).filter(|j| !j.closing && !j.complete());
             let Some(job) = job.filter(|j| (*part as usize) < j.parts.len()) else {
                 return false;
@@ -237,7 +241,7 @@
         });
         due.sort_by(|x, y| x.0.cmp(&y.0).then(x.1.total_cmp(&y.1)));
         for (_, _, (id, part)) in due {
-            if b.full() {
+            if b.is_full() {
                 break;
             }
             let Some(job) = self.jobs.get(&id) else { continue };
@@ -248,14 +252,14 @@
         }
     }
 
-    /// Adds ends that have waited so long; false if one found no room.
-    fn batch_closes(&mut self, now: Secs, age: Secs, b: &mut Batch) -> bool {
-        let mut all = true;
+    /// Adds the job ends that have waited for at least `min_age`; returns false if one didn't fit.
+    fn batch_closes(&mut self, now: Secs, min_age: Secs, b: &mut Batch) -> bool {
+        let mut all_fit = true;
         let mut due: Vec<(Secs, JobId)> = self
             .writer
             .closing
             .iter()
-            .filter(|(_, since)| now - **since >= age)
+            .filter(|(_, since)| now - **since >= min_age)
             .map(|(id, since)| (*since, id.clone()))
             .collect();
         due.sort_by(|x, y| x.0.total_cmp(&y.0));
@@ -265,17 +269,17 @@
                 continue;
             };
             let cancelled = job.cancelled;
-            let over = if cancelled {
+            let ended = if cancelled {
                 job.live.is_empty() && job.maybe_running.is_empty()
             } else {
                 job.complete()
             };
-            if !over || job.closing {
+            if !ended || job.closing {
                 self.writer.closing.remove(&id);
                 continue;
             }
-            if b.txn.writes.len() + 2 > b.room {
-                all = false;
+            if b.txn.writes.len() + 2 > b.max_changes {
+                all_fit = false;
                 continue;
             }
             let spec = &job.record.spec;
@@ -285,20 +289,20 @@
             } else {
                 b.txn.writes.push(Write::Delete { key: cancel_key(&id) });
             }
-            b.drop_key(spec_key(&id), job.spec_version);
+            b.delete(spec_key(&id), job.spec_version);
             job.closing = true;
             b.entries.push(Entry::Close { job: id.clone(), cancelled, tasks: spec.tasks });
             self.writer.closing.remove(&id);
         }
-        all
+        all_fit
     }
 
-    // The machine types, without their moving prices, for controllers that
-    // start while the cloud is down.
+    /// Adds the machine types, without their variable prices, for controllers that start during
+    /// an outage of the cloud.
     fn types_entry(&mut self, replica: &Replica, b: &mut Batch) {
         let names: String =
             self.cloud_requests.types.iter().map(|t| format!("{} ", t.name)).collect();
-        if self.cloud_requests.types.is_empty() || self.writer.types_key == names || b.full() {
+        if self.cloud_requests.types.is_empty() || self.writer.types_key == names || b.is_full() {
             return;
         }
         self.writer.types_key = names;
@@ -307,19 +311,19 @@
         }
         let types = SizedValue::of(&self.cloud_requests.types);
         if types.bytes > self.writer.limits.record_bytes() {
-            // Too many types for one value: controllers then wait for the cloud.
+            // Too many types for one value; a starting controller then waits for the cloud.
             return;
         }
         b.put(TYPES.into(), replica.types_version, types);
         b.entries.push(Entry::Types);
     }
 
-    /// The common format, once it is higher than the record shows: one write in an upgrade,
-    /// for which pipelines wait.
+    /// Adds the common format once it is higher than the recorded one: one write per upgrade, for
+    /// which pipelines wait.
     fn format_entry(&mut self, replica: &Replica, b: &mut Batch) {
         let format = self.common_format;
         let known = replica.format_in_store().max(self.writer.format_sent).max(PRODUCTION_FORMAT);
-        if b.full() || format <= known {
+        if b.is_full() || format <= known {
             return;
         }
         self.writer.format_sent = format;
@@ -329,7 +333,7 @@
     }
 }
 
-/// A part's record, and the sets that it holds.
+/// The progress record of one part, and the sets that it holds.
 fn progress_part(job: &Job, part: u32, limits: ShapeLimits) -> (SizedValue, ProgressSets) {
     let first = part == 0;
     let rest = ProgressRecord {
--- a/crates/core/src/writer/mod.rs
+++ b/crates/core/src/writer/mod.rs
@@ -1,6 +1,6 @@
-//! The leader's records: written in batches, one transaction at a time, each
-//! conditional on the leader key and on every record's version, so that one
-//! applied late changes nothing.
+//! Writes the leader's records to the state service in batches, one transaction at a time.
+//! Each transaction is conditional on the leader key and on the version of every record, so a
+//! transaction that is applied late changes nothing.
 
 mod answers;
 mod batch;
@@ -18,31 +18,33 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use uncertain::UncertainRecords;
 
-/// One record of a transaction.
+/// A record written or deleted by a transaction.
 #[derive(Debug)]
 enum Entry {
+    /// One part of a job's progress.
     Part {
         job: JobId,
         part: u32,
-        /// What the record holds.
+        /// The sets that the record holds after the write.
         sets: ProgressSets,
     },
-    /// A block of machine records, with the machines that are in it.
+    /// A block of machine records, and the machines in it; with none, the block is deleted.
     Block(u32, Vec<MachineId>),
+    /// The end of a job: its final state if it finished, and the removal of its spec.
     Close {
         job: JobId,
         cancelled: bool,
         tasks: u32,
     },
-    /// A record of no more use, and its version.
+    /// An obsolete record to delete, and its version.
     Garbage(String, u64),
     Types,
-    /// The format that every controller runs at least.
+    /// The common format: the highest one that every controller supports.
     Format(u32),
 }
 
 impl Entry {
-    /// The key by whose version it is known whether the record was written.
+    /// The key whose version shows whether the record was written.
     fn key(&self) -> String {
         match self {
             Self::Part { job, part, .. } => progress_key(job, *part),
@@ -55,36 +57,37 @@
         }
     }
 
-    /// Whether the record's version wasn't what we thought, as these failed conditions show.
+    /// Whether the keys of the failed conditions include this record, that is, whether its stored
+    /// version differs from the expected one.
     fn failed(&self, keys: &[String]) -> bool {
         let Self::Close { job, .. } = self else { return keys.contains(&self.key()) };
         keys.contains(&end_key(job)) || keys.contains(&spec_key(job))
     }
 }
 
-/// Why a record is out of date: how soon it is written again follows from it.
+/// Why a record is out of date; determines how soon it is written again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// Only images changed.
+    /// Only the list of images changed.
     Images,
-    /// Tasks completed, or machines are gone or have another address.
+    /// Tasks completed, or machines were removed or changed their address.
     Lazy,
-    /// Starts wait for it.
+    /// Task starts wait for the write.
     Starts,
 }
 
-/// A record that is out of date.
+/// Marks a record as out of date.
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct DirtyMark {
     since: Secs,
     urgency: Urgency,
 }
 
-impl Mark {
-    fn merge(slot: &mut Option<Mark>, now: Secs, urgency: Urgency) {
-        let mark = slot.get_or_insert(Mark { since: now, urgency });
+impl DirtyMark {
+    fn merge(slot: &mut Option<DirtyMark>, now: Secs, urgency: Urgency) {
+        let mark = slot.get_or_insert(DirtyMark { since: now, urgency });
         if urgency > mark.urgency {
-            *mark = Mark { since: now, urgency };
+            *mark = DirtyMark { since: now, urgency };
         }
     }
 
@@ -93,48 +96,53 @@
     }
 }
 
-/// Machine records that are written together.
+/// A block of machine records, which are written together.
 #[derive(Debug, Default)]
 struct Block {
     version: u64,
     members: BTreeSet<MachineId>,
-    mark: Option<Mark>,
+    mark: Option<DirtyMark>,
 }
 
-/// What waits to be written.
+/// The records waiting to be written and the state of the write rate limit.
 #[derive(Debug)]
 pub(crate) struct Writer {
-    parts: BTreeMap<(JobId, u32), Mark>,
+    parts: BTreeMap<(JobId, u32), DirtyMark>,
     blocks: BTreeMap<u32, Block>,
     closing: BTreeMap<JobId, Secs>,
     closed: VecDeque<(JobId, u64)>,
-    /// Records of jobs that are over, and their versions.
+    /// Obsolete records to delete, by key, and their versions.
     garbage: BTreeMap<String, u64>,
-    running: Option<Running>,
-    /// Records whose version must be read again.
+    in_flight: Option<InFlightTransaction>,
+    /// Records whose versions must be read again.
     uncertain: UncertainRecords,
-    /// Such reads are made no sooner.
+    /// Earliest time of the next such read.
     next_read: Secs,
+    /// Changes that the rate limit allows now (a token bucket).
     budget: f64,
-    rps: f64,
-    /// Changes of users lately, decaying: the rest of the rate is ours.
-    users: f64,
-    refilled: Secs,
-    next: Secs,
+    /// Change rate limit of the store, changes per second.
+    store_rate: f64,
+    /// Exponentially decaying count of the users' recent changes; the leader may use the rest
+    /// of the rate.
+    user_changes: f64,
+    refilled_at: Secs,
+    /// Earliest time of the next transaction.
+    next_flush: Secs,
+    /// Names of the machine types last written or found in the store.
     types_key: String,
     /// The common format last sent to the store.
     format_sent: u32,
-    /// What the state service takes, as far as it is known.
+    /// Known limits of the state service.
     limits: ShapeLimits,
-    /// Transactions refused one after another.
+    /// Number of consecutively refused transactions.
     refusals: u32,
 }
 
-/// The transaction under way.
+/// The transaction in flight.
 #[derive(Debug)]
-struct Running {
+struct InFlightTransaction {
     op: OpId,
-    /// For the case that it is rejected.
+    /// Used to shrink the limits if the transaction is rejected.
     shape: TransactionShape,
     entries: Vec<Entry>,
 }
@@ -147,14 +155,14 @@
             closing: BTreeMap::new(),
             closed: VecDeque::new(),
             garbage: BTreeMap::new(),
-            running: None,
+            in_flight: None,
             uncertain: UncertainRecords::default(),
             next_read: now,
             budget: facts.store_write_rps * LEADER_WRITE_SHARE,
-            rps: facts.store_write_rps,
-            users: 0.0,
-            refilled: now,
-            next: now,
+            store_rate: facts.store_write_rps,
+            user_changes: 0.0,
+            refilled_at: now,
+            next_flush: now,
             types_key: String::new(),
             format_sent: 0,
             limits: ShapeLimits::new(facts),
@@ -162,30 +170,32 @@
         }
     }
 
+    /// Refills the change budget for the time since the last call.
     fn refill(&mut self, now: Secs) {
-        let past = now - self.refilled;
-        self.refilled = now;
-        self.users *= (-past / USER_RATE_S).exp();
-        let rate = self.rps * LEADER_WRITE_MAX - self.users / USER_RATE_S;
-        let rate = rate.max(self.rps * LEADER_WRITE_SHARE);
-        self.budget = (self.budget + past * rate).min(self.rps * LEADER_WRITE_SHARE);
+        let elapsed = now - self.refilled_at;
+        self.refilled_at = now;
+        self.user_changes *= (-elapsed / USER_RATE_S).exp();
+        let rate = self.store_rate * LEADER_WRITE_MAX - self.user_changes / USER_RATE_S;
+        let rate = rate.max(self.store_rate * LEADER_WRITE_SHARE);
+        self.budget = (self.budget + elapsed * rate).min(self.store_rate * LEADER_WRITE_SHARE);
     }
 
-    /// What the state service takes, as far as it is known.
+    /// The known limits of the state service.
     pub(crate) fn limits(&self) -> ShapeLimits {
         self.limits
     }
 
-    /// Changes that the next transaction may have. One refused again and again may have more
-    /// than a second's worth of a rate that fell unannounced: it never goes through, while
-    /// smaller ones do. (All starts once waited for one of 16 changes at 15 a second.)
+    /// Maximum number of changes in the next transaction. It shrinks after repeated refusals: if
+    /// the store's rate fell without notice, a transaction larger than one second's worth of it
+    /// never succeeds, while smaller ones do. A transaction of 16 changes at a rate of 15 a second
+    /// blocked all starts.
     fn changes_allowed(&self) -> usize {
         let halvings = (self.refusals / REFUSALS_PER_HALVING).min(usize::BITS - 1);
-        let most = (self.limits.changes >> halvings).max(CHANGES_LEAST);
-        most.min(self.limits.changes).min(self.budget.max(0.0) as usize)
+        let limit = (self.limits.changes >> halvings).max(CHANGES_LEAST);
+        limit.min(self.limits.changes).min(self.budget.max(0.0) as usize)
     }
 
-    /// Whether the store's rate allows so many changes besides; if so, they are counted.
+    /// Whether the rate limit allows this many further changes; if so, they are deducted.
     pub(crate) fn afford(&mut self, changes: f64) -> bool {
         let affordable = self.may_afford(changes);
         if affordable {
@@ -194,35 +204,37 @@
         affordable
     }
 
-    /// Whether the store's rate allows so many changes besides.
+    /// Whether the rate limit allows this many further changes.
     pub(crate) fn may_afford(&self, changes: f64) -> bool {
         self.budget >= changes
     }
 
-    /// Counts changes that can't wait for the rate to allow them.
+    /// Deducts changes that can't wait for the rate limit.
     pub(crate) fn charge(&mut self, changes: f64) {
         self.budget -= changes;
     }
 
-    /// Users' submissions and cancels changed so many keys.
+    /// Counts keys changed by users' submissions and cancellations.
     pub(crate) fn saw_user_changes(&mut self, changes: f64) {
-        self.users += changes;
+        self.user_changes += changes;
     }
 
-    /// A task's started or finished mark changed; `starts`: a start waits for it.
+    /// Marks the records of a task as out of date because its started or finished state changed;
+    /// `starts` means that a start waits for the write.
     pub(crate) fn touch_task(&mut self, id: &JobId, n: u32, now: Secs, starts: bool) {
-        // Part 0 also names the machines; marks made ahead may reach into the
+        // Part 0 also names the machines. Tasks recorded as started ahead may reach into the
         // next part.
         for part in [0, n / PART_TASKS, n.saturating_add(START_AHEAD) / PART_TASKS] {
             let urgency = if starts { Urgency::Starts } else { Urgency::Lazy };
-            let mark = self.parts.entry((id.clone(), part)).or_insert(Mark { since: now, urgency });
+            let mark =
+                self.parts.entry((id.clone(), part)).or_insert(DirtyMark { since: now, urgency });
             if urgency > mark.urgency {
-                *mark = Mark { since: now, urgency };
+                *mark = DirtyMark { since: now, urgency };
             }
         }
     }
 
-    /// A machine is about to get a task: it must be recorded first.
+    /// Requests that a machine is recorded, which must precede the start of its first task.
     pub(crate) fn want_machine(&mut self, id: &MachineId, m: &mut Machine, now: Secs) {
         if m.recorded {
             return;
@@ -231,43 +243,43 @@
         m.block = Some(block);
         let entry = self.blocks.entry(block).or_default();
         entry.members.insert(id.clone());
-        Mark::merge(&mut entry.mark, now, Urgency::Starts);
+        DirtyMark::merge(&mut entry.mark, now, Urgency::Starts);
     }
 
-    /// The number of a block that takes another machine.
+    /// The number of a block with room for another machine.
     fn block_with_room(&self) -> u32 {
-        let most = self.limits.block_machines();
-        let with_room = self.blocks.iter().find(|(_, block)| block.members.len() < most);
+        let limit = self.limits.block_machines();
+        let with_room = self.blocks.iter().find(|(_, block)| block.members.len() < limit);
         with_room.map_or_else(|| self.next_block(), |(number, _)| *number)
     }
 
-    /// A block number not in use.
+    /// An unused block number.
     fn next_block(&self) -> u32 {
         self.blocks.last_key_value().map_or(0, |(number, _)| number + 1)
     }
 
-    /// A block as a new leader found it.
+    /// Adds a block that a new leader has loaded.
     pub(crate) fn found_block(&mut self, block: u32, version: u64, members: BTreeSet<MachineId>) {
         self.blocks.insert(block, Block { version, members, mark: None });
     }
 
-    /// A machine's record is out of date, or it is gone for good.
+    /// Marks a block as out of date because a machine's record changed or was removed.
     pub(crate) fn machine_changed(&mut self, block: u32, now: Secs) {
         self.mark_block(block, now, Urgency::Lazy);
     }
 
-    /// A machine holds other images than its record says.
+    /// Marks a block as out of date because the images of a machine changed.
     pub(crate) fn images_changed(&mut self, block: u32, now: Secs) {
         self.mark_block(block, now, Urgency::Images);
     }
 
     fn mark_block(&mut self, block: u32, now: Secs, urgency: Urgency) {
         if let Some(b) = self.blocks.get_mut(&block) {
-            Mark::merge(&mut b.mark, now, urgency);
+            DirtyMark::merge(&mut b.mark, now, urgency);
         }
     }
 
-    /// A machine is gone for good.
+    /// Removes a machine that is permanently gone from its block.
     pub(crate) fn machine_gone(&mut self, id: &MachineId, block: Option<u32>, now: Secs) {
         let Some(block) = block else { return };
         if let Some(b) = self.blocks.get_mut(&block) {
@@ -276,17 +288,18 @@
         self.machine_changed(block, now);
     }
 
-    /// A job may be ready to be closed.
+    /// Queues a job that may be ready to be closed.
     pub(crate) fn close(&mut self, id: &JobId, now: Secs) {
         self.closing.entry(id.clone()).or_insert(now);
     }
 
-    /// A record of no more use is there at that version.
+    /// Queues an obsolete record of that version for deletion.
     pub(crate) fn discard(&mut self, key: String, version: u64) {
         self.garbage.insert(key, version);
     }
 
-    /// Whether that very job was closed: the watch may still show it.
+    /// Whether this job, identified by id and spec version, was closed; the replica may still show
+    /// it.
     pub(crate) fn closed(&self, id: &JobId, version: u64) -> bool {
         self.closed.iter().any(|(j, v)| j == id && *v == version)
     }
--- a/crates/core/src/writer/uncertain.rs
+++ b/crates/core/src/writer/uncertain.rs
@@ -1,10 +1,10 @@
-//! Records whose version is uncertain: a transaction that wrote them got no answer, or one
-//! failed as their version wasn't what the leader thought. Each is read again, a few at a
-//! time, and nothing else waits for it.
+//! Records whose version is uncertain, because a transaction that wrote them got no answer or
+//! failed on a version conflict. Each of them is read again, a few at a time; other records don't
+//! wait for these reads.
 //!
-//! A read proves nothing of a transaction that is still under way: it may be carried out after
-//! the read. The next transaction then fails on the records concerned, and just these are read
-//! again.
+//! A read proves nothing about a transaction that is still in flight, which may be executed after
+//! the read. In that case the next transaction fails on the affected records, and only these are
+//! read again.
 
 use super::Entry;
 use crate::consts::UNCERTAIN_READS_MAX;
@@ -14,13 +14,12 @@
 /// A record whose version is uncertain.
 #[derive(Debug)]
 pub(super) struct UncertainRecord {
-    /// Its key.
     pub(super) key: String,
-    /// What was to be written.
+    /// The write whose outcome is unknown.
     pub(super) entry: Entry,
 }
 
-/// The records to be read again, and the reads under way.
+/// The records to be read again, and the reads in flight.
 #[derive(Debug, Default)]
 pub(super) struct UncertainRecords {
     waiting: VecDeque<UncertainRecord>,
@@ -29,50 +28,50 @@
 }
 
 impl UncertainRecords {
-    /// Whether the version of every record is known.
+    /// Whether the versions of all records are known.
     pub(super) fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// How many there are.
+    /// Number of records whose version is uncertain.
     pub(super) fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether that record's version is uncertain: it can't be written now.
+    /// Whether that record's version is uncertain, so that it can't be written now.
     pub(super) fn contains(&self, key: &str) -> bool {
         self.keys.contains(key)
     }
 
-    /// A record's version is uncertain from now on.
+    /// Marks the version of a record as uncertain.
     pub(super) fn insert(&mut self, key: String, entry: Entry) {
         if self.keys.insert(key.clone()) {
             self.waiting.push_back(UncertainRecord { key, entry });
         }
     }
 
-    /// The next record to be read, if another read may be under way besides.
+    /// The next record to read, if the limit of concurrent reads allows another one.
     pub(super) fn next_to_read(&mut self) -> Option<UncertainRecord> {
         if self.reading.len() < UNCERTAIN_READS_MAX { self.waiting.pop_front() } else { None }
     }
 
-    /// A read of a record is under way.
-    pub(super) fn reads(&mut self, op: OpId, record: UncertainRecord) {
+    /// Registers a read of a record as in flight.
+    pub(super) fn read_sent(&mut self, op: OpId, record: UncertainRecord) {
         self.reading.insert(op, record);
     }
 
-    /// If the answer is to a read of ours: the record that was read.
-    pub(super) fn answered(&mut self, op: OpId) -> Option<UncertainRecord> {
+    /// Ends the read with this id; returns its record, or `None` if there is no such read.
+    pub(super) fn handle_answer(&mut self, op: OpId) -> Option<UncertainRecord> {
         self.reading.remove(&op)
     }
 
-    /// The read of a record failed: it is read again after the others.
+    /// Queues a record whose read failed, behind the others.
     pub(super) fn read_failed(&mut self, record: UncertainRecord) {
         self.waiting.push_back(record);
     }
 
-    /// A record's version is known.
-    pub(super) fn settled(&mut self, key: &str) {
+    /// Marks the version of a record as known.
+    pub(super) fn version_known(&mut self, key: &str) {
         self.keys.remove(key);
     }
 }
