--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts as the leader books them: where they may be, and when they are surely over.
+//! The leader's view of attempts: on which machines they may run, and when they have certainly
+//! ended.
 
 use crate::event::Secs;
 use crate::jobs::Outcome;
@@ -7,7 +8,7 @@
 use marblebarrow_proto::job::Kind;
 
 impl Leader {
-    /// A job was cancelled: nothing of it starts from now on, all of it stops.
+    /// Cancels a job: none of its tasks start from now on, and the running ones are stopped.
     pub(crate) fn cancel(&mut self, now: Secs, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -38,7 +39,7 @@
         self.dependency_cancelled(now, id);
     }
 
-    /// An attempt is surely over: frees its place, and keeps the result.
+    /// Handles the certain end of an attempt: releases its capacity and records the outcome.
     pub(crate) fn over(&mut self, id: &JobId, n: u32, outcome: Outcome, now: Secs) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -56,11 +57,11 @@
                     m.unbook(&spec);
                 }
                 let image = &spec.image;
-                let waits = |t: &TaskId| {
+                let needs_image = |t: &TaskId| {
                     t.job == *id || self.jobs.get(&t.job).is_some_and(|j| j.spec().image == *image)
                 };
-                if m.fetching.contains_key(image) && !m.tasks.iter().any(waits) {
-                    // No task waits for it any more: the fetch is given up.
+                if m.fetching.contains_key(image) && !m.tasks.iter().any(needs_image) {
+                    // No task waits for this image any more, so its fetch is given up.
                     m.fetching.remove(image);
                 }
                 if m.tasks.is_empty() {
@@ -70,8 +71,8 @@
             }
         }
         let Some(job) = self.jobs.get_mut(id) else { return };
-        // While recovering, an earlier leader may have made a later attempt
-        // than the one that ended, on a machine not heard yet.
+        // During recovery, the task may also have a later attempt of an earlier leader on a
+        // machine that has not reported yet.
         let earlier = job.live.get(&n).is_some_and(|l| (l.attempt.0 >> 32) < self.term.0);
         job.over(n, outcome, now);
         if self.recovering && earlier && outcome != Outcome::Done {
@@ -90,7 +91,7 @@
         self.place_due = true;
     }
 
-    /// Books a place for an attempt on its machine.
+    /// Reserves capacity for an attempt on its machine.
     pub(crate) fn attach(&mut self, id: &JobId, n: u32, machine: &MachineId) {
         let (Some(job), Some(m)) = (self.jobs.get(id), self.machines.get_mut(machine)) else {
             return;
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Everything on a machine is surely gone.
+    /// Handles the certain loss of all tasks on a machine.
     pub(crate) fn lose_tasks(&mut self, machine: &MachineId, now: Secs) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -1,4 +1,4 @@
-//! Direct commands under way, and what their answers, or that there are none, prove.
+//! Tracks direct commands in flight, and handles their answers or the lack of one.
 
 use crate::consts::{DIRECT_BACKOFF_S, PROBE_AGAIN_S, PROBES};
 use crate::event::{DirectResult, OpId, Secs};
@@ -8,23 +8,24 @@
 use marblebarrow_proto::ids::MachineId;
 use marblebarrow_proto::wire::Heartbeat;
 
-/// Direct commands under way.
+/// A message with direct commands in flight to one worker.
 #[derive(Debug)]
 pub(crate) struct DirectSent {
     pub machine: MachineId,
     pub agent_epoch: u64,
     pub fencing_token: u64,
-    /// When it was sent.
+    /// When the message was sent.
     pub at: Secs,
-    /// Epoch and number of the newest message known at sending.
+    /// Agent epoch and sequence number of the worker's newest message known when this was sent.
     pub known: (u64, u64),
+    /// The attempts that it starts.
     pub starts: Vec<AttemptKey>,
-    /// The machine didn't answer the last.
+    /// The machine didn't answer the previous message.
     pub unreached: bool,
 }
 
 impl Leader {
-    /// A worker answered direct commands, or didn't.
+    /// Handles the result of direct commands.
     pub fn direct(&mut self, now: Secs, op: OpId, result: DirectResult) {
         let Some(sent) = self.directs.remove(&op) else {
             return;
@@ -45,6 +46,7 @@
         }
     }
 
+    /// Handles an answered message: the worker is reachable, and its answer is a heartbeat.
     fn direct_answered(&mut self, now: Secs, sent: &DirectSent, heartbeat: &Heartbeat) {
         let Some(m) = self.machines.get_mut(&sent.machine) else {
             return;
@@ -53,18 +55,19 @@
         m.unreached = 0;
         m.probe_due = false;
         if (heartbeat.agent_epoch, heartbeat.seq) <= sent.known {
-            return self.worker_began_anew(now, &sent.machine);
+            return self.worker_was_reset(now, &sent.machine);
         }
         self.apply_heartbeat(now, heartbeat);
         self.place_due = true;
     }
 
-    /// The answer to a question of ours can't be a late copy, and yet it counts from below what
-    /// we knew: the worker itself began anew. Its numbers no longer tell old from new, and
-    /// orders held back for the one before match its epoch, so nothing but its release
-    /// proves what doesn't run there. (A copy of its former self's list once was believed, and
-    /// a task ran twice.)
-    fn worker_began_anew(&mut self, now: Secs, id: &MachineId) {
+    /// Handles a worker whose state was reset. Its answer to a direct command can't be a delayed
+    /// duplicate, and yet its sequence number is not above the ones known when the command was
+    /// sent. Its sequence numbers therefore no longer order its messages, and delayed commands for
+    /// the worker before the reset match its agent epoch, so only the release of the machine
+    /// proves what doesn't run there. When the machine was kept, a duplicate of an old task list
+    /// was accepted and a task ran twice.
+    fn worker_was_reset(&mut self, now: Secs, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
@@ -77,14 +80,15 @@
         self.cloud_requests.to_release.insert(id.clone());
     }
 
+    /// Handles an unanswered message: schedules a retry and makes its starts ready again.
     fn direct_failed(&mut self, now: Secs, sent: DirectSent) {
         let Some(m) = self.machines.get_mut(&sent.machine) else {
             return;
         };
         m.unreached += 1;
         m.direct_failed = Some(now);
-        let again = if m.unreached < PROBES { PROBE_AGAIN_S } else { DIRECT_BACKOFF_S };
-        m.direct_after = now + again;
+        let backoff = if m.unreached < PROBES { PROBE_AGAIN_S } else { DIRECT_BACKOFF_S };
+        m.direct_after = now + backoff;
         if m.agent_epoch != sent.agent_epoch {
             return;
         }
@@ -95,8 +99,8 @@
                 && live.machine == sent.machine
                 && live.attempt == *attempt
             {
-                // May still arrive, minutes later: it is unconfirmed until the worker has shown
-                // a higher token, and its attempt must not be cleared before.
+                // The command may still arrive, minutes later. The start stays unconfirmed until
+                // the worker has shown a higher token, and its attempt must not be cleared before.
                 live.unconfirmed = m.unconfirmed_starts.contains(&key);
                 if live.phase == Phase::Sent {
                     live.phase = Phase::Ready;
--- a/crates/core/src/fencing.rs
+++ b/crates/core/src/fencing.rs
@@ -1,12 +1,12 @@
-//! Raising the fencing token within a leadership.
+//! Raises the fencing token during a leadership.
 //!
-//! The token of a new leader is the term, raised in the transaction that sets the leader key.
-//! A leader in office may raise the stored counter again, on condition that its leader key
-//! still has the version that its election gave it, and use the higher number as a token for
-//! some workers: whatever carries a lower one is refused there once they have seen it. Nobody
-//! else can have taken that number, as whoever is elected next raises the counter further.
-//! A number counts as ours only when the answer to our transaction said so: after a lost
-//! answer the counter is read again and raised once more.
+//! The token of a new leader is its term; the stored counter is raised to it in the transaction
+//! that sets the leader key. A leader may raise the counter again, on condition that its leader key
+//! still has the version from its election, and use the higher number as the token for some
+//! workers. Once a worker has seen it, the worker refuses everything that carries a lower token.
+//! No other controller can own that number, as the next elected leader raises the counter further.
+//! The leader uses a number only after the answer to its transaction confirmed it: after a lost
+//! answer it reads the counter again and raises it once more.
 
 use crate::consts::STORE_RETRY_S;
 use crate::event::{ActionSink, OpId, Secs, StoreRequest, StoreResult};
@@ -14,57 +14,58 @@
 use marblebarrow_proto::records::{LEADER, TERM, TermRecord};
 use marblebarrow_proto::wire::{Cond, Item, Txn, Write};
 
-/// The stored counter as last seen.
+/// The stored counter as last read or written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Counter {
     value: u64,
     version: u64,
 }
 
-/// What is under way at the state service.
+/// The request in flight to the state service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Step {
+enum RaiseStep {
     Reading(OpId),
     Raising { op: OpId, fencing_token: u64 },
 }
 
-/// What an answer of the state service meant for the token.
+/// What an answer of the state service means for the token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RaiseOutcome {
-    /// It was the answer to something else.
-    NotOurs,
-    /// No higher token yet.
-    NotYet,
-    /// This token is ours from now on.
+    /// The answer belongs to another request.
+    Unrelated,
+    /// There is no higher token yet.
+    Pending,
+    /// The leader may use this token from now on.
     Raised(u64),
-    /// The leader key has changed: we no longer lead.
+    /// The leader key has changed: this controller is no longer the leader.
     NotLeading,
 }
 
-/// The tokens that a leadership may use, and how it gets higher ones.
+/// The fencing tokens that a leader may use, and the requests that obtain higher ones.
 #[derive(Debug)]
 pub struct FencingToken {
-    /// Version of the leader key.
+    /// Version of the leader key that the election gave it.
     leader_version: u64,
     highest: u64,
     counter: Option<Counter>,
-    step: Option<Step>,
+    step: Option<RaiseStep>,
+    /// Earliest time of the next request.
     not_before: Secs,
 }
 
 impl FencingToken {
-    /// The tokens of a leadership that has just begun: its term alone.
+    /// The tokens of a newly elected leader: its term alone.
     pub fn new(term: u64, leader_version: u64) -> Self {
         Self { leader_version, highest: term, counter: None, step: None, not_before: 0.0 }
     }
 
-    /// The highest token that is surely ours.
+    /// The highest token that this leader is known to own.
     pub fn highest(&self) -> u64 {
         self.highest
     }
 
-    /// Asks for a higher token, unless one is on its way or was asked for less than `pause`
-    /// seconds ago. Returns how many keys of the store this changes.
+    /// Requests a higher token, unless a request is in flight or the last one was made less than
+    /// `pause` seconds ago. Returns how many keys of the store this changes.
     pub fn raise(&mut self, now: Secs, pause: Secs, out: &mut ActionSink) -> u32 {
         if self.step.is_some() || now < self.not_before {
             return 0;
@@ -76,12 +77,13 @@
                 1
             }
             None => {
-                self.step = Some(Step::Reading(out.store(StoreRequest::Get(TERM.into()))));
+                self.step = Some(RaiseStep::Reading(out.store(StoreRequest::Get(TERM.into()))));
                 1
             }
         }
     }
 
+    /// Sends the transaction that raises the counter.
     fn commit(&mut self, counter: Counter, out: &mut ActionSink) {
         let token = counter.value.max(self.highest) + 1;
         let txn = Txn {
@@ -96,11 +98,11 @@
             }],
         };
         let op = out.store(StoreRequest::Commit(txn));
-        self.step = Some(Step::Raising { op, fencing_token: token });
+        self.step = Some(RaiseStep::Raising { op, fencing_token: token });
     }
 
-    /// The state service answered.
-    pub fn answered(
+    /// Handles an answer of the state service.
+    pub fn handle_answer(
         &mut self,
         now: Secs,
         op: OpId,
@@ -108,19 +110,20 @@
         out: &mut ActionSink,
     ) -> RaiseOutcome {
         match self.step {
-            Some(Step::Reading(read)) if read == op => {
+            Some(RaiseStep::Reading(read)) if read == op => {
                 self.step = None;
                 self.counter_read(now, result, out);
-                RaiseOutcome::NotYet
+                RaiseOutcome::Pending
             }
-            Some(Step::Raising { op: sent, fencing_token: token }) if sent == op => {
+            Some(RaiseStep::Raising { op: sent, fencing_token: token }) if sent == op => {
                 self.step = None;
                 self.raised(now, token, result)
             }
-            _ => RaiseOutcome::NotOurs,
+            _ => RaiseOutcome::Unrelated,
         }
     }
 
+    /// Handles the answer to a read of the counter.
     fn counter_read(&mut self, now: Secs, result: &StoreResult, out: &mut ActionSink) {
         let StoreResult::Value(Some(Item { value, version, .. })) = result else {
             self.not_before = now + STORE_RETRY_S;
@@ -135,6 +138,7 @@
         self.commit(counter, out);
     }
 
+    /// Handles the answer to the transaction that raises the counter.
     fn raised(&mut self, now: Secs, token: u64, result: &StoreResult) -> RaiseOutcome {
         match result {
             StoreResult::Committed(version) => {
@@ -145,11 +149,11 @@
             StoreResult::Conflict(keys) if keys.iter().any(|key| key == LEADER) => {
                 RaiseOutcome::NotLeading
             }
-            // Perhaps carried out, now or later: the counter is read again.
+            // May have been executed, or may be executed later: the counter is read again.
             _ => {
                 self.counter = None;
                 self.not_before = now + STORE_RETRY_S;
-                RaiseOutcome::NotYet
+                RaiseOutcome::Pending
             }
         }
     }
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -1,6 +1,6 @@
-//! Taking over: load the records, then re-launch nothing that an earlier
-//! leader started until every recorded machine has reported under our term,
-//! was released, or outlived its lease since we took office.
+//! Takeover: a new leader loads the records. It restarts nothing that an earlier leader started
+//! until every recorded machine that may run it has reported under the new term, was released, or
+//! has had its lease expire since this leader was elected.
 
 use crate::consts::{LEAST_BILL_S, STORE_RETRY_S};
 use crate::event::{ActionSink, OpId, Secs, StoreRequest, StoreResult};
@@ -16,12 +16,14 @@
 use marblebarrow_proto::wire::Item;
 use std::collections::BTreeSet;
 
-/// The reads of a new leader.
+/// Progress of the reads of a new leader.
 #[derive(Debug)]
 pub(crate) struct Loading {
     op: Option<OpId>,
     retry_at: Secs,
+    /// Whether the progress records are read, and the machine blocks are next.
     machines: bool,
+    /// The last key read.
     after: String,
     progress_items: Vec<Item>,
     machine_items: Vec<Item>,
@@ -29,6 +31,7 @@
 }
 
 impl Leader {
+    /// Sends the first read of the records.
     pub(crate) fn start_loading(&mut self, out: &mut ActionSink) {
         let op = out.store(StoreRequest::Range { prefix: PROGRESS.into(), after: String::new() });
         self.loading = Some(Loading {
@@ -42,6 +45,7 @@
         });
     }
 
+    /// Sends the next read, or finishes loading once all records are read.
     pub(crate) fn keep_loading(
         &mut self,
         now: Secs,
@@ -61,6 +65,7 @@
         }
     }
 
+    /// Handles the answer to a read of the records.
     pub(crate) fn loaded(
         &mut self,
         now: Secs,
@@ -80,8 +85,8 @@
             return;
         };
         l.after = page.items.last().map_or_else(String::new, |i| i.key.clone());
-        let into = if l.machines { &mut l.machine_items } else { &mut l.progress_items };
-        into.extend(page.items);
+        let items = if l.machines { &mut l.machine_items } else { &mut l.progress_items };
+        items.extend(page.items);
         if !page.more {
             l.after.clear();
             if l.machines {
@@ -92,9 +97,9 @@
         self.keep_loading(now, wall_ms, replica, out);
     }
 
-    // The copy of the watched keys must have reached our own election: only
-    // then does it hold every job accepted before, and what comes later comes
-    // as a change.
+    /// Builds the state of the leader from the records read. The replica of the watched keys must
+    /// have reached this leader's election first: only then does it hold every job accepted
+    /// before, and later jobs arrive as changes.
     fn finish_loading(&mut self, now: Secs, wall_ms: u64, replica: &Replica, out: &mut ActionSink) {
         if replica.leader.as_ref().is_none_or(|(_, v)| *v < self.version) {
             return;
@@ -109,8 +114,8 @@
                 continue;
             };
             let Some(job) = self.jobs.get_mut(&id) else {
-                // Its job is over, or its watch event is yet to come, which
-                // the condition on its version then tells.
+                // Either its job has ended, or the watch event of the job is still to come; in
+                // the latter case the condition on the record's version makes the deletion fail.
                 if !replica.specs.contains_key(&id) {
                     self.writer.discard(item.key, item.version);
                 }
@@ -140,19 +145,19 @@
                 let mut m = Machine::new(info, now);
                 m.recorded = true;
                 m.block = Some(block);
-                // Its least bill is mostly paid: a fleet that idles after a
-                // takeover once was kept for half a minute more.
+                // Assumes that the minimum bill is mostly paid. Otherwise a fleet that idles
+                // after a takeover is kept for half a minute too long.
                 m.first_heard = now - LEAST_BILL_S;
-                // Shows the worker our token, so that older orders under way to
-                // it are void and its answer is whole.
+                // Shows the worker the new token, so that it refuses older commands still in
+                // flight and answers with a complete report.
                 m.probe_due = true;
                 self.machines.insert(id, m);
             }
         }
-        // Numbers of machines long gone may stand in jobs' records still, so
-        // none of those is given out again.
-        let named = self.jobs.values().filter_map(|j| j.machines.bounds()).map(|(_, last)| last);
-        self.next_number = named.fold(self.next_number, u32::max);
+        // Jobs' records may still contain the numbers of removed machines, so these numbers
+        // are not assigned again.
+        let recorded = self.jobs.values().filter_map(|j| j.machines.bounds()).map(|(_, last)| last);
+        self.next_number = recorded.fold(self.next_number, u32::max);
         self.learn_types();
         self.log.push(|| {
             format!(
@@ -165,13 +170,14 @@
         self.push_direct(now, out);
     }
 
-    /// Ends recovery once every recorded machine is accounted for.
+    /// Allows the tasks of a job to be started again once no machine that may run them is
+    /// unaccounted for, and ends the recovery once all recorded machines are accounted for.
     pub(crate) fn check_recovered(&mut self, now: Secs) {
         if !self.recovering {
             return;
         }
-        // A job's tasks can only be on the machines that its record names, so
-        // a silent machine holds up no others.
+        // A job's tasks can only be on the machines that its record names, so an unreachable
+        // machine delays no other jobs.
         let unaccounted: BTreeSet<u32> = self
             .machines
             .values()
@@ -203,6 +209,7 @@
     }
 }
 
+/// Restores one part of a job's progress from its record.
 fn restore(job: &mut Job, part: u32, version: u64, record: &ProgressRecord) {
     let Some(slot) = job.parts.get_mut(part as usize) else {
         return;
@@ -214,7 +221,7 @@
     record.started.unpack(start, len, &mut job.stored_started);
     record.finished.unpack(start, len, &mut job.stored_finished);
     if part == 0 && record.mean_ms > 0 {
-        // Resampled, but not from nothing.
+        // The recorded mean counts as one sample until new ones arrive.
         job.runs = (1, record.mean_ms as f64 / 1e3);
     }
     if part == 0 {
--- a/crates/core/src/revocation.rs
+++ b/crates/core/src/revocation.rs
@@ -1,10 +1,11 @@
-//! Taking back starts whose fate is unknown, by raising the token of their machines.
+//! Revokes starts whose outcome is unknown, by raising the fencing token of their machines.
 //!
-//! A machine with an unconfirmed start that is of no more use is answered with a token higher than
-//! the start carried. The worker takes it in with the same answer that renews its lease, so
-//! every renewal also revokes the start. Until a higher token is there, its lease may be renewed
-//! only as long as it can still run out before the tasks of the cancelled job must be gone;
-//! then answers are withheld, and the end of the epoch takes the start back.
+//! A machine with an unconfirmed start that is no longer wanted gets answers with a higher token
+//! than the start carried. The worker adopts that token from the same answer that renews its
+//! lease, so every renewal also revokes the start. Until a higher token is available, the lease
+//! may be renewed only as long as it can still expire before the tasks of the cancelled job must
+//! be gone. After that the leader withholds its answers, and the end of the agent epoch revokes
+//! the start.
 
 use crate::consts::*;
 use crate::direct_results::DirectSent;
@@ -16,30 +17,31 @@
 use crate::unconfirmed_starts::UnconfirmedStart;
 use marblebarrow_proto::ids::{JobId, MachineId};
 
-/// Counters of unconfirmed starts since the leader took office.
+/// Counters of unconfirmed starts since the leader was elected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RevocationCounters {
     /// Starts that became unconfirmed.
     pub unconfirmed: u64,
-    /// Tokens raised.
+    /// Raises of the fencing token.
     pub raised: u64,
-    /// Starts taken back, as their worker showed a higher token.
+    /// Starts revoked, because their worker showed a higher token.
     pub revoked: u64,
-    /// Answers withheld, lest they renew a lease for too long.
+    /// Answers withheld, because they would have renewed a lease for too long.
     pub withheld: u64,
 }
 
-/// How urgently a higher token is wanted.
+/// How urgently a higher token is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// Booked room, or an entry that can't be cleared, waits for it.
+    /// Reserved capacity, or a task entry that can't be cleared, waits for it.
     Room,
-    /// A cancelled job's start could be carried out too late.
+    /// The start of a cancelled job could be executed too late.
     Cancellation,
 }
 
 impl Leader {
-    /// The token for commands and answers to a machine: the term, unless it was raised there.
+    /// The token for commands and answers to a machine: the term, unless it was raised for this
+    /// machine.
     pub(crate) fn fencing_token_for(&self, machine: &Machine) -> u64 {
         let shown = machine.fencing_token.min(self.fencing.highest());
         self.term.0.max(machine.raised_fencing_token).max(shown)
@@ -50,14 +52,14 @@
         self.fencing.highest()
     }
 
-    /// Direct commands went unanswered: their starts are unconfirmed while the worker may still
-    /// take their token.
+    /// Records the starts of unanswered direct commands as unconfirmed if the worker may still
+    /// accept their token.
     pub(crate) fn note_unconfirmed_starts(&mut self, now: Secs, sent: &DirectSent) {
         let Some(m) = self.machines.get_mut(&sent.machine) else { return };
-        let over = m.lapsed.is_some()
+        let ended = m.lapsed.is_some()
             || m.agent_epoch != sent.agent_epoch
             || m.fencing_token > sent.fencing_token;
-        if over || sent.starts.is_empty() {
+        if ended || sent.starts.is_empty() {
             return;
         }
         for key in &sent.starts {
@@ -65,7 +67,7 @@
             let job = self.jobs.get(&task.job);
             let cancelled_at = match job {
                 Some(job) => job.cancelled_at,
-                // Closed since; it wasn't known to be cancelled when this was sent.
+                // The job was closed after the command was sent; a cancellation was unknown then.
                 None => Some(sent.at - self.facts.replica_age_limit()),
             };
             let listed = m.exited.contains_key(key)
@@ -78,7 +80,7 @@
                 cancelled_at,
                 listed,
             };
-            m.unconfirmed_starts.note(key.clone(), start);
+            m.unconfirmed_starts.record(key.clone(), start);
             self.revocations.unconfirmed += 1;
             let (machine, agent_epoch, token) =
                 (&sent.machine, sent.agent_epoch, sent.fencing_token);
@@ -93,7 +95,7 @@
         self.machines_with_unconfirmed_starts.insert(sent.machine.clone());
     }
 
-    /// A worker has shown a token: starts that carried a lower one are taken back.
+    /// Removes the unconfirmed starts that carried a lower token than the worker has shown.
     pub(crate) fn revoke_shown(&mut self, now: Secs, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id).filter(|m| !m.unconfirmed_starts.is_empty()) else {
             return;
@@ -115,7 +117,7 @@
         });
     }
 
-    /// Starts of a job that is cancelled now are to be taken back.
+    /// Marks the unconfirmed starts of a job that was just cancelled for revocation.
     pub(crate) fn unconfirmed_starts_cancelled(&mut self, now: Secs, id: &JobId) {
         let known_at = self.knowledge.known_at;
         let mut starts = 0;
@@ -132,10 +134,10 @@
         }
     }
 
-    /// Gives machines a higher token where that revokes an unconfirmed start, and asks for one if
-    /// there is none yet.
+    /// Assigns a higher token to machines where it revokes an unconfirmed start, and requests a
+    /// higher one if there is none yet.
     pub(crate) fn revoke_unconfirmed_starts(&mut self, now: Secs, out: &mut ActionSink) {
-        let mut wanted: Option<Urgency> = None;
+        let mut needed: Option<Urgency> = None;
         for id in std::mem::take(&mut self.machines_with_unconfirmed_starts) {
             let Some((urgency, token)) = self.unconfirmed_start_to_revoke(&id) else {
                 if self.machines.get(&id).is_some_and(|m| !m.unconfirmed_starts.is_empty()) {
@@ -147,15 +149,15 @@
             if let Some(m) = self.machines.get_mut(&id) {
                 if highest > token {
                     m.raised_fencing_token = highest;
-                    // Shown in the answer to a direct command sooner than in a heartbeat.
+                    // A direct command shows the worker the token sooner than a heartbeat answer.
                     m.probe_due |= urgency == Urgency::Cancellation;
                 } else {
-                    wanted = wanted.max(Some(urgency));
+                    needed = needed.max(Some(urgency));
                 }
             }
             self.machines_with_unconfirmed_starts.insert(id);
         }
-        let Some(urgency) = wanted else { return };
+        let Some(urgency) = needed else { return };
         let pause = match urgency {
             Urgency::Cancellation => RAISE_CANCELLED_EVERY_S,
             Urgency::Room => RAISE_EVERY_S,
@@ -164,28 +166,29 @@
         self.writer.charge(f64::from(changes));
     }
 
-    /// The most urgent unconfirmed start on a machine that its present token doesn't revoke, and
-    /// the highest token that a start of such carried.
+    /// The highest urgency of the unwanted unconfirmed starts on a machine that its present token
+    /// doesn't revoke, and the highest token that these starts carried.
     fn unconfirmed_start_to_revoke(&self, id: &MachineId) -> Option<(Urgency, u64)> {
         let m = self.machines.get(id)?;
         if m.lapsed.is_some() || m.releasing {
             return None;
         }
         let token = self.fencing_token_for(m);
-        let open = m.unconfirmed_starts.iter().filter(|(_, start)| start.fencing_token >= token);
+        let unrevoked =
+            m.unconfirmed_starts.iter().filter(|(_, start)| start.fencing_token >= token);
 
-        let useless = open.filter_map(|((task, attempt), start)| {
-            if start.dangerous_since().is_some() {
+        let unwanted = unrevoked.filter_map(|((task, attempt), start)| {
+            if start.must_revoke_since().is_some() {
                 return Some((Urgency::Cancellation, start.fencing_token));
             }
             let live = live_attempt(&self.jobs, task);
             let wanted = live.is_some_and(|l| l.attempt == *attempt && l.stop.is_none());
             (!wanted).then_some((Urgency::Room, start.fencing_token))
         });
-        useless.reduce(|a, b| (a.0.max(b.0), a.1.max(b.1)))
+        unwanted.reduce(|a, b| (a.0.max(b.0), a.1.max(b.1)))
     }
 
-    /// The state service answered. Whether that was about the token.
+    /// Handles an answer of the state service if it belongs to a raise of the token.
     pub(crate) fn fencing_token_answered(
         &mut self,
         now: Secs,
@@ -193,9 +196,9 @@
         result: &StoreResult,
         out: &mut ActionSink,
     ) -> WriteOutcome {
-        match self.fencing.answered(now, op, result, out) {
-            RaiseOutcome::NotOurs => WriteOutcome::NotOurs,
-            RaiseOutcome::NotYet => WriteOutcome::Ours,
+        match self.fencing.handle_answer(now, op, result, out) {
+            RaiseOutcome::Unrelated => WriteOutcome::NotOurs,
+            RaiseOutcome::Pending => WriteOutcome::Ours,
             RaiseOutcome::NotLeading => WriteOutcome::NotLeading,
             RaiseOutcome::Raised(token) => {
                 self.revocations.raised += 1;
@@ -212,9 +215,9 @@
         }
     }
 
-    /// Whether an answer may renew a machine's lease: it ends every unconfirmed start of a
-    /// cancelled job there, or the lease can still run out in time. Starts on their way count
-    /// as unconfirmed, as their answer may never come.
+    /// Whether an answer may renew a machine's lease: either its token revokes every unconfirmed
+    /// start of a cancelled job there, or the lease can still expire in time. Starts in flight
+    /// count as unconfirmed, as their answer may never arrive.
     pub(crate) fn may_renew(&mut self, now: Secs, id: &MachineId) -> bool {
         let Some(m) = self.machines.get(id) else { return true };
         if m.unconfirmed_starts.is_empty() && m.direct.is_none() {
@@ -223,21 +226,22 @@
         let token = self.fencing_token_for(m);
         let unconfirmed =
             m.unconfirmed_starts.iter().filter(|(_, start)| start.fencing_token >= token);
-        let cancelled = unconfirmed.filter_map(|(_, start)| start.dangerous_since());
+        let cancelled = unconfirmed.filter_map(|(_, start)| start.must_revoke_since());
         let sent =
             m.direct.and_then(|op| self.directs.get(&op)).filter(|s| s.fencing_token >= token);
         let sent = sent.into_iter().flat_map(|sent| &sent.starts);
-        let under_way = sent.filter_map(|(task, _)| self.jobs.get(&task.job)?.cancelled_at);
-        let Some(cancelled_at) = cancelled.chain(under_way).reduce(f64::min) else { return true };
-        let until = cancelled_at + self.facts.cancel_room();
-        if now <= until {
+        let pending = sent.filter_map(|(task, _)| self.jobs.get(&task.job)?.cancelled_at);
+        let Some(cancelled_at) = cancelled.chain(pending).reduce(f64::min) else { return true };
+        let renewable_until = cancelled_at + self.facts.cancel_room();
+        if now <= renewable_until {
             return true;
         }
-        self.withhold(now, id, cancelled_at);
+        self.withhold_answer(now, id, cancelled_at);
         false
     }
 
-    fn withhold(&mut self, now: Secs, id: &MachineId, cancelled_at: Secs) {
+    /// Counts a withheld answer, and logs the first one in a row per machine.
+    fn withhold_answer(&mut self, now: Secs, id: &MachineId, cancelled_at: Secs) {
         self.revocations.withheld += 1;
         let Some(m) = self.machines.get_mut(id) else { return };
         if std::mem::replace(&mut m.withheld, true) {
@@ -250,7 +254,7 @@
         });
     }
 
-    /// Logs the counters of unconfirmed starts.
+    /// Logs the counters of unconfirmed starts at a fixed interval.
     pub(crate) fn log_unconfirmed_starts(&mut self, now: Secs) {
         if now < self.next_unconfirmed_log {
             return;
@@ -263,8 +267,8 @@
         };
         let starts = unconfirmed_starts().count();
         let oldest = unconfirmed_starts().map(|(_, start)| now - start.since).fold(0.0, f64::max);
-        let cancelled = || unconfirmed_starts().filter_map(|(_, start)| start.dangerous_since());
-        let open = cancelled().count();
+        let cancelled = || unconfirmed_starts().filter_map(|(_, start)| start.must_revoke_since());
+        let unrevoked = cancelled().count();
         let earliest = cancelled().reduce(f64::min);
         let least_left =
             earliest.map_or("-".into(), |at| format!("{:.1}", at + self.facts.cancel_s - now));
@@ -272,7 +276,7 @@
         let (term, suppressed) = (self.term.0, self.log.suppressed());
         self.log.info(now, || {
             format!(
-                "event=doubts starts={starts} oldest_s={oldest:.1} cancelled_starts={open} \
+                "event=doubts starts={starts} oldest_s={oldest:.1} cancelled_starts={unrevoked} \
                  least_left_s={least_left} became_doubtful={unconfirmed} tokens_raised={raised} \
                  revoked={revoked} answers_withheld={withheld} suppressed_lines={suppressed} \
                  term={term}"
