--- a/crates/core/src/record_shape.rs
+++ b/crates/core/src/record_shape.rs
@@ -1,5 +1,5 @@
-//! Shapes of records that fit the state service's limits, which may fall without notice:
-//! machine blocks split, progress records coarsen, transactions shrink. Holds no I/O.
+//! Fits records to the limits of the state service, which may fall without notice: splits machine
+//! blocks, coarsens progress records and shrinks transactions. Does no I/O.
 
 use crate::consts::{
     BLOCK_MACHINES, CHANGES_LEAST, MACHINE_RECORD_BYTES, MACHINE_RECORD_SHARE, VALUE_BYTES_LEAST,
@@ -12,34 +12,34 @@
 use marblebarrow_proto::records::{MachineBlock, MachineRecord, NumberSet, ProgressRecord};
 use serde::Serialize;
 
-/// What the state service takes: as the settings say, or less where it rejected more.
+/// Limits of the state service: those of the settings, or lower ones after rejections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShapeLimits {
-    /// Bytes of a value as JSON.
+    /// Maximum size of a value, in bytes of JSON.
     pub value_bytes: usize,
-    /// Puts and deletes in a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub changes: usize,
 }
 
 impl ShapeLimits {
-    /// As the settings say.
+    /// The limits of the settings.
     pub fn new(facts: &Facts) -> Self {
         Self { value_bytes: facts.store_value_bytes, changes: facts.store_txn_ops }
     }
 
-    /// Bytes of a value that a record may fill.
+    /// Maximum size of a record, in bytes; smaller than the value limit by a margin.
     pub fn record_bytes(&self) -> usize {
         (self.value_bytes as f64 * VALUE_FILL) as usize
     }
 
-    /// Machines that a new block is given.
+    /// Number of machines that are assigned to a new block.
     pub fn block_machines(&self) -> usize {
         (self.record_bytes() / MACHINE_RECORD_BYTES).clamp(1, BLOCK_MACHINES)
     }
 
-    /// The state service rejected a transaction as malformed or too large: the next are
-    /// smaller. It doesn't say which limit was passed, so fewer changes are tried first,
-    /// then smaller values.
+    /// Lowers the limits after the state service rejected a transaction as malformed or too large.
+    /// It doesn't say which limit was exceeded, so fewer changes are tried first, then smaller
+    /// values.
     pub fn shrink(&mut self, rejected: TransactionShape) {
         if rejected.changes > CHANGES_LEAST {
             self.changes = self.changes.min((rejected.changes / 2).max(CHANGES_LEAST));
@@ -50,26 +50,26 @@
     }
 }
 
-/// What counts of a transaction for the limits.
+/// The properties of a transaction that are subject to limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransactionShape {
-    /// Puts and deletes.
+    /// Number of puts and deletes.
     pub changes: usize,
-    /// Bytes of the largest value put, as JSON, at most.
+    /// Upper bound of the size of the largest value, in bytes of JSON.
     pub largest_value: usize,
 }
 
-/// A record's value, and the bytes that it takes as JSON at most.
+/// A record's value and an upper bound of its size as JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SizedValue {
-    /// What is stored.
+    /// The stored value.
     pub value: ciborium::Value,
-    /// Its size.
+    /// Upper bound of its size, in bytes of JSON.
     pub bytes: usize,
 }
 
 impl SizedValue {
-    /// A small record, measured.
+    /// Encodes a small record and measures its size.
     pub fn of(record: &impl Serialize) -> Self {
         let value = to_value(record);
         let bytes = json_len(&value);
@@ -77,27 +77,27 @@
     }
 }
 
-/// A block of machine records that fits, and its size as JSON at most, bytes.
+/// A block of machine records that fits one value, and an upper bound of its size as JSON.
 #[derive(Debug, PartialEq)]
 pub struct SizedBlock {
-    /// The records.
+    /// The machine records.
     pub block: MachineBlock,
-    /// Its size.
+    /// Upper bound of its size, in bytes of JSON.
     pub bytes: usize,
 }
 
-/// Machine records in as few blocks as their size allows, in order. Images that a
-/// machine held longest ago are left out where its record takes too much of a value.
+/// Distributes machine records, in order, over as few blocks as their size allows. If a machine's
+/// record is too large, its least recently held images are left out.
 pub fn split_block(
     machines: Vec<(MachineId, MachineRecord)>,
     limits: ShapeLimits,
 ) -> Vec<SizedBlock> {
-    let most = limits.record_bytes();
+    let limit = limits.record_bytes();
     let mut blocks: Vec<SizedBlock> = Vec::new();
     for (id, mut record) in machines {
         let bytes = trim_images(&id, &mut record, limits);
         match blocks.last_mut() {
-            Some(last) if last.bytes + bytes <= most => {
+            Some(last) if last.bytes + bytes <= limit => {
                 last.block.machines.push((id, record));
                 last.bytes += bytes;
             }
@@ -110,44 +110,44 @@
     blocks
 }
 
-/// Bytes of `{"machines":[]}`.
+/// Size of `{"machines":[]}`, in bytes.
 const BLOCK_FRAME_BYTES: usize = 15;
-/// Bytes of a machine's entry in a block besides its texts, at most: field names, brackets,
-/// commas, a flag of five letters and a number of ten digits.
+/// Maximum size of a machine's entry in a block without its strings, in bytes: field names,
+/// brackets, commas, a flag of five letters and a number of ten digits.
 const ENTRY_FRAME_BYTES: usize = 74;
 
-/// Leaves out the images held longest ago until the record takes no more than its share
-/// of a value; returns the bytes that it takes at most, with the comma after it.
+/// Removes the least recently held images until the record takes no more than its share of a
+/// value. Returns an upper bound of its size in bytes, including the comma after it.
 fn trim_images(id: &MachineId, record: &mut MachineRecord, limits: ShapeLimits) -> usize {
-    let most = (limits.record_bytes() as f64 * MACHINE_RECORD_SHARE) as usize;
+    let limit = (limits.record_bytes() as f64 * MACHINE_RECORD_SHARE) as usize;
     let texts = [id.as_str(), &record.kind, &record.zone, &record.addr];
     let base = ENTRY_FRAME_BYTES + texts.map(json_text_len).iter().sum::<usize>();
     let mut bytes = base;
-    // Recent ones come last.
+    // Recently held images come last.
     let fitting = record.images.iter().rev().take_while(|image| {
         bytes += json_text_len(image) + 1;
-        bytes <= most
+        bytes <= limit
     });
     let kept = fitting.count();
     record.images.drain(..record.images.len() - kept);
     base + record.images.iter().map(|image| json_text_len(image) + 1).sum::<usize>()
 }
 
-/// The sets of a job that one part of its progress holds.
+/// The sets of a job that one progress record holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProgressSets {
     /// Tasks that may have been started.
     pub started: IntSet,
     /// Tasks that completed.
     pub finished: IntSet,
-    /// Numbers of machines that tasks of the job may be on.
+    /// Numbers of the machines that may run tasks of the job.
     pub machines: IntSet,
 }
 
 impl ProgressSets {
-    /// The sets in so few ranges each, erring on the safe side: more tasks may have been
-    /// started, on more machines, and fewer are known to have completed. A new leader
-    /// then waits for more machines and repeats some work; nothing runs twice at once.
+    /// Reduces each set to at most this many ranges, with errors only on the safe side: more tasks
+    /// count as possibly started, on more machines, and fewer as completed. A new leader then
+    /// waits for more machines and repeats some work, but no task runs twice at the same time.
     fn coarsened(&self, ranges: usize) -> Self {
         Self {
             started: self.started.with_ranges_at_most(ranges),
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The stored form, for a part that begins at task `start` and has `len` tasks.
+    /// The stored form of a part that begins at task `start` and has `len` tasks.
     fn packed(&self, start: u32, len: u32, rest: &ProgressRecord) -> ProgressRecord {
         ProgressRecord {
             started: PackedSet::pack(&self.started, start, len),
@@ -167,54 +167,55 @@
     }
 }
 
-/// A part's progress record that fits, and the sets that it holds: those given, or coarser
-/// ones. `rest` has the record's other fields.
+/// Builds a part's progress record that fits the limits. Also returns the sets that it holds: the
+/// given ones, or coarser ones. `rest` provides the record's other fields.
 pub fn fit_progress(
     sets: ProgressSets,
     (start, len): (u32, u32),
     rest: &ProgressRecord,
     limits: ShapeLimits,
 ) -> (SizedValue, ProgressSets) {
-    let most = limits.record_bytes();
+    let limit = limits.record_bytes();
     let record = sets.packed(start, len, rest);
-    // Mostly small, and then known to fit without being measured.
-    let bytes = progress_bytes_at_most(&record);
-    if bytes <= most {
+    // Most records are small and known to fit without being measured.
+    let bytes = max_progress_bytes(&record);
+    if bytes <= limit {
         return (SizedValue { value: to_value(&record), bytes }, sets);
     }
     let sized = SizedValue::of(&record);
-    if sized.bytes <= most {
+    if sized.bytes <= limit {
         return (sized, sets);
     }
-    let inside = ProgressSets {
+    let in_part = ProgressSets {
         started: sets.started.within(start, len),
         finished: sets.finished.within(start, len),
         machines: sets.machines,
     };
-    let mut ranges = most / RANGE_BYTES;
+    let mut ranges = limit / RANGE_BYTES;
     loop {
-        let coarse = inside.coarsened(ranges.max(1));
+        let coarse = in_part.coarsened(ranges.max(1));
         let sized = SizedValue::of(&coarse.packed(start, len, rest));
-        if ranges <= 1 || sized.bytes <= most {
+        if ranges <= 1 || sized.bytes <= limit {
             return (sized, coarse);
         }
         ranges = ranges * 3 / 4;
     }
 }
 
-fn progress_bytes_at_most(record: &ProgressRecord) -> usize {
+/// Upper bound of a progress record's size, in bytes of JSON.
+fn max_progress_bytes(record: &ProgressRecord) -> usize {
     let sets = [&record.started, &record.finished, &record.machines.set];
     let numbers: usize = sets.iter().map(|set| set.r.len() + set.b.len()).sum();
     PROGRESS_FRAME_BYTES + numbers * NUMBER_BYTES
 }
 
-/// Bytes of a progress record besides the numbers of its sets, at most.
+/// Maximum size of a progress record without the numbers of its sets, in bytes.
 const PROGRESS_FRAME_BYTES: usize = 200;
-/// Bytes of a `u32` and its comma, at most.
+/// Maximum size of a `u32` and its comma, in bytes.
 const NUMBER_BYTES: usize = 11;
 
-/// What a range takes in each of the three sets at least, bytes: two one-digit numbers
-/// and their commas. The first try; narrower ones follow.
+/// Minimum size of one range in each of the three sets, in bytes: two one-digit numbers and their
+/// commas. Gives the first number of ranges to try; lower ones follow.
 const RANGE_BYTES: usize = 3 * 4;
 
 #[cfg(test)]
--- a/crates/core/src/tests/record_shape.rs
+++ b/crates/core/src/tests/record_shape.rs
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn a_block_of_wider_limits_splits_into_values_that_fit_one_transaction() {
+fn a_block_written_under_higher_limits_splits_into_values_that_fit_one_transaction() {
     let machines: Vec<_> = (0..BLOCK_MACHINES as u32).map(|n| machine(n, 40)).collect();
     let blocks = split_block(machines.clone(), TWO_KIB);
     assert!(blocks.len() > 1 && blocks.len() <= TWO_KIB.changes, "{} blocks", blocks.len());
     for SizedBlock { block, bytes } in &blocks {
-        assert!(json_len(&to_value(block)) <= *bytes, "no more than it is thought to take");
+        assert!(json_len(&to_value(block)) <= *bytes, "no more than the upper bound");
         assert!(*bytes <= TWO_KIB.record_bytes(), "{bytes} bytes");
     }
     let kept: Vec<_> = blocks.iter().flat_map(|b| &b.block.machines).collect();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_block_that_fits_is_left_as_it_is() {
+fn a_block_that_fits_is_not_split() {
     let machines: Vec<_> = (0..6).map(|n| machine(n, 4)).collect();
     let blocks = split_block(machines.clone(), TWO_KIB);
     assert_eq!(blocks.len(), 1);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn rejections_shrink_transactions_first_and_then_values() {
+fn rejections_lower_the_change_limit_first_and_then_the_value_limit() {
     let mut limits = ShapeLimits { value_bytes: 16 * 1024, changes: 16 };
     limits.shrink(shape(12, 900));
     assert_eq!(limits, ShapeLimits { value_bytes: 16 * 1024, changes: 6 });
@@ -59,7 +59,7 @@
         limits.shrink(shape(5, 9));
     }
     let floor = ShapeLimits { value_bytes: VALUE_BYTES_LEAST, changes: CHANGES_LEAST };
-    assert_eq!(limits, floor, "never below what a job's end and a split block take");
+    assert_eq!(limits, floor, "never below the size of a job's end and of a split block");
 }
 
 proptest! {
@@ -71,7 +71,7 @@
     })]
 
     #[test]
-    fn progress_fits_and_errs_on_the_safe_side(
+    fn progress_records_fit_and_err_on_the_safe_side(
         started in proptest::collection::vec(any::<bool>(), 8_192),
         finished_in in 1u32..40,
         machines in proptest::collection::btree_set(0u32..20_000, 0..600),
@@ -95,7 +95,7 @@
         let (record, held) = fit_progress(sets.clone(), (0, 8_192), &rest, limits);
         prop_assert!(json_len(&record.value) <= record.bytes);
         prop_assert!(record.bytes <= limits.record_bytes());
-        // What is thought to be stored is what a new leader reads.
+        // The returned sets are what a new leader reads from the record.
         let read: ProgressRecord = from_value(&record.value).expect("readable");
         let (mut read_started, mut read_finished) = (IntSet::new(), IntSet::new());
         read.started.unpack(0, 8_192, &mut read_started);
