--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out.
+//! The events that the core handles and the actions that it requests.
 
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest};
 use marblebarrow_proto::ids::{CellName, JobId, MachineId, NodeId};
@@ -8,354 +8,354 @@
     Txn, WatchEvent,
 };
 
-/// Seconds of the steady clock since the process began.
+/// Seconds of the monotonic clock since the process started.
 pub type Secs = f64;
 
-/// Names a request that waits for an answer from the core.
+/// Identifies a request that waits for an answer from the core.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct ReplyTo(pub u64);
 
-/// Where an answer goes that nobody waits for.
+/// Reply id of a request whose answer is discarded.
 pub const NOBODY: ReplyTo = ReplyTo(0);
 
-/// Names a request that the core made.
+/// Identifies a request that the core made.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct OpId(pub u64);
 
-/// A user's request, validated.
+/// A validated user request.
 #[derive(Clone, Debug)]
 pub enum UserRequest {
     /// Submit a job.
     Submit(Box<JobSpec>),
-    /// Ask how a job stands.
+    /// Query the status of a job.
     Poll(JobId),
     /// Cancel a job.
     Cancel(JobId),
-    /// Whether this controller can take requests.
+    /// Query whether this controller accepts requests.
     Health,
 }
 
 /// An answer to a user or worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// A job's status, with the HTTP status that goes with it.
+    /// A job's status, with the HTTP status code.
     Job(u16, JobStatus),
-    /// Healthy.
+    /// The controller accepts requests.
     Healthy,
     /// Commands for a worker.
     Heartbeat(HeartbeatAnswer),
-    /// Ask that controller (421).
+    /// Redirects to that controller, if one is known (421).
     Elsewhere(Option<NodeId>),
-    /// No such job.
+    /// The job doesn't exist.
     NotFound,
-    /// Can never run, and why.
+    /// The job can never run, for this reason.
     NeverRuns(&'static str),
-    /// Names DAG dependencies that were never accepted (422), which these are.
+    /// The job names these DAG dependencies, which were never accepted (422).
     UnknownDependencies(Vec<JobId>),
-    /// Too much is asked; come back after so many seconds.
+    /// The controller is overloaded; retry after this many seconds.
     Full(u32),
-    /// Can't decide now; come back after so many seconds.
+    /// The controller can't answer now; retry after this many seconds.
     Unavailable(u32),
-    /// The controllers and what each runs.
+    /// The controllers and the version that each runs.
     Members(Box<crate::membership::MembershipView>),
 }
 
 /// A request to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreRequest {
-    /// A transaction.
+    /// Commit a transaction.
     Commit(Txn),
-    /// One key.
+    /// Read one key.
     Get(String),
-    /// A page of keys under a prefix.
+    /// Read a page of the keys under a prefix.
     Range {
         /// The prefix.
         prefix: String,
-        /// Begin after this key.
+        /// Start after this key.
         after: String,
     },
-    /// A new lease of so many milliseconds.
+    /// Grant a lease of this many milliseconds.
     GrantLease(u64),
-    /// Renew a lease.
+    /// Renew the lease with this id.
     KeepAlive(u64),
-    /// End a lease.
+    /// Revoke the lease with this id.
     RevokeLease(u64),
 }
 
-/// How a request to the state service went.
+/// The result of a request to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreResult {
-    /// Committed at this revision.
+    /// The transaction was committed at this revision.
     Committed(u64),
-    /// These conditions failed.
+    /// The transaction was not executed, as the conditions on these keys failed.
     Conflict(Vec<String>),
-    /// The key, or that there is none.
+    /// The value read, or `None` if the key doesn't exist.
     Value(Option<Item>),
-    /// A page.
+    /// A page of keys.
     Page(ItemPage),
-    /// A lease.
+    /// A lease with this id was granted.
     LeaseGranted(u64),
-    /// The lease lives on, or was ended as asked.
+    /// The lease was renewed, or revoked as requested.
     LeaseRenewed,
-    /// The lease is gone.
+    /// The lease doesn't exist any more.
     NoLease,
-    /// Not executed: refused, limited or unreachable.
+    /// Not executed: refused, rate limited or unreachable.
     Refused,
-    /// Not executed, and never will be as it stands.
+    /// Not executed, and a retry of the same request can't succeed.
     Rejected,
-    /// Perhaps executed, perhaps later.
+    /// Unknown: may have been executed, or may be executed later.
     Unknown,
 }
 
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
-    /// Machine types.
+    /// List the machine types.
     Types,
-    /// A page of the machine list.
+    /// Read a page of the machine list.
     List {
-        /// Begin after this machine.
+        /// Start after this machine.
         after: Option<MachineId>,
     },
-    /// Rent.
+    /// Rent machines.
     Rent(Rent),
     /// Return machines.
     Release(Vec<MachineId>),
 }
 
-/// How a request to the cloud went.
+/// The result of a request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudResult {
-    /// Types.
+    /// The machine types.
     Types(Vec<MachineType>),
-    /// A page of the list.
+    /// A page of the machine list.
     List(MachineList),
-    /// Rented these.
+    /// These machines were rented.
     Rented(Vec<MachineId>),
-    /// None available.
+    /// No machine is available.
     NoCapacity,
-    /// The machines and all on them are gone.
+    /// The machines are released, and everything that ran on them is gone.
     Released,
-    /// Not executed (limited, outage, unreachable), or malformed.
+    /// Not executed (rate limited, outage, unreachable), or malformed.
     Refused,
-    /// Perhaps executed.
+    /// May have been executed.
     Unknown,
 }
 
-/// How direct commands went.
+/// The result of direct commands.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DirectResult {
-    /// Executed (true) or refused for token or epoch (false), with a heartbeat.
+    /// Executed (true), or refused because of the token or agent epoch (false); with a heartbeat.
     Heartbeat(bool, Box<Heartbeat>),
-    /// The worker never got it.
+    /// The worker never received the commands.
     NotSent,
-    /// Perhaps executed, perhaps later.
+    /// Unknown: may have been executed, or may be executed later.
     Unknown,
 }
 
-/// News of the watch.
+/// An update from the watch.
 #[derive(Clone, Debug)]
 pub struct WatchNews {
-    /// When the request that it answers was sent.
+    /// When the request that this answers was sent.
     pub sent: Secs,
-    /// With it, the copy is whole up to this revision.
+    /// With this update, the replica is complete up to this revision.
     pub revision: u64,
-    /// What it brought.
+    /// The keys or changes.
     pub content: WatchContent,
 }
 
-/// What the watch brought.
+/// The content of a watch update.
 #[derive(Clone, Debug)]
 pub enum WatchContent {
-    /// All keys, read anew.
+    /// A full snapshot of all watched keys.
     Reset(Vec<Item>),
-    /// Changes, perhaps none.
+    /// Changes since the previous update, possibly none.
     Events(Vec<WatchEvent>),
 }
 
-/// A peer's answer to a leader that asks for its pledge.
+/// A peer's answer to a leader's pledge request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PledgeAnswer {
-    /// It won't stand for a while.
+    /// The peer pledges not to stand for election for a while.
     pub granted: bool,
-    /// It names every cancellation that the peer confirmed and the leader may
-    /// not know.
+    /// The answer includes every cancellation that the peer confirmed and that the leader may not
+    /// know.
     pub whole: bool,
-    /// Cancelled jobs, and the revisions at which they were.
+    /// Cancelled jobs, and the revisions of their cancellations.
     pub cancelled: Vec<(JobId, u64)>,
-    /// There are more, beyond the last of these.
+    /// There are more cancellations after the last of these.
     pub more: bool,
 }
 
-/// How many tasks of a job are done and how many run, for display.
+/// Numbers of a job's completed and running tasks, for display.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Done.
+    /// Completed tasks.
     pub done: u32,
-    /// Running.
+    /// Running tasks.
     pub running: u32,
 }
 
-/// The leader's figures of a job.
+/// The task counts of one job as known to the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobCounts {
     /// The job.
     pub job: JobId,
-    /// Its figures.
+    /// Its task counts.
     pub counts: TaskCounts,
 }
 
-/// A word between controllers.
+/// A message from another controller.
 #[derive(Clone, Debug)]
 pub enum PeerNews {
-    /// A peer beat, or answered one.
+    /// A peer's heartbeat, or its answer to one.
     Heartbeat {
         /// The peer.
         node: NodeId,
-        /// Whether the store serves it.
+        /// Whether the store serves the peer.
         store_ok: bool,
-        /// It answered a question of ours, so it was alive after our start:
-        /// whether it holds the leadership.
+        /// Whether the peer is the leader. Only set in an answer to a request of this controller,
+        /// which proves that the peer was alive after this process started.
         leading: Option<bool>,
     },
-    /// A peer told what it runs, in a beat or in the answer to one.
+    /// A peer announced its version, in a heartbeat or in the answer to one.
     Announced {
         /// The peer.
         node: NodeId,
-        /// What it runs.
+        /// The announced version and format.
         runs: crate::membership::Announcement,
     },
-    /// A leader asks for a pledge.
+    /// A leader requests a pledge.
     PledgeAsked {
-        /// Where the answer goes.
+        /// Where to send the answer.
         reply: ReplyTo,
         /// The leader.
         from: NodeId,
         /// Its term.
         term: u64,
-        /// Its copy of the store is whole up to here.
+        /// The leader's replica of the store is complete up to this revision.
         revision: u64,
-        /// It was told of jobs up to this one already.
+        /// The leader already received the cancellations up to this job.
         after: Option<JobId>,
     },
-    /// A peer answered a request for its pledge.
+    /// A peer answered a pledge request.
     Pledged {
         /// The peer.
         node: NodeId,
-        /// When we asked, first.
+        /// When this controller first sent the request.
         sent: Secs,
         /// Its answer.
         answer: PledgeAnswer,
     },
-    /// The leader's figures of jobs that changed.
+    /// The leader's task counts of jobs that changed.
     Progress(Vec<JobCounts>),
 }
 
-/// What the core is told.
+/// An input to the core.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A user asks.
+    /// A user request.
     User(ReplyTo, UserRequest),
-    /// A heartbeat of a worker.
+    /// A worker's heartbeat.
     Heartbeat(ReplyTo, Box<Heartbeat>),
-    /// The store answered.
+    /// The store's answer to a request.
     Store(OpId, StoreResult),
-    /// The watch brought something.
+    /// An update from the watch.
     Watch(WatchNews),
-    /// The cloud answered.
+    /// The cloud's answer to a request.
     Cloud(OpId, CloudResult),
-    /// A worker answered direct commands.
+    /// The result of direct commands to a worker.
     Direct(OpId, DirectResult),
-    /// Another controller.
+    /// A message from another controller.
     Peer(PeerNews),
-    /// Another cell, or an operator, asks.
+    /// A request from another cell or an operator.
     CellRequest(ReplyTo, Box<CellRequest>),
-    /// Another cell answered, or didn't.
+    /// The answer of another cell, or the error if there is none.
     CellAnswer(OpId, Result<Box<CellReply>, CellError>),
-    /// An operator asks which controllers run what.
+    /// An operator's request for the controllers and their versions.
     Members(ReplyTo),
 }
 
-/// What the core wants done.
+/// An effect requested by the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Answer a user or worker.
+    /// Send an answer to a user or worker.
     Reply(ReplyTo, Answer),
-    /// Answer a pledge request.
+    /// Send the answer to a pledge request.
     PledgeReply(ReplyTo, PledgeAnswer),
-    /// Ask the store.
+    /// Send a request to the store.
     Store(OpId, StoreRequest),
-    /// Ask the cloud.
+    /// Send a request to the cloud.
     Cloud(OpId, CloudRequest),
-    /// Send direct commands.
+    /// Send direct commands to a worker.
     Direct {
-        /// Our name for it.
+        /// Id of this request.
         op: OpId,
-        /// Where the worker listens.
+        /// Address that the worker listens on.
         addr: String,
-        /// Our term.
+        /// Fencing token for this worker.
         fencing_token: u64,
-        /// Agent epoch meant.
+        /// Agent epoch that the commands are meant for.
         agent_epoch: u64,
         /// The commands.
         commands: Vec<Command>,
     },
-    /// Tell the peers whether the store serves us and whether we lead.
+    /// Send the peers a heartbeat.
     PeerHeartbeat {
-        /// The store serves us.
+        /// Whether the store serves this controller.
         store_ok: bool,
-        /// We hold the leadership.
+        /// Whether this controller is the leader.
         leading: bool,
     },
-    /// Ask all peers for pledges.
+    /// Send a pledge request to all peers.
     AskPledges {
-        /// Our term.
+        /// This leader's term.
         term: u64,
-        /// Our copy of the store is whole up to here.
+        /// This leader's replica of the store is complete up to this revision.
         revision: u64,
     },
-    /// Send the peers the figures of jobs that changed.
+    /// Send the peers the task counts of jobs that changed.
     SendProgress(Vec<JobCounts>),
-    /// Ask another cell.
+    /// Send a request to another cell.
     CellCall {
-        /// Our name for it.
+        /// Id of this request.
         op: OpId,
-        /// Which.
+        /// The cell to ask.
         cell: CellName,
-        /// What.
+        /// The request.
         request: Box<CellRequest>,
     },
-    /// Answer another cell, or an operator.
+    /// Send an answer to another cell or an operator.
     CellReply(ReplyTo, Result<Box<CellReply>, CellError>),
 }
 
-/// Collects actions and names requests.
+/// Collects the core's actions and assigns request ids.
 #[derive(Debug, Default)]
 pub struct ActionSink {
-    /// The actions so far.
+    /// The actions collected so far.
     pub actions: Vec<Action>,
     next: u64,
 }
 
 impl ActionSink {
-    /// A new request name.
+    /// Returns a new request id.
     pub fn op(&mut self) -> OpId {
         self.next += 1;
         OpId(self.next)
     }
-    /// Asks the store; returns the request's name.
+    /// Adds a store request; returns its id.
     pub fn store(&mut self, req: StoreRequest) -> OpId {
         let op = self.op();
         self.actions.push(Action::Store(op, req));
         op
     }
-    /// Asks the cloud.
+    /// Adds a cloud request; returns its id.
     pub fn cloud(&mut self, req: CloudRequest) -> OpId {
         let op = self.op();
         self.actions.push(Action::Cloud(op, req));
         op
     }
-    /// Answers.
+    /// Adds an answer.
     pub fn reply(&mut self, to: ReplyTo, answer: Answer) {
         self.actions.push(Action::Reply(to, answer));
     }
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -1,4 +1,4 @@
-//! What the settings tell the core.
+//! The settings that the core uses, and values derived from them.
 
 use crate::consts::{
     CANCEL_MARGIN_S, DRIFT, IDLE_S, LOOK_S, LOOK_SHARE, PILOT_SHARE, STALE_MOST_S, STALE_SHARE,
@@ -10,52 +10,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A team's guarantee and limit. Zero means none.
+/// A team's guaranteed and maximum resources; zero means none.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// CPUs guaranteed.
+    /// Guaranteed CPUs.
     pub cpus: f64,
-    /// CPUs at most.
+    /// Maximum CPUs.
     pub cpus_max: f64,
-    /// GPUs guaranteed.
+    /// Guaranteed GPUs.
     pub gpus: f64,
-    /// GPUs at most.
+    /// Maximum GPUs.
     pub gpus_max: f64,
 }
 
-/// An aim on finishing: jobs of `class` should be done within `times` their
-/// deadline.
+/// A deadline objective: jobs of `class` should be completed within `times` their deadline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeadlineAim {
-    /// The class.
+    /// Job class.
     pub class: String,
     /// Multiple of the deadline.
     pub times: f64,
 }
 
-/// An aim on time: a class's jobs should be done within so long, whatever their
-/// deadlines.
+/// A time objective: jobs of `class` should be completed, or their tasks started, within a fixed
+/// time, independent of their deadlines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimeAim {
-    /// The class.
+    /// Job class.
     pub class: String,
-    /// Seconds.
+    /// Time limit in seconds.
     pub within_s: f64,
 }
 
-/// What operators may set themselves.
+/// Tuning parameters that operators may set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// Jobs with fewer tasks skip sampling.
+    /// Jobs with fewer tasks than this skip sampling.
     pub thin_limit: u32,
-    /// Share of a wide job's tasks that are pilots.
+    /// Share of a wide job's tasks that run as pilots.
     pub pilot_share: f64,
-    /// Spare service places, as a multiple of the arrivals expected while a
-    /// machine boots and fetches.
+    /// Spare service slots, as a multiple of the arrivals expected while a machine boots and
+    /// fetches its images.
     pub warm_factor: f64,
-    /// An idle ordinary machine is returned after this, seconds.
+    /// An idle ordinary machine is returned after this time, in seconds.
     pub idle_s: f64,
 }
 
@@ -70,125 +69,124 @@
     }
 }
 
-/// How a watch of the state service is timed.
+/// Timing of a watch of the state service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WatchTiming {
-    /// How long the state service may hold a watch open without news.
+    /// How long the state service may hold a watch open without changes.
     pub block: Duration,
-    /// How much later than that its answer may arrive before the watch is given up.
+    /// How much later than that the answer may arrive before the watch is given up.
     pub slack: Duration,
 }
 
-/// The settings as the core needs them.
+/// The settings of the core.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Facts {
-    /// This controller.
+    /// Name of this controller.
     pub node: NodeId,
-    /// The other controllers.
+    /// Names of the other controllers.
     pub others: Vec<NodeId>,
-    /// Teams.
+    /// The teams and their limits.
     pub teams: Vec<Team>,
-    /// Aims on finishing.
+    /// Deadline objectives.
     pub deadlines: Vec<DeadlineAim>,
-    /// Aims on being done, whatever the deadline.
+    /// Completion objectives that are independent of the deadline.
     pub finishes: Vec<TimeAim>,
-    /// Aims on tasks having started, from when their job may run.
+    /// Start objectives of tasks, measured from when their job may run.
     pub starts: Vec<TimeAim>,
-    /// Worker heartbeat interval, seconds.
+    /// Worker heartbeat interval, in seconds.
     pub heartbeat_interval_s: f64,
-    /// Worker lease, seconds.
+    /// Worker lease, in seconds.
     pub lease_s: f64,
-    /// Tasks of a cancelled job are gone within so long, seconds.
+    /// Maximum time until the tasks of a cancelled job are gone, in seconds.
     pub cancel_s: f64,
-    /// Whether anybody wants to know what is decided, and why.
+    /// Whether decisions are logged.
     pub log: bool,
-    /// Share of a core that this controller has.
+    /// Share of a CPU core available to this controller.
     pub core_share: f64,
-    /// Store requests a second. This and the other limits of the store are the smaller
-    /// ones of those in force and those announced, which come without notice.
+    /// Store requests per second. This and the other limits of the store are the smaller of the
+    /// limits in force and the announced ones, which take effect without notice.
     pub store_rps: f64,
-    /// Store changes a second.
+    /// Store changes per second.
     pub store_write_rps: f64,
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub store_txn_ops: usize,
-    /// Bytes of a value as JSON.
+    /// Maximum size of a value, in bytes of JSON.
     pub store_value_bytes: usize,
-    /// Cloud requests a second.
+    /// Cloud requests per second.
     pub cloud_rps: f64,
-    /// Lag of the machine list, seconds.
+    /// Lag of the machine list, in seconds.
     pub list_lag_s: f64,
-    /// Direct commands to workers under way at once, at most: each takes a
-    /// thread and a socket.
+    /// Maximum number of direct commands to workers in flight; each takes a thread and a socket.
     pub direct_most: usize,
-    /// What operators set.
+    /// Tuning parameters.
     pub tuning: Tuning,
-    /// The cell that this controller belongs to, and the others, if there are any.
+    /// The cell of this controller and the other cells, if there are any.
     pub cells: Option<Arc<CellsSettings>>,
 }
 
 impl Facts {
-    /// Within how many seconds jobs of a class should be done, if an aim says so.
+    /// The tightest completion objective of a class, in seconds, if there is one.
     pub fn finish_s(&self, class: &str) -> Option<f64> {
-        let aims = self.finishes.iter().filter(|a| a.class == class);
-        aims.map(|a| a.within_s).reduce(f64::min)
+        let objectives = self.finishes.iter().filter(|a| a.class == class);
+        objectives.map(|a| a.within_s).reduce(f64::min)
     }
 
-    /// Within how many seconds tasks of a class should start, if an aim says so and none
-    /// says by when its jobs should be done: that one then rules.
+    /// The tightest start objective of a class, in seconds, if there is one. A deadline or
+    /// completion objective of the class takes precedence.
     pub fn start_within(&self, class: &str) -> Option<f64> {
-        if self.aims_at_the_end(class) {
+        if self.has_completion_objective(class) {
             return None;
         }
-        let aims = self.starts.iter().filter(|a| a.class == class);
-        aims.map(|a| a.within_s).reduce(f64::min)
+        let objectives = self.starts.iter().filter(|a| a.class == class);
+        objectives.map(|a| a.within_s).reduce(f64::min)
     }
 
-    /// The widest multiple of a class's deadlines that an aim names.
+    /// The largest deadline multiple of the class's deadline objectives, and at least 1.
     pub fn deadline_times(&self, class: &str) -> f64 {
-        let aims = self.deadlines.iter().filter(|a| a.class == class);
-        aims.map(|a| a.times).fold(1.0, f64::max)
+        let objectives = self.deadlines.iter().filter(|a| a.class == class);
+        objectives.map(|a| a.times).fold(1.0, f64::max)
     }
 
-    /// Whether an aim says by when jobs of a class should be done, or their tasks start.
+    /// Whether the class has any objective on completion or on the start of its tasks.
     pub fn aimed(&self, class: &str) -> bool {
-        self.aims_at_the_end(class) || self.start_within(class).is_some()
+        self.has_completion_objective(class) || self.start_within(class).is_some()
     }
 
-    fn aims_at_the_end(&self, class: &str) -> bool {
+    fn has_completion_objective(&self, class: &str) -> bool {
         self.deadlines.iter().any(|a| a.class == class)
             || self.finishes.iter().any(|a| a.class == class)
     }
 
-    /// The least pause between two looks at so many machines, for these to take no
-    /// more than their share of the processor, seconds.
+    /// Minimum interval between two steps with this many machines, in seconds, so that steps take no
+    /// more than their share of the processor.
     pub fn look_pause(&self, machines: usize) -> f64 {
         machines as f64 * LOOK_S / (LOOK_SHARE * self.core_share)
     }
 
-    /// How long after a cancellation a leader that doesn't know of it may still
-    /// renew leases, so that they run out in time, seconds.
+    /// How long after a cancellation a leader that doesn't know of it may still renew leases, in
+    /// seconds, so that they expire before the cancelled tasks must be gone.
     pub fn cancel_room(&self) -> f64 {
         self.cancel_s * (1.0 - DRIFT) - self.lease_s * (1.0 + DRIFT) - CANCEL_MARGIN_S
     }
 
-    /// Age at which the copy of a leader that the store serves no longer allows it to
-    /// act, seconds.
+    /// Age of the replica, in seconds, beyond which a leader that the store serves may no longer
+    /// act.
     pub fn replica_age_limit(&self) -> f64 {
         self.cancel_room().max(WATCH_LAG_S)
     }
 
-    /// Age of its copy at which a leader that the store serves resigns, seconds.
+    /// Age of the replica, in seconds, at which a leader that the store serves resigns.
     pub fn replica_age_to_resign(&self) -> f64 {
         let limit = self.replica_age_limit();
         limit - (limit * STALE_SHARE).min(STALE_MOST_S)
     }
 
-    /// How to time watches so that a leader's copy stays younger than
-    /// [`Facts::replica_age_to_resign`], though nothing changes and though one watch is lost.
+    /// Timing of watches that keeps a leader's replica younger than
+    /// [`Facts::replica_age_to_resign`] even if nothing changes and one watch is lost.
     ///
-    /// An answer proves the copy current as of the sending of its request, so on a quiet
-    /// store the copy gets as old as two blocking times. (With a fixed time of 2.5 s, every
-    /// leader resigned after 3 s of quiet where cancellations had only 12 s.)
+    /// An answer proves that the replica was current when its request was sent, so on a quiet
+    /// store the replica gets as old as two blocking times. With a fixed blocking time of 2.5 s,
+    /// every leader resigned after 3 s without changes when cancelled tasks had only 12 s.
     pub fn watch_timing(&self) -> WatchTiming {
         let share = self.replica_age_to_resign() * WATCH_TIMING_SHARE;
         WatchTiming {
@@ -197,7 +195,7 @@
         }
     }
 
-    /// The controller that workers try after this one: the next by name.
+    /// The controller that workers try after this one: the next one by name, cyclically.
     pub fn next_in_turn(&self) -> Option<&NodeId> {
         let after = self.others.iter().filter(|o| **o > self.node).min();
         after.or_else(|| self.others.iter().min())
