--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -139,7 +139,7 @@
                 continue;
             };
             let members = found.machines.iter().map(|(id, _)| id.clone()).collect();
-            self.writer.found_block(block, item.version, members);
+            self.writer.add_loaded_block(block, item.version, members);
             for (id, info) in found.machines {
                 self.next_number = self.next_number.max(info.number);
                 let mut m = Machine::new(info, now);
--- a/crates/core/src/writer/mod.rs
+++ b/crates/core/src/writer/mod.rs
@@ -259,7 +259,12 @@
     }
 
     /// Adds a block that a new leader has loaded.
-    pub(crate) fn found_block(&mut self, block: u32, version: u64, members: BTreeSet<MachineId>) {
+    pub(crate) fn add_loaded_block(
+        &mut self,
+        block: u32,
+        version: u64,
+        members: BTreeSet<MachineId>,
+    ) {
         self.blocks.insert(block, Block { version, members, mark: None });
     }
 
