--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -1,5 +1,6 @@
-//! One leader, one worker, a start that goes unanswered and the cancellation of its job: what
-//! the leader asks of the state service, and which tokens its answers carry.
+//! Tests the revocation of unconfirmed starts, with one leader, one worker, a start command that
+//! gets no answer, and the cancellation of its job. Checks the leader's requests to the state
+//! service and the fencing tokens in its answers.
 
 use marblebarrow_core::consts::{DRIFT, RAISE_CANCELLED_EVERY_S, SWEEP_EVERY_S};
 use marblebarrow_core::event::*;
@@ -17,44 +18,46 @@
 const CANCEL_S: f64 = 20.0;
 const REPORT_S: f64 = 1.0;
 const STEP_S: f64 = 0.1;
-/// When a direct command is given up, seconds.
-const GIVEN_UP_S: f64 = 1.5;
-/// Version of the leader key.
-const ELECTED: u64 = 5;
+/// Timeout of a direct command, in seconds.
+const DIRECT_TIMEOUT_S: f64 = 1.5;
+/// Version of the leader key after the election.
+const ELECTION_VERSION: u64 = 5;
 
-/// How transactions that raise the token fare.
+/// The outcome of transactions that raise the fencing token.
 #[derive(Clone, Copy, PartialEq)]
-enum Raises {
+enum RaiseTxnOutcome {
     Succeed,
-    /// Carried out, but the answer is lost; once.
+    /// Executed, but the answer is lost; applies to one transaction.
     AnswerLost,
     Refused,
-    /// The leader key is another's by now.
-    Deposed,
+    /// Another controller has become the leader.
+    LeaderChanged,
 }
 
-/// A direct command whose answer the test decides on.
+/// A direct command that is delayed in the network.
 struct SentDirect {
     fencing_token: u64,
     commands: Vec<Command>,
 }
 
-/// A leader and a worker, and the stand-ins around them.
-struct Scene {
+/// A leader and a simulated worker, state service, cloud and peers.
+struct Fixture {
     node: Node,
     now: f64,
     revision: u64,
+    /// The stored term counter and its version.
     counter: (u64, u64),
-    raises: Raises,
-    /// Tokens that were raised by transactions carried out, in order.
+    raise_outcome: RaiseTxnOutcome,
+    /// Tokens set by executed transactions, in order.
     raised: Vec<u64>,
-    /// The start that is held.
+    /// The delayed start command.
     held: Option<SentDirect>,
-    given_up: Vec<(f64, OpId)>,
+    /// Direct commands without an answer, and when they time out.
+    timeouts: Vec<(f64, OpId)>,
     next_reply: u64,
     next_heartbeat: f64,
     worker: Heartbeat,
-    /// When the last answered report was sent, and the token of the answer.
+    /// When the last answered heartbeat was sent, and the token of the answer.
     renewed: (f64, u64),
     /// When a heartbeat was last refused.
     refused: Option<f64>,
@@ -135,9 +138,9 @@
     matches!(command, Command::Start { .. })
 }
 
-impl Scene {
-    /// A leader in office, a machine that reports to it, and a start that is on its way.
-    fn with_a_start_under_way() -> Self {
+impl Fixture {
+    /// A leader, a machine that reports to it, and a start command in flight.
+    fn with_start_in_flight() -> Self {
         let worker = Heartbeat {
             machine: MachineId::new("n-000001"),
             addr: "n-000001".into(),
@@ -150,15 +153,15 @@
             notice_s: None,
             tasks: Vec::new(),
         };
-        let mut scene = Self {
+        let mut fixture = Self {
             node: Node::new(facts(), 0, 0.0),
             now: 0.0,
             revision: 1,
             counter: (0, 0),
-            raises: Raises::Succeed,
+            raise_outcome: RaiseTxnOutcome::Succeed,
             raised: Vec::new(),
             held: None,
-            given_up: Vec::new(),
+            timeouts: Vec::new(),
             next_reply: 0,
             next_heartbeat: 3.0,
             worker,
@@ -166,17 +169,18 @@
             refused: None,
             closed: false,
         };
-        scene.news(WatchContent::Reset(Vec::new()));
-        scene.run(6.0, |_| false);
-        assert!(scene.node.may_act(scene.now), "leads");
+        fixture.deliver_watch(WatchContent::Reset(Vec::new()));
+        fixture.run(6.0, |_| false);
+        assert!(fixture.node.may_act(fixture.now), "not the leader");
         let record = to_value(&SpecRecord::submitted(spec(), 0));
-        scene.put(spec_key(&job()), record);
-        scene.run(10.0, |s| s.held.is_some());
-        assert!(scene.held.is_some(), "the start was sent directly");
-        scene
+        fixture.put(spec_key(&job()), record);
+        fixture.run(10.0, |s| s.held.is_some());
+        assert!(fixture.held.is_some(), "the start was not sent directly");
+        fixture
     }
 
-    fn news(&mut self, content: WatchContent) {
+    /// Delivers a watch update.
+    fn deliver_watch(&mut self, content: WatchContent) {
         let news = WatchNews { sent: self.now, revision: self.revision, content };
         self.node.handle(self.now, 0, Event::Watch(news));
     }
@@ -184,16 +188,16 @@
     fn put(&mut self, key: String, value: ciborium::Value) {
         self.revision += 1;
         let event = WatchEvent::Put { key, value, version: self.revision };
-        self.news(WatchContent::Events(vec![event]));
+        self.deliver_watch(WatchContent::Events(vec![event]));
     }
 
-    /// The job is cancelled, as the watch tells at once; returns when.
+    /// Cancels the job, which the watch reports at once; returns the time.
     fn cancel(&mut self) -> f64 {
         self.put(cancel_key(&job()), to_value(&true));
         self.now
     }
 
-    /// Runs for so long, or until something has come about.
+    /// Runs for this many seconds, or until the condition holds.
     fn run(&mut self, seconds: f64, until: impl Fn(&Self) -> bool) {
         let end = self.now + seconds;
         while self.now < end && !until(self) {
@@ -208,11 +212,11 @@
             let news = PeerNews::Heartbeat { node, store_ok: true, leading: Some(false) };
             self.node.handle(self.now, 0, Event::Peer(news));
         }
-        self.news(WatchContent::Events(Vec::new()));
+        self.deliver_watch(WatchContent::Events(Vec::new()));
         let now = self.now;
         let (due, rest) =
-            std::mem::take(&mut self.given_up).into_iter().partition(|(at, _)| *at <= now);
-        self.given_up = rest;
+            std::mem::take(&mut self.timeouts).into_iter().partition(|(at, _)| *at <= now);
+        self.timeouts = rest;
         let due: Vec<(f64, OpId)> = due;
         for (_, op) in due {
             self.node.handle(now, 0, Event::Direct(op, DirectResult::Unknown));
@@ -221,7 +225,7 @@
             self.heartbeat();
         }
         self.node.tick(self.now, 0);
-        self.act();
+        self.handle_actions();
     }
 
     fn heartbeat(&mut self) {
@@ -232,7 +236,8 @@
         self.node.handle(self.now, 0, Event::Heartbeat(ReplyTo(self.next_reply), heartbeat));
     }
 
-    fn act(&mut self) {
+    /// Handles the actions that the controller requests.
+    fn handle_actions(&mut self) {
         for action in self.node.take_actions() {
             match action {
                 Action::Store(op, request) => {
@@ -246,14 +251,15 @@
                 Action::Direct { op, fencing_token, commands, .. } => {
                     self.direct(op, fencing_token, commands)
                 }
-                Action::Reply(_, Answer::Heartbeat(answer)) => self.answered(answer),
+                Action::Reply(_, Answer::Heartbeat(answer)) => self.handle_answer(answer),
                 Action::Reply(_, Answer::Unavailable(_)) => self.refused = Some(self.now),
                 _ => {}
             }
         }
     }
 
-    fn answered(&mut self, answer: HeartbeatAnswer) {
+    /// The worker handles the answer to a heartbeat.
+    fn handle_answer(&mut self, answer: HeartbeatAnswer) {
         if answer.fencing_token >= self.worker.fencing_token {
             self.worker.fencing_token = answer.fencing_token;
             self.renewed = (self.now, answer.fencing_token);
@@ -261,20 +267,25 @@
         }
     }
 
+    /// The worker handles a direct command. The first start command is held back.
     fn direct(&mut self, op: OpId, token: u64, commands: Vec<Command>) {
         if self.held.is_none() && commands.iter().any(is_start) {
             self.held = Some(SentDirect { fencing_token: token, commands });
-            self.given_up.push((self.now + GIVEN_UP_S, op));
+            self.timeouts.push((self.now + DIRECT_TIMEOUT_S, op));
             return;
         }
-        let good = token >= self.worker.fencing_token;
-        if good {
+        let accepted = token >= self.worker.fencing_token;
+        if accepted {
             self.worker.fencing_token = token;
             self.execute(&commands);
         }
         self.worker.seq += 1;
         let heartbeat = Box::new(self.worker.clone());
-        self.node.handle(self.now, 0, Event::Direct(op, DirectResult::Heartbeat(good, heartbeat)));
+        self.node.handle(
+            self.now,
+            0,
+            Event::Direct(op, DirectResult::Heartbeat(accepted, heartbeat)),
+        );
     }
 
     fn execute(&mut self, commands: &[Command]) {
@@ -318,13 +329,13 @@
             })
             .collect();
         if puts.contains_key(LEADER) {
-            self.revision = ELECTED;
-            self.counter = (1, ELECTED);
+            self.revision = ELECTION_VERSION;
+            self.counter = (1, ELECTION_VERSION);
             let record = LeaderRecord { node: NodeId::new("c0"), term: 1, lease: 7, boot: 0 };
             let value = to_value(&record);
-            let event = WatchEvent::Put { key: LEADER.into(), value, version: ELECTED };
-            self.news(WatchContent::Events(vec![event]));
-            return StoreResult::Committed(ELECTED);
+            let event = WatchEvent::Put { key: LEADER.into(), value, version: ELECTION_VERSION };
+            self.deliver_watch(WatchContent::Events(vec![event]));
+            return StoreResult::Committed(ELECTION_VERSION);
         }
         if puts.contains_key(TERM) {
             return self.raise(txn);
@@ -340,99 +351,101 @@
 
     fn raise(&mut self, txn: &Txn) -> StoreResult {
         let cond = |key: &str, version| txn.conds.contains(&Cond { key: key.into(), version });
-        assert!(cond(LEADER, ELECTED), "only while the leader key is ours: {txn:?}");
-        match self.raises {
-            Raises::Refused => return StoreResult::Refused,
-            Raises::Deposed => return StoreResult::Conflict(vec![LEADER.into()]),
-            Raises::Succeed | Raises::AnswerLost => {}
+        assert!(cond(LEADER, ELECTION_VERSION), "not conditional on the leader key: {txn:?}");
+        match self.raise_outcome {
+            RaiseTxnOutcome::Refused => return StoreResult::Refused,
+            RaiseTxnOutcome::LeaderChanged => return StoreResult::Conflict(vec![LEADER.into()]),
+            RaiseTxnOutcome::Succeed | RaiseTxnOutcome::AnswerLost => {}
         }
-        assert!(cond(TERM, self.counter.1), "of the counter as it is: {txn:?}");
+        assert!(cond(TERM, self.counter.1), "not conditional on the counter: {txn:?}");
         self.revision += 1;
         self.counter = (self.counter.0 + 1, self.revision);
         self.raised.push(self.counter.0);
-        if self.raises == Raises::AnswerLost {
-            self.raises = Raises::Succeed;
+        if self.raise_outcome == RaiseTxnOutcome::AnswerLost {
+            self.raise_outcome = RaiseTxnOutcome::Succeed;
             return StoreResult::Unknown;
         }
         StoreResult::Committed(self.revision)
     }
 
-    /// Whether the start that is held would be carried out if it came now.
-    fn held_start_counts(&self) -> bool {
+    /// Whether the worker would execute the delayed start command if it arrived now.
+    fn held_start_is_executable(&self) -> bool {
         let held = self.held.as_ref().expect("a start is held");
         assert!(held.commands.iter().any(is_start));
         held.fencing_token >= self.worker.fencing_token && self.now - self.renewed.0 <= LEASE_S
     }
 }
 
-/// The token is raised, the worker takes it in with the answer that renews its lease, and the
-/// start can't be carried out any more, long before the tasks must be gone; the job is closed.
+/// The leader raises the token and the worker adopts it from the answer that renews its lease. The
+/// delayed start then can't be executed any more, long before the cancelled tasks must be gone,
+/// and the job is closed.
 #[test]
-fn a_cancelled_unconfirmed_start_is_taken_back_by_a_higher_token() {
-    let mut scene = Scene::with_a_start_under_way();
-    let cancelled = scene.cancel();
-    assert!(scene.held_start_counts());
-    scene.run(CANCEL_S, |s| s.worker.fencing_token == 2);
-    assert_eq!((scene.raised.as_slice(), scene.worker.fencing_token), ([2].as_slice(), 2));
-    assert!(!scene.held_start_counts());
-    let most = GIVEN_UP_S + RAISE_CANCELLED_EVERY_S + SWEEP_EVERY_S + REPORT_S + 3.0 * STEP_S;
-    assert!(scene.now - cancelled <= most, "took {} s", scene.now - cancelled);
-    scene.run(5.0, |s| s.closed);
-    assert!(scene.closed, "the job's records are closed");
-    assert!(scene.worker.tasks.is_empty(), "nothing was started");
-    assert_eq!(scene.refused, None, "no report was refused");
+fn a_cancelled_unconfirmed_start_is_revoked_by_a_higher_token() {
+    let mut fixture = Fixture::with_start_in_flight();
+    let cancelled = fixture.cancel();
+    assert!(fixture.held_start_is_executable());
+    fixture.run(CANCEL_S, |s| s.worker.fencing_token == 2);
+    assert_eq!((fixture.raised.as_slice(), fixture.worker.fencing_token), ([2].as_slice(), 2));
+    assert!(!fixture.held_start_is_executable());
+    let most = DIRECT_TIMEOUT_S + RAISE_CANCELLED_EVERY_S + SWEEP_EVERY_S + REPORT_S + 3.0 * STEP_S;
+    assert!(fixture.now - cancelled <= most, "took {} s", fixture.now - cancelled);
+    fixture.run(5.0, |s| s.closed);
+    assert!(fixture.closed, "the job's records are not closed");
+    assert!(fixture.worker.tasks.is_empty(), "a task was started");
+    assert_eq!(fixture.refused, None, "a heartbeat was refused");
 }
 
-/// While no transaction goes through, the lease is renewed as long as it can still run out in
-/// time, and no longer; with a transaction that goes through, answers come again.
+/// While the state service refuses the raise, the leader renews the worker's lease only as long as
+/// the lease can still expire in time. Once the raise succeeds, it answers heartbeats again.
 #[test]
-fn without_a_higher_token_the_lease_runs_out_in_time() {
-    let mut scene = Scene::with_a_start_under_way();
-    let cancelled = scene.cancel();
-    scene.raises = Raises::Refused;
-    scene.run(CANCEL_S, |s| s.refused.is_some());
-    let withheld = scene.refused.expect("answers are withheld");
-    let (renewed, token) = scene.renewed;
+fn without_a_higher_token_the_lease_expires_in_time() {
+    let mut fixture = Fixture::with_start_in_flight();
+    let cancelled = fixture.cancel();
+    fixture.raise_outcome = RaiseTxnOutcome::Refused;
+    fixture.run(CANCEL_S, |s| s.refused.is_some());
+    let withheld = fixture.refused.expect("answers are withheld");
+    let (renewed, token) = fixture.renewed;
     assert_eq!(token, 1);
-    let over = renewed + LEASE_S * (1.0 + DRIFT);
-    assert!(over <= cancelled + CANCEL_S * (1.0 - DRIFT), "renewed at {renewed}");
+    let lease_end = renewed + LEASE_S * (1.0 + DRIFT);
+    assert!(lease_end <= cancelled + CANCEL_S * (1.0 - DRIFT), "renewed at {renewed}");
     assert!(withheld > cancelled + CANCEL_S - LEASE_S - 3.0, "too early, at {withheld}");
-    scene.run(3.0, |_| false);
-    assert_eq!(scene.renewed, (renewed, token), "none in between");
-    scene.raises = Raises::Succeed;
-    scene.run(3.0, |s| s.renewed.1 == 2);
-    assert_eq!(scene.renewed.1, 2, "renewed with what takes the start back");
-    assert!(!scene.held_start_counts());
+    fixture.run(3.0, |_| false);
+    assert_eq!(fixture.renewed, (renewed, token), "renewed while answers are withheld");
+    fixture.raise_outcome = RaiseTxnOutcome::Succeed;
+    fixture.run(3.0, |s| s.renewed.1 == 2);
+    assert_eq!(fixture.renewed.1, 2, "not renewed with the token that revokes the start");
+    assert!(!fixture.held_start_is_executable());
 }
 
-/// A raise whose answer is lost may be anybody's: its token is never used, the counter is read
-/// again and raised once more.
+/// If the answer to a raise is lost, the leader can't know whether it owns the token. It never uses
+/// that token, but reads the counter again and raises it once more.
 #[test]
-fn a_token_counts_only_once_its_transaction_was_answered() {
-    let mut scene = Scene::with_a_start_under_way();
-    scene.cancel();
-    scene.raises = Raises::AnswerLost;
-    scene.run(CANCEL_S, |s| s.worker.fencing_token > 1);
-    assert_eq!((scene.raised.as_slice(), scene.worker.fencing_token), ([2, 3].as_slice(), 3));
+fn a_token_is_used_only_after_its_transaction_was_answered() {
+    let mut fixture = Fixture::with_start_in_flight();
+    fixture.cancel();
+    fixture.raise_outcome = RaiseTxnOutcome::AnswerLost;
+    fixture.run(CANCEL_S, |s| s.worker.fencing_token > 1);
+    assert_eq!((fixture.raised.as_slice(), fixture.worker.fencing_token), ([2, 3].as_slice(), 3));
 }
 
-/// A raise that fails as the leader key has changed ends the leadership.
+/// A raise that fails because the leader key has changed ends the leadership.
 #[test]
 fn a_raise_that_finds_another_leader_ends_the_leadership() {
-    let mut scene = Scene::with_a_start_under_way();
-    scene.cancel();
-    scene.raises = Raises::Deposed;
-    scene.run(6.0, |s| s.node.leader().is_none());
-    assert!(scene.node.leader().is_none());
-    assert_eq!(scene.worker.fencing_token, 1);
+    let mut fixture = Fixture::with_start_in_flight();
+    fixture.cancel();
+    fixture.raise_outcome = RaiseTxnOutcome::LeaderChanged;
+    fixture.run(6.0, |s| s.node.leader().is_none());
+    assert!(fixture.node.leader().is_none());
+    assert_eq!(fixture.worker.fencing_token, 1);
 }
 
-/// A start that is still wanted is sent again under the same token: nothing is raised for it.
+/// An unconfirmed start of a job that is not cancelled is sent again with the same token, without a
+/// raise.
 #[test]
-fn an_unconfirmed_start_that_is_wanted_raises_nothing() {
-    let mut scene = Scene::with_a_start_under_way();
-    scene.run(10.0, |_| false);
-    assert_eq!(scene.worker.tasks.len(), 1, "it was sent again");
-    assert!(scene.raised.is_empty());
-    assert_eq!((scene.worker.fencing_token, scene.refused), (1, None));
+fn an_unconfirmed_start_that_is_still_wanted_raises_no_token() {
+    let mut fixture = Fixture::with_start_in_flight();
+    fixture.run(10.0, |_| false);
+    assert_eq!(fixture.worker.tasks.len(), 1, "the start was not sent again");
+    assert!(fixture.raised.is_empty());
+    assert_eq!((fixture.worker.fencing_token, fixture.refused), (1, None));
 }
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,11 +1,12 @@
-//! What several test files set up alike: the settings of one of three controllers, and a job of
-//! one task.
+//! Setup shared by several test files: the settings of one of three controllers, and a job with one
+//! task.
 
 use marblebarrow_core::facts::{Facts, Team, Tuning};
 use marblebarrow_proto::ids::{JobId, NodeId};
 use marblebarrow_proto::job::{JobSpec, Kind, Priority};
 
-/// Settings of the controller c0, the smallest that the operators have: one team without bounds.
+/// Settings of the controller c0 with the smallest limits that the operators use, and one team
+/// without maximum resources.
 pub fn facts() -> Facts {
     let team = Team { name: "t".into(), cpus: 99.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
     Facts {
@@ -32,12 +33,12 @@
     }
 }
 
-/// The id of a job by its number.
+/// The id of the job with this number.
 pub fn job(number: u32) -> JobId {
     JobId::new(&format!("req-{number:06}"))
 }
 
-/// A job of one task of one CPU.
+/// A job with one task that needs one CPU.
 pub fn spec(number: u32, kind: Kind, priority: Priority) -> JobSpec {
     JobSpec {
         id: job(number),
--- a/crates/core/tests/uncertain_records.rs
+++ b/crates/core/tests/uncertain_records.rs
@@ -1,12 +1,12 @@
-//! Transactions of the leader that get no answer, and what waits for them.
+//! Tests transactions of the leader that get no answer, and what has to wait for them.
 //!
-//! What happened: of 2,100 machines a quarter died in a takeover, and 1,532 of 7,200 replicas
-//! still waited 39 s later (seed 33 of the cluster sweep `quarter_lost`). Why: a transaction
-//! without an answer leaves the versions of its records uncertain. The leader read them one
-//! after the other, and wrote nothing else until the last was read: 3 to 5 s for 16 records,
-//! and 1.5 s more for each read whose answer was lost too. What showed it: the log lines
-//! `event=records_uncertain records=16` and `event=records_known`, which in that run filled
-//! 17 of the last 20 s (60.7 to 64.1, 65.7 to 67.0, 68.3 to 73.2, 73.3 to 76.8, from 76.9 on).
+//! Guards against a leader that stops writing while it reads records of uncertain version. A
+//! transaction without an answer leaves the versions of its records uncertain. The leader read them
+//! one after the other and wrote nothing else until the last one was read: 3 to 5 s for 16 records,
+//! and 1.5 s more for each read whose answer was also lost. When a quarter of 2,100 machines failed
+//! during a takeover, 1,532 of 7,200 replicas still waited 39 s later (seed 33 of the cluster sweep
+//! `quarter_lost`); the periods between the log lines `event=records_uncertain records=16` and
+//! `event=records_known` took 17 of the last 20 s.
 
 mod support;
 
@@ -25,50 +25,53 @@
 
 const STEP_S: f64 = 0.1;
 const HEARTBEAT_INTERVAL_S: f64 = 1.0;
-/// When the link gives up waiting for the store, seconds.
+/// Timeout of a store request, in seconds.
 const STORE_TIMEOUT_S: f64 = 1.2;
 /// Jobs whose records are written in one transaction.
 const JOBS: u32 = 12;
 
-/// What becomes of a request to the store.
+/// The outcome of a request to the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    /// Carried out and answered at once.
+enum RequestOutcome {
+    /// Executed and answered at once.
     Answered,
-    /// Carried out at once; the answer is lost.
+    /// Executed at once; the answer is lost.
     AnswerLost,
-    /// Carried out so many seconds later, unanswered.
+    /// Executed this many seconds later; the answer is lost.
     Late(f64),
-    /// Never carried out, unanswered.
+    /// Never executed nor answered.
     Dropped,
 }
 
-/// Something that happens later.
-enum Later {
+/// An event scheduled for a later time.
+enum Scheduled {
     Execute(Txn),
-    GiveUp(OpId),
+    TimeOut(OpId),
 }
 
-/// A leader, a machine and a store that loses answers.
-struct Scene {
+/// A leader and a simulated machine, cloud, peers and a store that loses answers.
+struct Fixture {
     node: Node,
     now: f64,
     revision: u64,
     kv: BTreeMap<String, (ciborium::Value, u64)>,
-    /// Fates of the next transactions that write progress, and of the next reads after them.
-    commits: Vec<Fate>,
-    reads: Vec<Fate>,
-    later: Vec<(f64, Later)>,
+    /// Outcomes of the next transactions that write progress.
+    commits: Vec<RequestOutcome>,
+    /// Outcomes of the next reads.
+    reads: Vec<RequestOutcome>,
+    /// Scheduled events and their times.
+    scheduled: Vec<(f64, Scheduled)>,
     worker: Heartbeat,
     next_heartbeat: f64,
     next_reply: u64,
-    /// Tasks started, each as often as it was.
+    /// Started tasks, one entry for each start.
     started: Vec<TaskId>,
-    /// Reads without an answer yet.
+    /// Reads that are not answered yet.
     unanswered_reads: BTreeSet<u64>,
-    /// Jobs whose progress was written while a read was unanswered.
+    /// Keys of progress transactions that were sent while a read was unanswered.
     written_meanwhile: BTreeSet<String>,
-    broken: Vec<String>,
+    /// Starts that were executed before they were recorded.
+    violations: Vec<String>,
 }
 
 fn facts() -> Facts {
@@ -103,9 +106,9 @@
     JobSpec { estimate_s: 0.0, ..spec(number, Kind::Service, Priority::Production) }
 }
 
-impl Scene {
-    /// A leader in office, and a machine that is recorded, as a task runs on it.
-    fn in_office() -> Self {
+impl Fixture {
+    /// A leader, and a machine that is recorded because a task runs on it.
+    fn with_leader() -> Self {
         let worker = Heartbeat {
             machine: MachineId::new("n-000001"),
             addr: "n-000001".into(),
@@ -118,37 +121,38 @@
             notice_s: None,
             tasks: Vec::new(),
         };
-        let mut scene = Self {
+        let mut fixture = Self {
             node: Node::new(facts(), 1, 0.0),
             now: 0.0,
             revision: 1,
             kv: BTreeMap::new(),
             commits: Vec::new(),
             reads: Vec::new(),
-            later: Vec::new(),
+            scheduled: Vec::new(),
             worker,
             next_heartbeat: 3.0,
             next_reply: 0,
             started: Vec::new(),
             unanswered_reads: BTreeSet::new(),
             written_meanwhile: BTreeSet::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         };
-        scene.news(WatchContent::Reset(Vec::new()));
-        scene.run(6.0);
-        assert!(scene.node.may_act(scene.now), "leads");
-        scene.submit(0);
-        scene.run(6.0);
-        assert_eq!(scene.started.len(), 1, "the first job runs");
-        scene
+        fixture.deliver_watch(WatchContent::Reset(Vec::new()));
+        fixture.run(6.0);
+        assert!(fixture.node.may_act(fixture.now), "not the leader");
+        fixture.submit(0);
+        fixture.run(6.0);
+        assert_eq!(fixture.started.len(), 1, "the first job was not started once");
+        fixture
     }
 
-    fn news(&mut self, content: WatchContent) {
+    /// Delivers a watch update.
+    fn deliver_watch(&mut self, content: WatchContent) {
         let news = WatchNews { sent: self.now, revision: self.revision, content };
         self.node.handle(self.now, 0, Event::Watch(news));
     }
 
-    /// A user's job is accepted.
+    /// Stores an accepted job.
     fn submit(&mut self, number: u32) {
         let value = to_value(&SpecRecord::submitted(service(number), 0));
         self.revision += 1;
@@ -160,7 +164,7 @@
         if key.starts_with(WATCHED) {
             let version = self.revision;
             let event = WatchEvent::Put { key: key.to_owned(), value, version };
-            self.news(WatchContent::Events(vec![event]));
+            self.deliver_watch(WatchContent::Events(vec![event]));
         }
     }
 
@@ -178,26 +182,27 @@
             let news = PeerNews::Heartbeat { node, store_ok: true, leading: Some(false) };
             self.node.handle(self.now, 0, Event::Peer(news));
         }
-        self.news(WatchContent::Events(Vec::new()));
-        self.happen();
+        self.deliver_watch(WatchContent::Events(Vec::new()));
+        self.run_scheduled();
         if self.now >= self.next_heartbeat {
             self.heartbeat();
         }
         self.node.tick(self.now, 0);
-        self.act();
+        self.handle_actions();
     }
 
-    fn happen(&mut self) {
+    /// Runs the scheduled events that are due.
+    fn run_scheduled(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.later).into_iter().partition(|(at, _)| *at <= now);
-        self.later = rest;
-        for (_, later) in due {
-            match later {
-                Later::Execute(txn) => {
+            std::mem::take(&mut self.scheduled).into_iter().partition(|(at, _)| *at <= now);
+        self.scheduled = rest;
+        for (_, scheduled) in due {
+            match scheduled {
+                Scheduled::Execute(txn) => {
                     self.execute(&txn);
                 }
-                Later::GiveUp(op) => {
+                Scheduled::TimeOut(op) => {
                     self.unanswered_reads.remove(&op.0);
                     self.node.handle(now, 0, Event::Store(op, StoreResult::Unknown));
                 }
@@ -213,7 +218,8 @@
         self.node.handle(self.now, 0, Event::Heartbeat(ReplyTo(self.next_reply), heartbeat));
     }
 
-    fn act(&mut self) {
+    /// Handles the actions that the controller requests.
+    fn handle_actions(&mut self) {
         for action in self.node.take_actions() {
             match action {
                 Action::Store(op, request) => self.store(op, request),
@@ -222,32 +228,32 @@
                     self.node.handle(self.now, 0, Event::Cloud(op, types));
                 }
                 Action::Direct { op, fencing_token, commands, .. } => {
-                    let good = fencing_token >= self.worker.fencing_token;
-                    if good {
-                        self.obey(fencing_token, &commands);
+                    let accepted = fencing_token >= self.worker.fencing_token;
+                    if accepted {
+                        self.execute_commands(fencing_token, &commands);
                     }
                     self.worker.seq += 1;
-                    let result = DirectResult::Heartbeat(good, Box::new(self.worker.clone()));
+                    let result = DirectResult::Heartbeat(accepted, Box::new(self.worker.clone()));
                     self.node.handle(self.now, 0, Event::Direct(op, result));
                 }
                 Action::Reply(_, Answer::Heartbeat(answer))
                     if answer.fencing_token >= self.worker.fencing_token =>
                 {
-                    self.obey(answer.fencing_token, &answer.commands);
+                    self.execute_commands(answer.fencing_token, &answer.commands);
                 }
                 _ => {}
             }
         }
     }
 
-    /// The worker carries out commands. A start must be recorded by then.
-    fn obey(&mut self, fencing_token: u64, commands: &[Command]) {
+    /// The worker executes commands. A start must have been recorded before.
+    fn execute_commands(&mut self, fencing_token: u64, commands: &[Command]) {
         self.worker.fencing_token = fencing_token;
         for command in commands {
             let Command::Start { task, attempt } = command else { continue };
             let id = TaskId::parse(task).expect("a task");
             if !self.kv.contains_key(&progress_key(&id.job, 0)) {
-                self.broken.push(format!("{task} started before it was recorded"));
+                self.violations.push(format!("{task} started before it was recorded"));
             }
             if !self.worker.tasks.iter().any(|t| t.task == *task) {
                 self.started.push(id);
@@ -259,35 +265,36 @@
     }
 
     fn store(&mut self, op: OpId, request: StoreRequest) {
-        let fate = match &request {
-            StoreRequest::Commit(txn) if writes_progress(txn) => self.fate_of_commit(txn),
+        let outcome = match &request {
+            StoreRequest::Commit(txn) if writes_progress(txn) => self.commit_outcome(txn),
             StoreRequest::Get(_) if !self.reads.is_empty() => self.reads.remove(0),
-            _ => Fate::Answered,
+            _ => RequestOutcome::Answered,
         };
-        if fate == Fate::Answered {
+        if outcome == RequestOutcome::Answered {
             let result = self.answer(&request);
             return self.node.handle(self.now, 0, Event::Store(op, result));
         }
-        match (fate, request) {
-            (Fate::AnswerLost, StoreRequest::Commit(txn)) => {
+        match (outcome, request) {
+            (RequestOutcome::AnswerLost, StoreRequest::Commit(txn)) => {
                 self.execute(&txn);
             }
-            (Fate::Late(after), StoreRequest::Commit(txn)) => {
-                self.later.push((self.now + after, Later::Execute(txn)));
+            (RequestOutcome::Late(after), StoreRequest::Commit(txn)) => {
+                self.scheduled.push((self.now + after, Scheduled::Execute(txn)));
             }
             (_, StoreRequest::Get(_)) => {
                 self.unanswered_reads.insert(op.0);
             }
             _ => {}
         }
-        self.later.push((self.now + STORE_TIMEOUT_S, Later::GiveUp(op)));
+        self.scheduled.push((self.now + STORE_TIMEOUT_S, Scheduled::TimeOut(op)));
     }
 
-    fn fate_of_commit(&mut self, txn: &Txn) -> Fate {
+    /// Takes the outcome of the next transaction that writes progress.
+    fn commit_outcome(&mut self, txn: &Txn) -> RequestOutcome {
         if !self.unanswered_reads.is_empty() {
             self.written_meanwhile.extend(keys_written(txn));
         }
-        if self.commits.is_empty() { Fate::Answered } else { self.commits.remove(0) }
+        if self.commits.is_empty() { RequestOutcome::Answered } else { self.commits.remove(0) }
     }
 
     fn answer(&mut self, request: &StoreRequest) -> StoreResult {
@@ -310,7 +317,7 @@
         }
     }
 
-    /// Compare-and-swap, as the protocol page has it.
+    /// Executes a transaction as compare-and-swap, as the protocol page specifies.
     fn execute(&mut self, txn: &Txn) -> StoreResult {
         let version = |key: &String| self.kv.get(key).map_or(0, |(_, version)| *version);
         let failed: Vec<String> = txn
@@ -352,62 +359,67 @@
     keys_written(txn).any(|key| key.starts_with(PROGRESS))
 }
 
-/// The answer to a transaction is lost, and then that to a read of one of its records. Neither
-/// the start of another job nor those of the other records wait for that read.
+/// The answer to a transaction is lost, and then the answer to a read of one of its records. Neither
+/// the start of another job nor the starts of the other records wait for that read.
 #[test]
-fn a_lost_read_holds_up_no_other_start() {
-    for fate in [Fate::AnswerLost, Fate::Dropped] {
-        let mut scene = Scene::in_office();
-        scene.commits = vec![fate];
-        scene.reads = vec![Fate::Dropped];
+fn a_lost_read_delays_no_other_start() {
+    for outcome in [RequestOutcome::AnswerLost, RequestOutcome::Dropped] {
+        let mut fixture = Fixture::with_leader();
+        fixture.commits = vec![outcome];
+        fixture.reads = vec![RequestOutcome::Dropped];
         for number in 1..=JOBS {
-            scene.submit(number);
+            fixture.submit(number);
         }
-        while scene.unanswered_reads.is_empty() {
-            scene.step();
-            assert!(scene.now < 60.0, "a record is read");
+        while fixture.unanswered_reads.is_empty() {
+            fixture.step();
+            assert!(fixture.now < 60.0, "no record was read");
         }
-        scene.submit(JOBS + 1);
-        while !scene.unanswered_reads.is_empty() {
-            scene.step();
+        fixture.submit(JOBS + 1);
+        while !fixture.unanswered_reads.is_empty() {
+            fixture.step();
         }
         let other = progress_key(&job(JOBS + 1), 0);
-        assert!(scene.written_meanwhile.contains(&other), "{fate:?}: the other job waited");
-        assert!(scene.started_once(JOBS + 1), "{fate:?}: the other job started");
-        let begun = (1..=JOBS).filter(|number| scene.started_once(*number)).count();
-        assert!(begun as u32 >= JOBS - 1, "{fate:?}: {begun} of {JOBS} started meanwhile");
-        scene.run(3.0);
-        assert!((1..=JOBS).all(|number| scene.started_once(number)), "{fate:?}");
-        assert_eq!(scene.broken, Vec::<String>::new());
+        assert!(fixture.written_meanwhile.contains(&other), "{outcome:?}: the other job waited");
+        assert!(fixture.started_once(JOBS + 1), "{outcome:?}: the other job was not started once");
+        let begun = (1..=JOBS).filter(|number| fixture.started_once(*number)).count();
+        assert!(begun as u32 >= JOBS - 1, "{outcome:?}: {begun} of {JOBS} started meanwhile");
+        fixture.run(3.0);
+        assert!((1..=JOBS).all(|number| fixture.started_once(number)), "{outcome:?}");
+        assert_eq!(fixture.violations, Vec::<String>::new());
     }
 }
 
-/// Two transactions in a row are without an answer; the first is carried out after its records
-/// were read, as the second is on its way or after it. No conclusion is drawn from what was
-/// read before, and each start is recorded and made once.
+/// Two transactions in a row get no answer. The first one is executed after its records were read,
+/// while the second one is in flight or after it. The leader must not rely on the values read
+/// before, and each start is recorded and made once.
 #[test]
-fn a_transaction_carried_out_after_its_records_were_read_is_found() {
+fn a_transaction_executed_after_its_records_were_read_is_detected() {
     for after in [1.3, 1.5, 1.6, 2.0, 3.0, 5.0] {
-        for second in [Fate::AnswerLost, Fate::Dropped, Fate::Late(0.3), Fate::Late(4.0)] {
-            let mut scene = Scene::in_office();
-            scene.commits = vec![Fate::Late(after), second];
+        for second in [
+            RequestOutcome::AnswerLost,
+            RequestOutcome::Dropped,
+            RequestOutcome::Late(0.3),
+            RequestOutcome::Late(4.0),
+        ] {
+            let mut fixture = Fixture::with_leader();
+            fixture.commits = vec![RequestOutcome::Late(after), second];
             for number in 1..=JOBS {
-                scene.submit(number);
+                fixture.submit(number);
             }
-            scene.run(15.0);
-            let all = (1..=JOBS).all(|number| scene.started_once(number));
-            assert!(all, "{after} {second:?}: {:?}", scene.started);
-            assert_eq!(scene.broken, Vec::<String>::new(), "{after} {second:?}");
+            fixture.run(15.0);
+            let all = (1..=JOBS).all(|number| fixture.started_once(number));
+            assert!(all, "{after} {second:?}: {:?}", fixture.started);
+            assert_eq!(fixture.violations, Vec::<String>::new(), "{after} {second:?}");
         }
     }
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn outcome() -> impl Strategy<Value = RequestOutcome> {
     prop_oneof![
-        2 => Just(Fate::Answered),
-        1 => Just(Fate::AnswerLost),
-        1 => (0.1f64..8.0).prop_map(Fate::Late),
-        1 => Just(Fate::Dropped),
+        2 => Just(RequestOutcome::Answered),
+        1 => Just(RequestOutcome::AnswerLost),
+        1 => (0.1f64..8.0).prop_map(RequestOutcome::Late),
+        1 => Just(RequestOutcome::Dropped),
     ]
 }
 
@@ -419,23 +431,24 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is lost or late: each task starts once, and only when that is recorded.
+    /// Whichever requests are lost or late, each task starts once, and only after the start was
+    /// recorded.
     #[test]
-    fn starts_are_recorded_whatever_is_lost(
-        commits in proptest::collection::vec(fate(), 0..8),
-        reads in proptest::collection::vec(fate(), 0..16),
+    fn starts_are_recorded_whichever_requests_are_lost(
+        commits in proptest::collection::vec(outcome(), 0..8),
+        reads in proptest::collection::vec(outcome(), 0..16),
         gaps in proptest::collection::vec(0u32..12, JOBS as usize),
     ) {
-        let mut scene = Scene::in_office();
-        (scene.commits, scene.reads) = (commits, reads);
+        let mut fixture = Fixture::with_leader();
+        (fixture.commits, fixture.reads) = (commits, reads);
         for (number, gap) in (1..=JOBS).zip(gaps) {
-            scene.submit(number);
-            scene.run(f64::from(gap) * STEP_S);
+            fixture.submit(number);
+            fixture.run(f64::from(gap) * STEP_S);
         }
-        scene.run(60.0);
-        prop_assert_eq!(scene.broken.clone(), Vec::<String>::new());
+        fixture.run(60.0);
+        prop_assert_eq!(fixture.violations.clone(), Vec::<String>::new());
         for number in 1..=JOBS {
-            prop_assert!(scene.started_once(number), "{}: {:?}", number, scene.started);
+            prop_assert!(fixture.started_once(number), "{}: {:?}", number, fixture.started);
         }
     }
 }
