--- a/crates/proto/src/tests/wire.rs
+++ b/crates/proto/src/tests/wire.rs
@@ -5,16 +5,16 @@
 use ciborium::Value;
 
 #[test]
-fn reads_the_protocol_pages_report() {
-    let body = Value::serialized(&serde_value()).expect("value");
+fn decodes_integers_as_floats_and_ignores_unknown_values() {
+    let body = Value::serialized(&heartbeat_value()).expect("value");
     let heartbeat: Heartbeat = cbor::decode(&cbor::encode(&body)).expect("report");
     assert_eq!(heartbeat.tasks[0].state, TaskState::Other);
     assert_eq!(heartbeat.tasks[1].why, Some(Why::Done));
     assert_eq!(heartbeat.notice_s, Some(7.0));
 }
 
-/// Integers where amounts are meant, an unknown state, unknown fields.
-fn serde_value() -> Value {
+/// A heartbeat with an integer in place of a float, an unknown task state and an unknown field.
+fn heartbeat_value() -> Value {
     let t = |s: &str| Value::Text(s.into());
     let map = |v: Vec<(&str, Value)>| Value::Map(v.into_iter().map(|(k, v)| (t(k), v)).collect());
     let task = |stage: &str, cause: Value| {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn transactions_survive_a_round_trip() {
+fn transactions_round_trip() {
     let txn = Txn {
         conds: vec![Cond { key: "a".into(), version: 0 }],
         writes: vec![
@@ -56,9 +56,9 @@
     assert_eq!(back, txn);
 }
 
-/// Answers without DAG dependencies stay as before: no `waits_on` in them.
+/// A status without dependencies must be encoded as before `waits_on` was added: without it.
 #[test]
-fn a_status_names_dependencies_only_when_there_are_some() {
+fn a_status_omits_dependencies_when_there_are_none() {
     let id = JobId::new("req-1");
     let mut status = JobStatus { id, stage: Stage::Queued, done: 0, running: 0, waits_on: vec![] };
     assert!(matches!(Value::serialized(&status), Ok(Value::Map(fields)) if fields.len() == 4));
@@ -66,9 +66,10 @@
     assert_eq!(cbor::decode::<JobStatus>(&cbor::encode(&status)).ok(), Some(status));
 }
 
-/// The stored leader record has the field names that the version in production reads.
+/// The field names of the stored leader record must stay those that the version in production
+/// reads.
 #[test]
-fn the_leader_record_keeps_its_stored_names() {
+fn the_leader_record_keeps_its_stored_field_names() {
     let record = LeaderRecord { node: NodeId::new("c0"), term: 2, lease: 7, boot: 3 };
     let Ok(Value::Map(fields)) = Value::serialized(&record) else { panic!("a map") };
     let names: Vec<&str> = fields.iter().filter_map(|(name, _)| name.as_text()).collect();
--- a/crates/proto/src/wire/cloud.rs
+++ b/crates/proto/src/wire/cloud.rs
@@ -1,18 +1,19 @@
-//! The cloud: machine types, rental and release of machines, and their list.
+//! Messages of the cloud API: machine types, rental and release of machines, and the list of
+//! rented machines.
 //!
 //! | on the wire | in the code |
 //! | --- | --- |
 //! | `builds`, `build` | machine types, machine type (`kind`) |
 //! | `sku` | name of a machine type |
 //! | `vcpus`, `cards`, `mem_gb` | CPUs, GPUs, memory |
-//! | `startup_s` | boot time |
+//! | `startup_s` | boot time, seconds |
 //! | `quarters`, `quarter` | zones, zone |
 //! | `hire` | name of a rental request |
 //! | `loaners` | spot |
 //! | `how_many` | count |
 //! | `barrows`, `ref` | machines, name of a machine |
 //! | `stage` (`starting`) | state (booting) |
-//! | `truncated` | more follow |
+//! | `truncated` | more pages follow (`more`) |
 
 use crate::cbor::f64_lax;
 use crate::ids::MachineId;
@@ -21,87 +22,87 @@
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the machine type.
     #[serde(rename = "sku")]
     pub name: String,
-    /// CPUs.
+    /// Number of CPUs.
     #[serde(rename = "vcpus", deserialize_with = "f64_lax")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(rename = "cards", deserialize_with = "f64_lax")]
     pub gpus: f64,
     /// Memory, GB.
     #[serde(rename = "mem_gb", deserialize_with = "f64_lax")]
     pub memory_gb: f64,
-    /// Image cache, GB.
+    /// Size of the image cache, GB.
     #[serde(deserialize_with = "f64_lax")]
     pub cache_gb: f64,
-    /// Image fetch rate.
+    /// Image fetch rate, GB per second.
     #[serde(deserialize_with = "f64_lax")]
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// Price per hour of a regular (non-spot) machine.
     #[serde(deserialize_with = "f64_lax")]
     pub price: f64,
-    /// Spot price an hour now.
+    /// Current price per hour of a spot machine.
     #[serde(deserialize_with = "f64_lax")]
     pub spot_price: f64,
-    /// Usual boot time, seconds.
+    /// Typical boot time, seconds.
     #[serde(rename = "startup_s", deserialize_with = "f64_lax")]
     pub boot_s: f64,
-    /// Zones it can be had in.
+    /// Zones that offer the machine type.
     #[serde(rename = "quarters")]
     pub zones: Vec<String>,
 }
 
-/// Answer of the cloud on types.
+/// Response to a request for the machine types.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TypeList {
-    /// The types.
+    /// The machine types on offer.
     #[serde(rename = "builds")]
     pub types: Vec<MachineType>,
 }
 
-/// A rental request.
+/// A request to rent machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rent {
-    /// Name of the request, never used twice.
+    /// Name of the request, never reused.
     #[serde(rename = "hire")]
     pub request: String,
-    /// Type.
+    /// Name of the machine type to rent.
     #[serde(rename = "build")]
     pub kind: String,
-    /// Zone.
+    /// Zone to rent the machines in.
     #[serde(rename = "quarter")]
     pub zone: String,
-    /// Spot.
+    /// Whether to rent spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     #[serde(rename = "how_many")]
     pub count: u32,
 }
 
-/// Machine names: answer to a rental, body of a release.
+/// Machine names: the response to a rental request and the body of a release request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names of the machines.
     #[serde(rename = "barrows")]
     pub machines: Vec<MachineId>,
 }
 
-/// State of a listed machine.
+/// State of a machine in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedState {
-    /// Boots.
+    /// The machine is booting.
     #[serde(rename = "starting")]
     Booting,
-    /// Up, as far as the cloud knows.
+    /// The machine is up, as far as the cloud knows.
     #[serde(rename = "running")]
     Running,
-    /// Stopped by itself.
+    /// The machine stopped by itself.
     #[serde(rename = "failed")]
     Failed,
-    /// Something newer than this program.
+    /// A state added by a newer version of the protocol.
     #[serde(other)]
     Other,
 }
@@ -109,33 +110,33 @@
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     #[serde(rename = "ref")]
     pub machine: MachineId,
-    /// Type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub kind: String,
-    /// Zone.
+    /// Zone that the machine is in.
     #[serde(rename = "quarter")]
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// State.
+    /// State of the machine.
     #[serde(rename = "stage")]
     pub state: ListedState,
-    /// Age since the rental request, seconds.
+    /// Time since the rental request, seconds.
     #[serde(deserialize_with = "f64_lax")]
     pub age_s: f64,
 }
 
-/// A page of the cloud's list.
+/// One page of the cloud's list of machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// The machines.
+    /// The machines on this page.
     #[serde(rename = "barrows")]
     pub machines: Vec<ListedMachine>,
-    /// More follow.
+    /// Whether more pages follow.
     #[serde(rename = "truncated")]
     pub more: bool,
 }
--- a/crates/proto/src/wire/mod.rs
+++ b/crates/proto/src/wire/mod.rs
@@ -1,9 +1,9 @@
-//! Bodies of the messages of users, workers, cloud and state service.
+//! Bodies of the messages exchanged with users, workers, the cloud and the state service.
 //!
-//! The wire has names of its own. They appear in the `serde` attributes of this module and
-//! of [`job`](crate::job) only: types and fields have the usual names of the field, and a
-//! table in the source of each submodule (`users`, `workers`, `cloud`, `store`) translates
-//! them. Names that are the same in both are left out.
+//! The wire protocol has its own vocabulary, which appears only in this module and in
+//! [`job`](crate::job), mainly in `serde` attributes. Types and fields have the standard names.
+//! A table in each submodule (`users`, `workers`, `cloud`, `store`) maps one to the other and
+//! omits names that are the same in both.
 
 mod cloud;
 mod store;
--- a/crates/proto/src/wire/store.rs
+++ b/crates/proto/src/wire/store.rs
@@ -1,4 +1,4 @@
-//! The state service: transactions, keys, watches and leases.
+//! Messages of the state service: transactions, reads, watches and leases.
 //!
 //! | on the wire | in the code |
 //! | --- | --- |
@@ -8,26 +8,26 @@
 //! | `put`, `drop` | put, delete |
 //! | `v` | value |
 //! | `hold` | lease that a key is attached to (`lease`) |
-//! | `truncated` | more follow |
+//! | `truncated` | more pages follow (`more`) |
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// A condition of a transaction: the key has this version (0: absent).
+/// A condition of a transaction: the key must have the given version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Cond {
     /// The key.
     pub key: String,
-    /// Its version.
+    /// Version that the key must have; 0: the key must be absent.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A change of a transaction.
+/// A write of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
-    /// Set a key.
+    /// Sets a key.
     Put {
         /// The key.
         #[serde(rename = "put")]
@@ -35,11 +35,11 @@
         /// The value.
         #[serde(rename = "v")]
         value: Value,
-        /// Lease the key is attached to: the key is removed as the lease ends.
+        /// Lease that the key is attached to. The key is removed when the lease ends.
         #[serde(rename = "hold", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Remove a key.
+    /// Removes a key.
     Delete {
         /// The key.
         #[serde(rename = "drop")]
@@ -47,28 +47,28 @@
     },
 }
 
-/// A transaction.
+/// A transaction: all writes are applied if all conditions hold, and none otherwise.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Default)]
 pub struct Txn {
-    /// Conditions.
+    /// Conditions that must all hold.
     #[serde(rename = "when")]
     pub conds: Vec<Cond>,
-    /// Changes.
+    /// Writes to apply.
     pub writes: Vec<Write>,
 }
 
-/// Answer to a transaction, whether it was committed or not.
+/// Response to a transaction, whether it was committed or not.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TxnAnswer {
-    /// Revision.
+    /// Revision of the whole store.
     #[serde(rename = "ledger", default)]
     pub revision: u64,
-    /// Keys whose condition failed.
+    /// Keys whose condition didn't hold.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// A key and its value.
+/// A key with its value and version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item {
     /// The key.
@@ -76,20 +76,20 @@
     /// The value.
     #[serde(rename = "v")]
     pub value: Value,
-    /// Version.
+    /// Version of the key: the revision of its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A page of keys.
+/// One page of keys of a range read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ItemPage {
-    /// The keys.
+    /// The keys on this page.
     pub items: Vec<Item>,
-    /// More follow.
+    /// Whether more pages follow.
     #[serde(rename = "truncated")]
     pub more: bool,
-    /// Revision the page describes.
+    /// Revision of the store at which the page was read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
@@ -106,7 +106,7 @@
         /// The value.
         #[serde(rename = "v")]
         value: Value,
-        /// Version.
+        /// Version of the key: the revision of this change.
         #[serde(rename = "stamp")]
         version: u64,
     },
@@ -121,27 +121,27 @@
     },
 }
 
-/// Answer to a watch.
+/// Response to a watch request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchAnswer {
-    /// Revision up to which every change is included.
+    /// Revision up to which the response includes every change.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// The events, in order.
+    /// The events, in the order of their revisions.
     pub events: Vec<WatchEvent>,
 }
 
 /// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Time to live, milliseconds.
+    /// Time to live of the lease, milliseconds.
     pub ttl_ms: u64,
 }
 
-/// A lease that was granted.
+/// Response to a lease request that was granted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGranted {
-    /// Its id.
+    /// Id of the lease.
     #[serde(rename = "hold")]
     pub lease: u64,
 }
--- a/crates/proto/src/wire/users.rs
+++ b/crates/proto/src/wire/users.rs
@@ -1,4 +1,4 @@
-//! What users are told of their jobs. The submission itself is [`crate::job`].
+//! Responses to users about their jobs. The submission itself is in [`crate::job`].
 //!
 //! | on the wire | in the code |
 //! | --- | --- |
@@ -8,48 +8,48 @@
 use crate::ids::JobId;
 use serde::{Deserialize, Serialize};
 
-/// What users are told of a job.
+/// Status of a job as reported to users.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job.
+    /// Id of the job.
     #[serde(rename = "ref")]
     pub id: JobId,
-    /// Where it stands.
+    /// Stage that the job has reached.
     pub stage: Stage,
-    /// Completed tasks, for display.
+    /// Number of completed tasks, for display only.
     #[serde(default)]
     pub done: u32,
-    /// Running tasks, for display.
+    /// Number of running tasks, for display only.
     #[serde(default)]
     pub running: u32,
-    /// DAG dependencies that this controller still sees unfinished. Left out
-    /// when empty, so that answers without dependencies stay as before.
+    /// Dependencies of the job that this controller doesn't know to be done. Omitted when
+    /// empty, so that a status without dependencies is encoded as before the field was added.
     #[serde(rename = "waits_on", default, skip_serializing_if = "Vec::is_empty")]
     pub waits_on: Vec<JobId>,
 }
 
-/// A job's stage.
+/// Stage of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// No task runs.
+    /// No task is running.
     #[serde(rename = "queued")]
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
     /// All tasks are done.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled.
+    /// The job was cancelled.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// The body of a 422 to a submission that names DAG dependencies never accepted.
+/// Body of the 422 response to a submission with dependencies that were never accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UnknownDependencies {
-    /// What is wrong, for people.
+    /// Description of the error, for people.
     pub error: String,
-    /// The named jobs that were never accepted.
+    /// The dependencies that were never accepted.
     pub waits_on: Vec<JobId>,
 }
--- a/crates/proto/src/wire/workers.rs
+++ b/crates/proto/src/wire/workers.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of workers ("reports"), and the commands that controllers give them, in
-//! answers to heartbeats or directly.
+//! Heartbeats of workers (called reports in the protocol), and the commands that controllers
+//! send to workers, in responses to heartbeats or directly.
 //!
 //! | on the wire | in the code |
 //! | --- | --- |
@@ -7,124 +7,125 @@
 //! | `build` | machine type (`kind`) |
 //! | `quarter` | zone |
 //! | `loaners` | spot |
-//! | `shift` | the agent's epoch, which rises as its lease runs out |
+//! | `shift` | agent epoch, which increases each time the worker's lease expires |
 //! | `tally` | sequence number within the agent epoch (`seq`) |
 //! | `baton` | fencing token, which is the leader's term |
-//! | `warning_s` | notice before a spot machine is taken |
+//! | `warning_s` | seconds until a spot machine is reclaimed (`notice_s`) |
 //! | `pieces`, `piece` | tasks, task |
 //! | `try` | attempt |
 //! | `stage`, `cause` | state of a task, why it ended |
 //! | states `pulling`, `gathering`, `flushing`, `ended` | fetching, waiting, saving, exited |
 //! | causes `full`, `in_use`, `no_such` | no room, busy, unknown job |
-//! | causes `mates_gone`, `incomplete` | peers of the gang lost, or not there in time |
+//! | causes `mates_gone`, `incomplete` | other tasks of the gang ended, or didn't arrive in time |
 //! | `orders`, `verb` | commands, command |
 //! | `launch`, `kill`, `clear` | start, stop, forget |
-//! | `leave_s` | grace period |
+//! | `leave_s` | grace period, seconds |
 //! | `foreman` | the controller to report to instead |
 
 use crate::cbor::opt_f64_lax;
 use crate::ids::{Attempt, MachineId};
 use serde::{Deserialize, Serialize};
 
-/// State of a task on a worker. Unknown words read as `Other`.
+/// State of a task on a worker. Unknown values decode as `Other`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// Waiting for the image to be fetched.
     #[serde(rename = "pulling")]
     Fetching,
-    /// A gang's task that has its image and waits for the others.
+    /// A task of a gang that has its image and waits for the other tasks of the gang.
     #[serde(rename = "gathering")]
     Waiting,
-    /// Runs.
+    /// Running.
     #[serde(rename = "running")]
     Running,
-    /// Saves before it ends.
+    /// Saving its state before it ends.
     #[serde(rename = "flushing")]
     Saving,
     /// Ended.
     #[serde(rename = "ended")]
     Exited,
-    /// Something newer than this program.
+    /// A value added by a newer version of the protocol.
     #[serde(other)]
     Other,
 }
 
-/// Why a task ended. Unknown words read as `Other`.
+/// Reason why a task ended. Unknown values decode as `Other`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Why {
     /// Completed.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// Stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
     /// Failed.
     #[serde(rename = "error")]
     Error,
-    /// Refused: no room.
+    /// Start refused: the machine lacks the free resources.
     #[serde(rename = "full")]
     NoRoom,
-    /// Refused: here already with another attempt.
+    /// Start refused: the task is on the machine with another attempt.
     #[serde(rename = "in_use")]
     Busy,
-    /// Refused: no such job.
+    /// Start refused: the job is unknown.
     #[serde(rename = "no_such")]
     Unknown,
-    /// Another task of its gang went.
+    /// Another task of the gang ended.
     #[serde(rename = "mates_gone")]
     Peers,
-    /// The others of its gang didn't come in time.
+    /// The other tasks of the gang weren't ready in time.
     #[serde(rename = "incomplete")]
     Alone,
-    /// Something newer than this program.
+    /// A value added by a newer version of the protocol.
     #[serde(other)]
     Other,
 }
 
-/// One task in a heartbeat.
+/// State of one task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatTask {
-    /// `job/index`.
+    /// Id of the task in its wire form, `job/index`.
     #[serde(rename = "piece")]
     pub task: String,
-    /// Its attempt.
+    /// Attempt of the task.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// Its state.
+    /// State of the task.
     #[serde(rename = "stage")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Reason why the task ended; `None` if it hasn't.
     #[serde(rename = "cause", default)]
     pub why: Option<Why>,
 }
 
-/// A worker's heartbeat, with the whole state of its machine.
+/// A worker's heartbeat, with the complete state of its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine.
+    /// Name of the machine.
     #[serde(rename = "barrow")]
     pub machine: MachineId,
-    /// Where its worker listens.
+    /// Address that the worker listens on.
     pub addr: String,
-    /// Its type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub kind: String,
-    /// Its zone.
+    /// Zone that the machine is in.
     #[serde(rename = "quarter")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Epoch of the worker: rises each time its lease runs out, as all its tasks are gone then.
+    /// Agent epoch of the worker. It increases each time the worker's lease expires, as the
+    /// expiry ends all tasks on the machine.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Order of messages within the agent epoch.
+    /// Sequence number, which orders the worker's heartbeats within an agent epoch.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// Highest fencing token seen.
+    /// Highest fencing token that the worker has received.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Seconds until a spot machine is taken.
+    /// Seconds until the cloud reclaims the spot machine; `None` without notice.
     #[serde(rename = "warning_s", default, deserialize_with = "opt_f64_lax")]
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
@@ -136,70 +137,71 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Command {
-    /// Start a task.
+    /// Starts a task.
     #[serde(rename = "launch")]
     Start {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// Its attempt.
+        /// Attempt of the task.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
-    /// Stop a task.
+    /// Stops a task.
     #[serde(rename = "kill")]
     Stop {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// Its attempt.
+        /// Attempt of the task.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Time it may use to save.
+        /// Grace period in which the task may save its state, seconds.
         #[serde(rename = "leave_s")]
         grace_s: f64,
     },
-    /// Forget an ended task.
+    /// Removes an ended task from the worker's state.
     #[serde(rename = "clear")]
     Forget {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// Its attempt.
+        /// Attempt of the task.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-/// Answer to a heartbeat. It renews the worker's lease.
+/// Response to a heartbeat. It renews the worker's lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatAnswer {
     /// Fencing token: the leader's term.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Commands, in order.
+    /// Commands, in the order of execution.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands sent straight to a worker. They don't renew its lease.
+/// Commands sent directly to a worker. They don't renew its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
     /// Fencing token: the leader's term.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// The agent epoch meant: in any other one nothing is executed.
+    /// Agent epoch that the commands are meant for. The worker executes none of them in any
+    /// other epoch.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Commands, in order.
+    /// Commands, in the order of execution.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Where a worker should report instead.
+/// Response to a worker that should send its heartbeats to another controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Elsewhere {
-    /// The leader's node name.
+    /// Node name of the leader; `None` if no leader is known.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
