--- a/crates/proto/src/intset.rs
+++ b/crates/proto/src/intset.rs
@@ -1,4 +1,4 @@
-//! Compact sets of task numbers, as kept in progress records.
+//! Compact sets of task indices or machine numbers, as kept in progress records.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 }
 
 impl IntSet {
-    /// The empty set.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
@@ -20,7 +20,7 @@
         self.ranges.get(i).is_some_and(|&(lo, _)| lo <= n)
     }
 
-    /// Adds `n`; true if it was not there.
+    /// Adds `n`; returns whether it was absent before.
     pub fn insert(&mut self, n: u32) -> bool {
         let i = self.ranges.partition_point(|&(_, hi)| hi < n);
         if self.ranges.get(i).is_some_and(|&(lo, _)| lo <= n) {
@@ -40,19 +40,19 @@
         true
     }
 
-    /// Adds all numbers from `first` to `last`.
+    /// Adds all numbers from `first` to `last`, both included.
     pub fn insert_range(&mut self, first: u32, last: u32) {
         match self.ranges.last_mut() {
-            // Ranges mostly come in order.
-            Some(before) if before.1.checked_add(1) == Some(first) => before.1 = last,
-            Some(before) if before.1 >= first => (first..=last).for_each(|n| {
+            // Fast path: ranges mostly arrive in ascending order.
+            Some(previous) if previous.1.checked_add(1) == Some(first) => previous.1 = last,
+            Some(previous) if previous.1 >= first => (first..=last).for_each(|n| {
                 self.insert(n);
             }),
             _ => self.ranges.push((first, last)),
         }
     }
 
-    /// Removes `n`; true if it was there.
+    /// Removes `n`; returns whether it was present before.
     pub fn remove(&mut self, n: u32) -> bool {
         let i = self.ranges.partition_point(|&(_, hi)| hi < n);
         let Some(&(lo, hi)) = self.ranges.get(i).filter(|&&(lo, _)| lo <= n) else {
@@ -72,25 +72,26 @@
         true
     }
 
-    /// The smallest and the largest number.
+    /// The smallest and the largest number; `None` if the set is empty.
     pub fn bounds(&self) -> Option<(u32, u32)> {
         Some((self.ranges.first()?.0, self.ranges.last()?.1))
     }
 
-    /// How many numbers are in the set.
+    /// The number of elements.
     pub fn len(&self) -> u32 {
         self.ranges.iter().map(|&(lo, hi)| hi - lo + 1).sum()
     }
 
-    /// Whether nothing is in the set.
+    /// Whether the set has no elements.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// This set, or the smallest one that holds it and has no more than `most` ranges:
-    /// the narrowest gaps between ranges are filled.
-    pub fn with_ranges_at_most(&self, most: usize) -> Self {
-        let excess = self.ranges.len().saturating_sub(most.max(1));
+    /// Returns the smallest superset that has at most `max_ranges` ranges (at least one is
+    /// allowed), found by filling the narrowest gaps. A set with few enough ranges is returned
+    /// unchanged.
+    pub fn with_ranges_at_most(&self, max_ranges: usize) -> Self {
+        let excess = self.ranges.len().saturating_sub(max_ranges.max(1));
         if excess == 0 {
             return self.clone();
         }
@@ -99,29 +100,30 @@
         gaps.sort_unstable();
         let mut filled: Vec<usize> = gaps.into_iter().take(excess).map(|(_, i)| i).collect();
         filled.sort_unstable();
-        let mut ranges: Vec<(u32, u32)> = Vec::with_capacity(most);
+        let mut ranges: Vec<(u32, u32)> = Vec::with_capacity(max_ranges);
         for (i, &(first, last)) in self.ranges.iter().enumerate() {
             match ranges.last_mut() {
-                Some(before) if filled.binary_search(&i).is_ok() => before.1 = last,
+                Some(previous) if filled.binary_search(&i).is_ok() => previous.1 = last,
                 _ => ranges.push((first, last)),
             }
         }
         Self { ranges }
     }
 
-    /// This set, or the part of it that lies in its `most` longest ranges.
-    pub fn longest_ranges(&self, most: usize) -> Self {
-        if self.ranges.len() <= most {
+    /// Returns the subset made of the `max_ranges` longest ranges. A set with few enough ranges
+    /// is returned unchanged.
+    pub fn longest_ranges(&self, max_ranges: usize) -> Self {
+        if self.ranges.len() <= max_ranges {
             return self.clone();
         }
         let mut by_length: Vec<(u32, u32)> = self.ranges.clone();
         by_length.sort_by_key(|&(first, last)| (std::cmp::Reverse(last - first), first));
-        by_length.truncate(most);
+        by_length.truncate(max_ranges);
         by_length.sort_unstable();
         Self { ranges: by_length }
     }
 
-    /// The numbers of this set within `[start, start + len)`.
+    /// Returns the elements within `[start, start + len)`.
     pub fn within(&self, start: u32, len: u32) -> Self {
         let end = start.saturating_add(len);
         let ranges = self
@@ -133,26 +135,29 @@
         Self { ranges }
     }
 
-    /// All numbers in order.
+    /// Iterates over the elements in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.ranges.iter().flat_map(|&(lo, hi)| lo..=hi)
     }
 }
 
-/// The stored form of a part of a set: ranges while they are few, else a bit
-/// map in words of 32, so that a part never outgrows a value of the store.
+/// Stored form of one part of a set, a window `[start, start + len)`: a list of ranges while
+/// that is no longer than a bitmap, else a bitmap of 32-bit words. This bounds the size of a
+/// part, so that it fits the value limit of the state service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct PackedSet {
-    /// Range bounds, first and last alternating, relative to the part's start.
+    /// Ranges as alternating first and last numbers, both included, relative to the start of
+    /// the part. Empty if the bitmap is used.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub r: Vec<u32>,
-    /// Bit map words.
+    /// Bitmap words: bit `i` of word `w` stands for number `32 * w + i` relative to the start
+    /// of the part. Empty if ranges are used.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub b: Vec<u32>,
 }
 
 impl PackedSet {
-    /// Packs the numbers of `set` within `[start, start + len)`.
+    /// Packs the elements of `set` within `[start, start + len)`.
     pub fn pack(set: &IntSet, start: u32, len: u32) -> Self {
         let inside: Vec<(u32, u32)> = set
             .within(start, len)
@@ -171,7 +176,7 @@
         Self { r: Vec::new(), b }
     }
 
-    /// Adds the packed numbers to `set`. Nonsense ranges are skipped.
+    /// Adds the packed numbers to `set`. Invalid ranges and numbers beyond `len` are skipped.
     pub fn unpack(&self, start: u32, len: u32, set: &mut IntSet) {
         for pair in self.r.chunks_exact(2) {
             if pair[0] <= pair[1] && pair[1] < len {
--- a/crates/proto/src/tests/intset.rs
+++ b/crates/proto/src/tests/intset.rs
@@ -10,13 +10,14 @@
     })]
 
     #[test]
-    fn behaves_as_a_set_and_survives_packing(
-        ns in proptest::collection::vec((0u32..300, 0u8..4), 0..300)
+    /// `IntSet` must agree with `BTreeSet` on every operation, and packing in parts must keep it.
+    fn matches_btree_set_and_round_trips_through_packing(
+        operations in proptest::collection::vec((0u32..300, 0u8..4), 0..300)
     ) {
         let mut set = IntSet::new();
         let mut model = BTreeSet::new();
-        for (n, what) in ns {
-            if what == 0 {
+        for (n, operation) in operations {
+            if operation == 0 {
                 prop_assert_eq!(set.remove(n), model.remove(&n));
             } else {
                 prop_assert_eq!(set.insert(n), model.insert(n));
