--- a/crates/proto/src/records.rs
+++ b/crates/proto/src/records.rs
@@ -1,45 +1,49 @@
 //! Keys and records in the state service.
 //!
-//! `w/` is what every controller watches: the leader key, specs of unfinished
-//! jobs and cancellations. `end/` holds each job's final state, written once.
-//! `p/` is progress, written by the leader alone; `m/` the machines it used.
+//! - `w/`: the keys that every controller watches, among them the leader key, the specs of
+//!   unfinished jobs and cancellations.
+//! - `end/`: the final state of each job, written once.
+//! - `p/`: progress of jobs, written by the leader only.
+//! - `m/`: the machines that were given tasks.
 
 use crate::ids::{JobId, MachineId, NodeId};
 use crate::intset::{IntSet, PackedSet};
 use crate::transfer::{ForwardRecord, TransferId};
 use serde::{Deserialize, Serialize};
 
-/// Prefix of all keys that controllers watch.
+/// Key prefix of everything that controllers watch.
 pub const WATCHED: &str = "w/";
-/// The leader key, attached to the leader's lease.
+/// Key of the [`LeaderRecord`], attached to the leader's lease.
 pub const LEADER: &str = "w/lead";
-/// The term counter, which outlives the leader key.
+/// Key of the [`TermRecord`]. It remains when the leader key expires.
 pub const TERM: &str = "term";
-/// The machine types, for starts while the cloud is down.
+/// Key of the machine types, stored so that they are known after a start while the cloud is
+/// unavailable.
 pub const TYPES: &str = "w/types";
-/// The format that every controller is known to run at least; see [`FormatRecord`].
+/// Key of the lowest record format among the controllers; see [`FormatRecord`].
 pub const COMMON_FORMAT: &str = "w/format";
-/// Prefix of specs.
+/// Key prefix of job specs; see [`SpecRecord`].
 pub const SPECS: &str = "w/spec/";
-/// Prefix of cancellations.
+/// Key prefix of cancellations.
 pub const CANCELS: &str = "w/cut/";
-/// Prefix of the lists of jobs cancelled by a cascade; see [`CascadeRecord`].
+/// Key prefix of the lists of jobs cancelled by a cascade; see [`CascadeRecord`].
 pub const CASCADES: &str = "w/cascade/";
-/// The cascade generation: put in each transaction that adds a list under [`CASCADES`], so
-/// that its version tells whether a copy of the lists is whole. It sorts before the lists:
-/// a read of several pages then never pairs a new generation with old lists.
+/// Key of the cascade generation, written in each transaction that adds a list under
+/// [`CASCADES`]: its version shows whether a copy of the lists is complete. The key sorts
+/// before the lists, so that a read of several pages never combines a new generation with
+/// old lists.
 pub const CASCADE_GENERATION: &str = "w/cascade-generation";
-/// Prefix of final states.
+/// Key prefix of final states; see [`EndRecord`].
 pub const ENDS: &str = "end/";
-/// Prefix of the cascade generation and of the lists, which come in that order.
+/// Common key prefix of the cascade generation and the cascade lists, which sort in this order.
 pub const CASCADE_RECORDS: &str = "w/cascade";
-/// Prefix of progress.
+/// Key prefix of job progress; see [`ProgressRecord`].
 pub const PROGRESS: &str = "p/";
-/// Prefix of machine records.
+/// Key prefix of blocks of machine records; see [`MachineBlock`].
 pub const MACHINES: &str = "m/";
 
-/// Tasks per progress record: two bit maps of this many bits stay far below
-/// the smallest value limit.
+/// Tasks per progress record: two bitmaps of this many bits stay far below the smallest value
+/// limit of the state service.
 pub const PART_TASKS: u32 = 8192;
 
 /// Key of a job's spec.
@@ -54,7 +58,7 @@
 pub fn end_key(id: &JobId) -> String {
     format!("{ENDS}{id}")
 }
-/// Key of the list number `number` of cascade cancellations that the leader of a term wrote.
+/// Key of the cascade list with this number among those written by the leader of `term`.
 pub fn cascade_key(term: u64, number: u32) -> String {
     format!("{CASCADES}{term:010}/{number:06}")
 }
@@ -66,77 +70,80 @@
 pub fn block_key(block: u32) -> String {
     format!("{MACHINES}{block:05}")
 }
-/// Reads a progress key.
+/// Parses a progress key into the job and the part; `None` if it isn't one.
 pub fn parse_progress_key(key: &str) -> Option<(JobId, u32)> {
     let (job, part) = key.strip_prefix(PROGRESS)?.rsplit_once('/')?;
     Some((JobId::new(job), part.parse().ok()?))
 }
 
-/// The controller that leads.
+/// The current leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The controller.
+    /// Name of the leading controller.
     pub node: NodeId,
-    /// Its term.
+    /// Term of the leader.
     pub term: u64,
-    /// Its lease in the state service.
+    /// Id of the leader's lease in the state service.
     #[serde(rename = "grant")]
     pub lease: u64,
-    /// Distinguishes this process from an earlier one of the same name.
+    /// Id of the leader's process, which differs from earlier processes with the same node name.
     pub boot: u64,
 }
 
-/// The last term given out.
+/// The term counter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// The term.
+    /// The last term that was assigned.
     pub term: u64,
 }
 
-/// That every configured controller runs at least this format. The leader writes it once
-/// its process has heard so of each, and it only ever rises.
+/// The record format that every configured controller supports. The leader writes the record
+/// once each controller has reported its format to the leader's process. The format never
+/// decreases.
 ///
-/// The version in production (6fad5c8e, which announces no format) passes over the key: its
-/// `Replica::put` hands a watched key that it doesn't know to `put_transfer`, which matches
-/// prefixes of its own and drops the rest.
+/// Version 6fad5c8e, which is in production and reports no format, ignores the key: its
+/// `Replica::put` passes unknown watched keys to `put_transfer`, which matches its own prefixes
+/// and discards all others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FormatRecord {
-    /// The lowest format of them all.
+    /// The lowest format that any controller reports.
     pub format: u32,
 }
 
 /// A job's final state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndRecord {
-    /// True if cancelled, false if done.
+    /// Whether the job was cancelled; otherwise it is done.
     pub cancelled: bool,
-    /// Number of tasks, for display.
+    /// Number of tasks of the job, for display only.
     pub tasks: u32,
 }
 
-/// Jobs cancelled by a cascade: a job that each of them needs was cancelled. Durable the
-/// moment it is written, long before each job has its own final state. An older version
-/// ignores these keys; the leader writes them only where every controller knows them.
+/// Jobs cancelled by a cascade, that is, because a job that they depend on was cancelled. The
+/// cancellations are durable once this record is written, long before each job has its own
+/// final state. Older versions ignore these keys, so the leader writes them only if every
+/// controller supports them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CascadeRecord {
-    /// The jobs.
+    /// The cancelled jobs.
     pub jobs: Vec<JobId>,
 }
 
-/// A stored spec: the submission and when it was accepted.
+/// A stored job spec, with the time of acceptance and the state of transfers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SpecRecord {
-    /// The submission.
+    /// The submission as validated.
     pub spec: crate::job::JobSpec,
-    /// Time of day of acceptance, milliseconds since 1970, for the deadline.
+    /// Wall-clock time of acceptance, milliseconds since the Unix epoch. The deadline is counted
+    /// from it.
     pub at_ms: u64,
-    /// It was offered to another cell, and can't start in this one.
+    /// Set if the job was offered to another cell; it can't start in this one then.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub forward: Option<ForwardRecord>,
-    /// It came from another cell, by this transfer, and goes to no other.
+    /// The transfer by which the job came from another cell. Such a job isn't transferred again.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<TransferId>,
-    /// How often other cells refused it.
+    /// How many times other cells refused the job.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub refusals: u32,
 }
@@ -146,60 +153,63 @@
 }
 
 impl SpecRecord {
-    /// The record of a job as its user submitted it.
+    /// Creates the record of a job submitted to this cell, with no transfer.
     pub fn submitted(spec: crate::job::JobSpec, at_ms: u64) -> Self {
         Self { spec, at_ms, forward: None, origin: None, refusals: 0 }
     }
 }
 
-/// A part of a job's progress.
+/// Progress of one part of a job: [`PART_TASKS`] consecutive tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProgressRecord {
     /// Tasks that may have been started.
     #[serde(default)]
     pub started: PackedSet,
-    /// Tasks that completed.
+    /// Tasks that have completed.
     #[serde(default)]
     pub finished: PackedSet,
-    /// Mean task run time so far, milliseconds; 0: unknown. In part 0 only.
+    /// Mean task run time so far, milliseconds; 0: unknown. Set in part 0 only.
     #[serde(default)]
     pub mean_ms: u64,
-    /// The queue the job was sorted into. In part 0 only.
+    /// Index of the queue that the job was assigned to. Set in part 0 only.
     #[serde(default)]
     pub queue: Option<u8>,
-    /// Machines that tasks of the job may be on, by number. In part 0 only.
+    /// Numbers of the machines that tasks of the job may be on. Set in part 0 only.
     #[serde(default)]
     pub machines: NumberSet,
 }
 
-/// The stored form of a set of machine numbers: a job of many hundred tasks
-/// names as many machines, and their names would outgrow a value of the store.
+/// Stored form of a set of machine numbers. Numbers are stored instead of names because a job
+/// with many hundreds of tasks uses as many machines, and their names would exceed the value
+/// limit of the state service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NumberSet {
-    /// The smallest number.
+    /// The smallest number in the set.
     #[serde(default)]
     pub from: u32,
-    /// From the smallest to the largest.
+    /// Number of integers from the smallest to the largest number, both included.
     #[serde(default)]
     pub len: u32,
-    /// The numbers, relative to the smallest.
+    /// The numbers, relative to `from`.
     #[serde(default)]
     pub set: PackedSet,
 }
 
-/// Numbers that a set may span and still be stored exactly: a bit map of so many bits is
-/// 5 KiB as CBOR, which leaves room for a part's tasks in the smallest value limit (8 KiB).
+/// Maximum span of a set that is stored exactly. A bitmap of this many bits takes 5 KiB as
+/// CBOR, which leaves room for the tasks of a part within the smallest value limit (8 KiB).
 pub const NUMBERS_SPAN: u32 = 32_768;
-/// Ranges stored of a set that spans more: 512 pairs of numbers are 5 KiB as CBOR.
+/// Maximum number of ranges stored for a set with a larger span: 512 pairs of numbers take
+/// 5 KiB as CBOR.
 pub const NUMBER_RANGES_MAX: usize = 512;
 
 impl NumberSet {
-    /// Packs a set. One that spans more than [`NUMBERS_SPAN`] may come back larger, as
-    /// narrow gaps in it are filled: a job is then thought to be on more machines than it
-    /// is, which makes a new leader wait for these too, and loses nothing.
+    /// Packs a set. A set that spans more than [`NUMBERS_SPAN`] may unpack as a superset, as
+    /// its narrowest gaps are filled. A job then appears to be on more machines than it is; a
+    /// new leader waits for these as well, and no machine is lost.
     ///
-    /// (A service that outlived tens of thousands of machines, on a few thousand at a time,
-    /// would have outgrown a value of the store, and none of its starts been recorded.)
+    /// Without this limit, the set of a service that runs on a few thousand machines at a time
+    /// and uses tens of thousands over its life would exceed the value limit of the state
+    /// service, and none of its starts could be recorded.
     pub fn pack(set: &IntSet) -> Self {
         let Some((from, last)) = set.bounds() else { return Self::default() };
         let len = last - from + 1;
@@ -210,7 +220,7 @@
         Self { from, len, set: PackedSet::pack(&coarse, from, len) }
     }
 
-    /// The set again. Invalid parts of a record are skipped.
+    /// Unpacks the set. Invalid parts of a record are skipped.
     pub fn unpack(&self) -> IntSet {
         let mut set = IntSet::new();
         if self.from.checked_add(self.len).is_some() {
@@ -220,29 +230,30 @@
     }
 }
 
-/// A machine that has been given tasks.
+/// A machine that was given tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Its type.
+    /// Name of the machine type.
     pub kind: String,
-    /// Its zone.
+    /// Zone that the machine is in.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Where its worker listens.
+    /// Address that the machine's worker listens on.
     pub addr: String,
-    /// Images it is thought to hold, most recent last.
+    /// Images that the machine is assumed to hold, most recent last.
     #[serde(default)]
     pub images: Vec<String>,
-    /// The number that jobs' records name it by; given out once, rising.
+    /// Number of the machine in progress records. Numbers are assigned in ascending order and
+    /// never reused.
     #[serde(default)]
     pub number: u32,
 }
 
-/// Some machine records together: a fleet of hundreds, recorded one by one,
-/// would take the store's change rate for half a minute.
+/// Several machine records under one key. With one key per machine, a fleet of hundreds would
+/// use the whole write rate of the state service for half a minute.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineBlock {
-    /// The machines and their records.
+    /// Names of the machines, with their records.
     pub machines: Vec<(MachineId, MachineRecord)>,
 }
--- a/crates/proto/src/transfer.rs
+++ b/crates/proto/src/transfer.rs
@@ -1,31 +1,32 @@
-//! Records of jobs that move to another cell. The home cell keeps its part in the job's
-//! spec record, so that a transaction on that record's version decides between a transfer,
-//! a cancellation and an end.
+//! Records of jobs that are transferred to another cell. The home cell, which a job was submitted
+//! to, keeps the state of the transfer in the job's spec record, so that a transaction on
+//! that record's version decides between a transfer, a cancellation and completion.
 
 use crate::ids::{CellName, JobId};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Prefix of jobs accepted from other cells, until home has their end.
+/// Key prefix of jobs accepted from other cells, kept until the home cell has recorded their
+/// final state.
 pub const INBOUND: &str = "w/in/";
-/// Prefix of final states that the home cell must still acknowledge to the other one.
+/// Key prefix of final states that the home cell has yet to acknowledge to the target cell.
 pub const ACKNOWLEDGE: &str = "w/ack/";
-/// Prefix of cancellations that users want of jobs that may be elsewhere.
+/// Key prefix of cancellations requested by users for jobs that may be in another cell.
 pub const CANCEL_WANTED: &str = "w/want/";
-/// Prefix of cells that an operator declared lost.
+/// Key prefix of cells that an operator declared lost.
 pub const LOST_CELLS: &str = "w/lost/";
-/// Prefix of transfers refused for good.
+/// Key prefix of transfers that were refused; a refusal is final.
 pub const REFUSED: &str = "refused/";
 
 /// Key of a job accepted from another cell.
 pub fn inbound_key(job: &JobId) -> String {
     format!("{INBOUND}{job}")
 }
-/// Key of an acknowledgement.
+/// Key of an acknowledgement that is still to be delivered.
 pub fn acknowledge_key(job: &JobId) -> String {
     format!("{ACKNOWLEDGE}{job}")
 }
-/// Key of a cancellation wanted.
+/// Key of a requested cancellation.
 pub fn cancel_wanted_key(job: &JobId) -> String {
     format!("{CANCEL_WANTED}{job}")
 }
@@ -33,20 +34,19 @@
 pub fn lost_cell_key(cell: &CellName) -> String {
     format!("{LOST_CELLS}{cell}")
 }
-/// Key of a refusal.
+/// Key of a refused transfer.
 pub fn refused_key(transfer: &TransferId) -> String {
     format!("{REFUSED}{transfer}")
 }
 
-/// Identifies one transfer: unique, as each term of a cell has one leader, which counts its
-/// transfers.
+/// Unique id of a transfer. Each term of a cell has one leader, which numbers its transfers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TransferId {
-    /// The cell that the job was submitted to.
+    /// Home cell: the cell that the job was submitted to.
     pub home: CellName,
-    /// Term of the home leader that began the transfer.
+    /// Term of the home cell's leader that began the transfer.
     pub term: u64,
-    /// Number within the term.
+    /// Sequence number of the transfer within the term.
     pub number: u32,
 }
 
@@ -56,55 +56,55 @@
     }
 }
 
-/// At home: a job was offered to another cell and can't start here.
+/// Stored in the home cell: the job was offered to another cell and can't start in this one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardRecord {
-    /// The transfer.
+    /// Id of the transfer.
     pub transfer: TransferId,
-    /// The cell it was offered to.
+    /// The cell that the job was offered to.
     pub target: CellName,
-    /// That cell accepted it: it is there for good.
+    /// Whether the target cell accepted the job. An accepted job never returns.
     #[serde(default)]
     pub accepted: bool,
 }
 
-/// At the target: a job accepted from another cell.
+/// Stored in the target cell: a job accepted from another cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InboundRecord {
-    /// The transfer.
+    /// Id of the transfer.
     pub transfer: TransferId,
 }
 
-/// At home: a job that was elsewhere is over, and home must acknowledge to the other cell
-/// that it has recorded this.
+/// Stored in the home cell: a transferred job reached its final state and the home cell
+/// recorded it, but has yet to acknowledge this to the target cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcknowledgeRecord {
-    /// The transfer.
+    /// Id of the transfer.
     pub transfer: TransferId,
-    /// The cell it was transferred to.
+    /// The cell that the job was transferred to.
     pub target: CellName,
 }
 
-/// Why a transfer was refused.
+/// Reason for the refusal of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// There is no room for it, or work of the cell's own waits.
+    /// The cell has no capacity for the job, or has queued jobs of its own.
     NoRoom,
-    /// A type, zone or team that it needs is unknown there.
+    /// The cell doesn't know a machine type, zone or team that the job requires.
     Unsuitable,
-    /// Its user cancelled it before it was accepted.
+    /// A user cancelled the job before it was accepted.
     Withdrawn,
-    /// Another job has its id there.
+    /// The id belongs to a different job in the cell.
     IdInUse,
-    /// A reason that this version doesn't know.
+    /// A reason added by a newer version.
     #[serde(other)]
     Other,
 }
 
-/// At the target: a transfer that was refused, so that no late copy of the offer can be
-/// accepted.
+/// Stored in the target cell: the transfer was refused. The record prevents a delayed copy of
+/// the offer from being accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RefusalRecord {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: RefusalReason,
 }
--- a/crates/proto/tests/number_set.rs
+++ b/crates/proto/tests/number_set.rs
@@ -1,14 +1,14 @@
-//! Machine numbers in progress records: what is stored names at least what it should, and
-//! fits a value of the store whatever the fleet.
+//! Machine numbers in progress records: the stored set must contain every machine, and a record
+//! must fit the value limit of the state service whatever the fleet.
 
 use marblebarrow_proto::cbor::encode;
 use marblebarrow_proto::intset::{IntSet, PackedSet};
 use marblebarrow_proto::records::{NUMBERS_SPAN, NumberSet, PART_TASKS, ProgressRecord};
 use proptest::prelude::*;
 
-/// The smallest value limit that settings may name, bytes.
+/// The smallest value limit that settings allow, bytes.
 const VALUE_LIMIT: usize = 8 * 1024;
-/// Machines at once that a job must be able to run on.
+/// Number of machines that a job must be able to use at the same time.
 const MACHINES: u32 = 4_200;
 
 fn set_of(numbers: impl IntoIterator<Item = u32>) -> IntSet {
@@ -19,8 +19,9 @@
     set
 }
 
-/// The largest record: every other task of a part, so that neither set has few ranges.
-fn record_on(machines: &IntSet) -> ProgressRecord {
+/// A progress record of maximum size: every other task of the part, so that both task sets are
+/// stored as bitmaps.
+fn record_for_machines(machines: &IntSet) -> ProgressRecord {
     let tasks = set_of((0..PART_TASKS).step_by(2));
     ProgressRecord {
         started: PackedSet::pack(&tasks, 0, PART_TASKS),
@@ -31,14 +32,14 @@
     }
 }
 
-/// A job on 4,200 machines of which none have neighbouring numbers, after few and after very
-/// many machines have come and gone.
+/// A progress record must fit the smallest value limit when a job is on 4,200 machines without
+/// consecutive numbers, whether few or very many machines were used before.
 #[test]
-fn the_largest_record_fits_the_smallest_value() {
-    for apart in [2, 7, 8, 100, 10_000] {
-        let machines = set_of((0..MACHINES).map(|n| 1 + n * apart));
-        let bytes = encode(&record_on(&machines)).len();
-        assert!(bytes <= VALUE_LIMIT, "{bytes} bytes with numbers {apart} apart");
+fn the_largest_record_fits_the_smallest_value_limit() {
+    for spacing in [2, 7, 8, 100, 10_000] {
+        let machines = set_of((0..MACHINES).map(|n| 1 + n * spacing));
+        let bytes = encode(&record_for_machines(&machines)).len();
+        assert!(bytes <= VALUE_LIMIT, "{bytes} bytes with numbers {spacing} apart");
     }
 }
 
@@ -50,7 +51,7 @@
     })]
 
     #[test]
-    fn no_machine_is_lost_from_a_record(
+    fn a_stored_set_contains_every_machine(
         numbers in proptest::collection::vec(0u32..2_000_000, 1..2_000),
     ) {
         let set = set_of(numbers);
@@ -66,15 +67,15 @@
     }
 
     #[test]
-    fn coarse_sets_hold_the_set_in_few_ranges(
+    fn limiting_ranges_yields_a_superset(
         numbers in proptest::collection::vec(0u32..5_000, 1..500),
-        most in 1usize..40,
+        max_ranges in 1usize..40,
     ) {
         let set = set_of(numbers);
-        let coarse = set.with_ranges_at_most(most);
+        let coarse = set.with_ranges_at_most(max_ranges);
         prop_assert!(set.iter().all(|n| coarse.contains(n)));
         prop_assert_eq!(coarse.bounds(), set.bounds());
         let ranges = coarse.iter().filter(|n| *n == 0 || !coarse.contains(n - 1)).count();
-        prop_assert!(ranges <= most);
+        prop_assert!(ranges <= max_ranges);
     }
 }
--- a/crates/proto/tests/spec_size.rs
+++ b/crates/proto/tests/spec_size.rs
@@ -1,15 +1,15 @@
-//! The record of a submission that names as many jobs as one may fits the smallest value limit
-//! of the state service that settings may name.
+//! The spec record of a submission with the maximum number of dependencies must fit the smallest
+//! value limit of the state service that settings allow.
 
 use ciborium::cbor;
 use marblebarrow_proto::cbor::{decode, encode, json_len, to_value};
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::records::SpecRecord;
 
-/// Bytes of a value, of which records fill four fifths at most.
-const SMALLEST_VALUE: usize = 2 * 1024;
-/// Jobs that a submission may name.
-const DEPENDENCIES_MOST: usize = 64;
+/// The smallest value limit, bytes. Records may use four fifths of it.
+const SMALLEST_VALUE_LIMIT: usize = 2 * 1024;
+/// Maximum number of dependencies of a submission.
+const MAX_DEPENDENCY_COUNT: usize = 64;
 
 fn submission(dependencies: usize) -> ciborium::Value {
     let named: Vec<String> = (0..dependencies).map(|n| format!("req-{n:06}")).collect();
@@ -25,10 +25,10 @@
 }
 
 #[test]
-fn a_submission_with_as_many_dependencies_as_it_may_name_fits_the_smallest_value() {
-    let spec: JobSpec = decode(&encode(&submission(DEPENDENCIES_MOST))).expect("accepted");
-    assert_eq!(spec.dependencies.len(), DEPENDENCIES_MOST);
+fn a_submission_with_the_most_dependencies_fits_the_smallest_value_limit() {
+    let spec: JobSpec = decode(&encode(&submission(MAX_DEPENDENCY_COUNT))).expect("accepted");
+    assert_eq!(spec.dependencies.len(), MAX_DEPENDENCY_COUNT);
     let record = SpecRecord::submitted(spec, 1_764_700_000_000);
     let bytes = json_len(&to_value(&record));
-    assert!(bytes < SMALLEST_VALUE * 4 / 5, "{bytes} bytes");
+    assert!(bytes < SMALLEST_VALUE_LIMIT * 4 / 5, "{bytes} bytes");
 }
