--- a/crates/proto/src/ids.rs
+++ b/crates/proto/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers as newtypes, so that a job is never passed for a machine.
+//! Identifiers as newtypes, so that the compiler rejects, for example, a job id where a machine
+//! id is expected.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
@@ -6,24 +7,24 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// A name's first sixteen bytes, in their order. Names are looked up a dozen times a
-/// heartbeat, and nearly all are no longer than that: so they are told apart without a
-/// look at the text.
-type Head = [u64; 2];
+/// The first sixteen bytes of a name as two big-endian words, padded with zeros. Each
+/// heartbeat causes about a dozen lookups by name, and nearly all names fit in sixteen bytes,
+/// so most comparisons are decided without reading the text.
+type Prefix = [u64; 2];
 
-fn head(s: &str) -> Head {
+fn prefix(s: &str) -> Prefix {
     let mut bytes = [0u8; 16];
     let n = s.len().min(16);
     bytes[..n].copy_from_slice(&s.as_bytes()[..n]);
-    let half = |from: usize| {
-        let mut eight = [0u8; 8];
-        eight.copy_from_slice(&bytes[from..from + 8]);
-        u64::from_be_bytes(eight)
+    let word_at = |from: usize| {
+        let mut word = [0u8; 8];
+        word.copy_from_slice(&bytes[from..from + 8]);
+        u64::from_be_bytes(word)
     };
-    [half(0), half(8)]
+    [word_at(0), word_at(8)]
 }
 
-/// Takes a text without a copy in between.
+/// Deserializes a string into `Arc<str>` without an intermediate `String`.
 struct TextVisitor;
 
 impl serde::de::Visitor<'_> for TextVisitor {
@@ -41,16 +42,16 @@
         $(#[$doc])*
         #[derive(Clone)]
         pub struct $name {
-            head: Head,
+            prefix: Prefix,
             text: Arc<str>,
         }
 
         impl $name {
-            /// Wraps a name as it came over the wire.
+            /// Creates an identifier from its wire form. The form isn't validated.
             pub fn new(s: &str) -> Self {
-                Self { head: head(s), text: Arc::from(s) }
+                Self { prefix: prefix(s), text: Arc::from(s) }
             }
-            /// The name as text.
+            /// The identifier's wire form.
             pub fn as_str(&self) -> &str {
                 &self.text
             }
@@ -67,9 +68,9 @@
             }
         }
         impl Ord for $name {
-            // The order of the texts: the heads hold their beginnings.
+            // Same order as comparing the texts: the prefixes hold their first bytes, big-endian.
             fn cmp(&self, other: &Self) -> Ordering {
-                self.head.cmp(&other.head).then_with(|| {
+                self.prefix.cmp(&other.prefix).then_with(|| {
                     let same = Arc::ptr_eq(&self.text, &other.text);
                     if same { Ordering::Equal } else { self.text.cmp(&other.text) }
                 })
@@ -77,7 +78,7 @@
         }
         impl Hash for $name {
             fn hash<H: Hasher>(&self, state: &mut H) {
-                self.head.hash(state);
+                self.prefix.hash(state);
                 self.text.len().hash(state);
             }
         }
@@ -99,48 +100,48 @@
         impl<'de> Deserialize<'de> for $name {
             fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
                 let text = d.deserialize_str(TextVisitor)?;
-                Ok(Self { head: head(&text), text })
+                Ok(Self { prefix: prefix(&text), text })
             }
         }
     };
 }
 
 text_id!(
-    /// A job, e.g. `req-000412`.
+    /// Id of a job, e.g. `req-000412`.
     JobId
 );
 text_id!(
-    /// A machine, e.g. `n-000231`.
+    /// Name of a machine, e.g. `n-000231`.
     MachineId
 );
 text_id!(
-    /// A controller, e.g. `barrow-1`.
+    /// Name of a controller, e.g. `barrow-1`.
     NodeId
 );
 text_id!(
-    /// A cell: controllers with a state service, a fleet and a cloud of their own.
+    /// Name of a cell: a group of controllers with their own state service, fleet and cloud.
     CellName
 );
 
 impl JobId {
-    /// Whether a job id has the one form that users give it.
+    /// Whether the text is a valid job id: `req-` and 1 to 20 decimal digits.
     pub fn well_formed(s: &str) -> bool {
         s.strip_prefix("req-")
             .is_some_and(|d| (1..=20).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
     }
 }
 
-/// One task of a job: `req-000412/3` on the wire.
+/// Id of one task of a job; `req-000412/3` on the wire.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct TaskId {
-    /// The job it belongs to.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// Its number, from 0.
+    /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads the wire form.
+    /// Parses the wire form; `None` if the separator or a numeric index is missing.
     pub fn parse(s: &str) -> Option<Self> {
         let (job, index) = s.rsplit_once('/')?;
         Some(Self { job: JobId::new(job), index: index.parse().ok()? })
@@ -153,17 +154,18 @@
     }
 }
 
-/// A leader's term: raised at each election, never reused.
+/// Term of a leader: increases with each election and is never reused.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Term(pub u64);
 
-/// A task's attempt: the term in the high half, a counter within the term below,
-/// so that no two leaders ever give the same attempt to different starts.
+/// Number of an attempt to run a task. The high 32 bits hold the leader's term, the low 32
+/// bits a counter within the term, so two leaders never use the same number for different
+/// starts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct Attempt(pub u64);
 
 impl Attempt {
-    /// Attempt number `n` of `term`.
+    /// The attempt with counter `n` in `term`.
     pub fn new(term: Term, n: u32) -> Self {
         Self((term.0 << 32) | u64::from(n))
     }
--- a/crates/proto/tests/ids.rs
+++ b/crates/proto/tests/ids.rs
@@ -1,4 +1,4 @@
-//! Names compare as their texts do, though their beginnings are compared first.
+//! Identifiers must compare as their texts do, although a prefix of fixed size is compared first.
 
 use marblebarrow_proto::ids::MachineId;
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
     })]
 
     #[test]
-    fn names_compare_as_their_texts(a in "[ab\\u{0}é]{0,18}", b in "[ab\\u{0}é]{0,18}") {
+    fn ids_compare_as_their_texts(a in "[ab\\u{0}é]{0,18}", b in "[ab\\u{0}é]{0,18}") {
         let (x, y) = (MachineId::new(&a), MachineId::new(&b));
         prop_assert_eq!(x.cmp(&y), a.cmp(&b));
         prop_assert_eq!(x == y, a == b);
