--- a/crates/proto/src/cbor.rs
+++ b/crates/proto/src/cbor.rs
@@ -1,18 +1,19 @@
-//! CBOR helpers. Amounts may come as integers or floats of any width, so every
-//! floating field goes through [`f64_lax`].
+//! CBOR encoding and decoding. Senders may encode an amount as an integer or as a float of
+//! any width, so every floating-point field is decoded with [`f64_lax`].
 
 use ciborium::Value;
 use serde::{Deserialize, Deserializer, Serialize, de::DeserializeOwned, de::Error as _};
 
-/// A body that is not the CBOR that was expected.
+/// A message body or record that could not be decoded, with the decoder's message.
 #[derive(Debug, thiserror::Error)]
 #[error("bad cbor: {0}")]
 pub struct CborError(String);
 
-/// Nesting allowed in a body: ours are flat, and recursion costs stack.
+/// Maximum nesting depth of a decoded body. Valid messages are nearly flat, and the decoder
+/// uses stack space for each level.
 const MAX_DEPTH: usize = 16;
 
-/// Decodes a body, refusing trailing bytes and deep nesting.
+/// Decodes a body. Trailing bytes and nesting deeper than `MAX_DEPTH` levels are errors.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CborError> {
     let mut rest = bytes;
     let value = ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_DEPTH)
@@ -20,7 +21,8 @@
     if rest.is_empty() { Ok(value) } else { Err(CborError("trailing bytes".into())) }
 }
 
-/// Encodes a body. Our types hold nothing that CBOR can't express.
+/// Encodes a body. All types of this crate can be expressed in CBOR; a failure panics in
+/// debug builds and yields an empty body otherwise.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::with_capacity(256);
     if let Err(e) = ciborium::into_writer(value, &mut out) {
@@ -30,39 +32,39 @@
     out
 }
 
-/// Turns a record into a CBOR value for the state service.
+/// Converts a record to a CBOR value for the state service; null if it can't be expressed.
 pub fn to_value<T: Serialize>(value: &T) -> Value {
     Value::serialized(value).unwrap_or(Value::Null)
 }
 
-/// Reads a record out of a value of the state service.
+/// Decodes a record from a value of the state service.
 pub fn from_value<T: DeserializeOwned>(value: &Value) -> Result<T, CborError> {
     value.deserialized().map_err(|e| CborError(e.to_string()))
 }
 
-/// Length of a value written as JSON, bytes: the form in which the protocol page counts the
-/// state service's size limits.
+/// Length of a value encoded as JSON, in bytes. The protocol defines the size limits of the
+/// state service in terms of this encoding.
 pub fn json_len(value: &Value) -> usize {
     let mut counter = ByteCounter(0);
-    // Our records have text keys only, which JSON can express; anything else counts as huge.
+    // Records have text keys only, as JSON requires; any other value exceeds every limit.
     match serde_json::to_writer(&mut counter, value) {
         Ok(()) => counter.0,
         Err(_) => usize::MAX,
     }
 }
 
-/// Length of a text written as JSON with its quotes, bytes, at most: no shorter than
-/// [`json_len`] says, and found without writing it.
+/// Upper bound on the length of a string encoded as JSON, quotes included, in bytes. Never
+/// less than [`json_len`], and computed without encoding the string.
 pub fn json_text_len(text: &str) -> usize {
     let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '\\';
     let length = |c: char| if plain(c) { 1 } else { JSON_ESCAPE_LEN };
     text.chars().map(length).sum::<usize>() + 2
 }
 
-/// Most bytes of a character of a JSON text, as `\u0000`.
+/// Upper bound on the bytes of one character in a JSON string: the escape `\u0000`.
 const JSON_ESCAPE_LEN: usize = 6;
 
-/// Counts the bytes written to it.
+/// A writer that discards its input and counts the bytes.
 struct ByteCounter(usize);
 
 impl std::io::Write for ByteCounter {
@@ -76,7 +78,7 @@
     }
 }
 
-/// A number as `f64`, whatever its CBOR type.
+/// Converts a CBOR integer or float to `f64`; `None` for any other type.
 pub fn number(v: &Value) -> Option<f64> {
     match v {
         Value::Float(f) => Some(*f),
@@ -85,13 +87,13 @@
     }
 }
 
-/// Serde helper: a float that may have been sent as an integer.
+/// Serde helper: decodes a float that may have been encoded as an integer.
 pub fn f64_lax<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
     let v = Value::deserialize(d)?;
     number(&v).ok_or_else(|| D::Error::custom("expected a number"))
 }
 
-/// Serde helper: as [`f64_lax`], null or absent allowed.
+/// Serde helper: like [`f64_lax`], but null decodes as `None`.
 pub fn opt_f64_lax<'de, D: Deserializer<'de>>(d: D) -> Result<Option<f64>, D::Error> {
     let v = Value::deserialize(d)?;
     match v {
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,14 +1,14 @@
-//! Wire types, their validation, the state records and the peer service.
+//! Message types and their validation, the records in the state service, and the peer service.
 //!
-//! - [`job`]: the submission of a user; [`wire`]: all other messages of users, workers, cloud
-//!   and state service, by interface; [`cbor`]: their encoding.
+//! - [`job`]: the submission of a job; [`wire`]: all other messages exchanged with users,
+//!   workers, the cloud and the state service; [`cbor`]: their encoding.
 //! - [`records`] and [`transfer`]: keys and records in the state service.
-//! - [`ids`] and [`intset`]: identifiers, and compact sets of task numbers.
+//! - [`ids`] and [`intset`]: identifiers, and compact sets of task indices or machine numbers.
 //! - [`peer`]: the gRPC service between controllers.
 //!
-//! The names that appear on the wire live in the `serde` attributes of [`job`] and [`wire`],
-//! and nowhere else. Tables in their sources translate them to the usual terms of the field
-//! (leader, term, lease, task, attempt), which the rest of the program uses.
+//! The wire protocol has its own vocabulary. Its names appear only in [`job`] and [`wire`],
+//! mainly in their `serde` attributes. Tables in the documentation of these modules map them to
+//! the standard terms (leader, term, lease, task, attempt) that the rest of the program uses.
 
 pub mod cbor;
 pub mod ids;
@@ -18,7 +18,7 @@
 pub mod transfer;
 pub mod wire;
 
-/// The generated gRPC service between controllers.
+/// Generated code of the gRPC service between controllers.
 #[allow(missing_docs, clippy::all)]
 pub mod peer {
     tonic::include_proto!("marblebarrow.peer");
