--- a/src/event_loop.rs
+++ b/src/event_loop.rs
@@ -1,9 +1,9 @@
-//! The thread that owns all state: takes messages from the bounded queue in batches,
-//! feeds them to the core, and hands the core's actions to the links.
+//! The event loop: the one thread that owns the core's state. It takes messages from the bounded
+//! queue in batches, feeds them to the core, and passes the core's actions to the links.
 
 use crate::authority::{Authority, Leadership};
 use crate::clock::Clock;
-use crate::event_queue::{Batch, EventReceiver, Question, QueueMessage, Responder};
+use crate::event_queue::{Batch, ClientRequest, EventReceiver, QueueMessage, Responder};
 use crate::links::Links;
 use crate::pending_replies::{PendingReplies, PendingReply};
 use marblebarrow_core::event::{Action, Event, PeerNews, Secs};
@@ -13,11 +13,11 @@
 use marblebarrow_proto::wire::DirectCommands;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Bounds of the wait for messages, seconds: time passes for the core also without any.
+/// Shortest wait for messages, seconds.
 const WAIT_MIN_S: f64 = 0.001;
-/// The upper one.
+/// Longest wait for messages, seconds: the core's timers must also run when no message arrives.
 const WAIT_MAX_S: f64 = 1.0;
-/// Stands for the wall clock with events that don't need it: refusals by the links.
+/// Wall-clock value passed with events that don't use it: refusals by the links.
 const NO_WALL_CLOCK: u64 = 0;
 
 /// The event loop and the state that it owns.
@@ -31,7 +31,7 @@
 }
 
 impl EventLoop {
-    /// An event loop over fresh state.
+    /// Creates an event loop with an empty state.
     pub fn new(
         facts: Facts,
         events: EventReceiver,
@@ -44,7 +44,7 @@
         Self { core, events, links, authority, clock, pending: PendingReplies::default() }
     }
 
-    /// Runs until all senders are gone.
+    /// Runs until all senders have been dropped.
     pub fn run(mut self) {
         let mut next_wake = 0.0;
         loop {
@@ -74,19 +74,21 @@
         }
     }
 
-    /// The right to act as leader, as of now.
+    /// The leadership that the core holds now, with its expiry as an instant.
     fn leadership(&self) -> Option<Leadership> {
         let (term, until) = self.core.authority()?;
         let highest_fencing_token = self.core.highest_fencing_token().max(term);
         Some(Leadership { term, highest_fencing_token, valid_until: self.clock.at(until) })
     }
 
-    /// The core's event for a message; keeps where the answer goes.
+    /// Converts a message into an event of the core and records where its answer goes.
     fn event(&mut self, message: QueueMessage) -> Option<Event> {
         Some(match message {
             QueueMessage::WakeUp => return None,
             QueueMessage::Event(event) => event,
-            QueueMessage::Question { question, responder } => self.question(question, responder),
+            QueueMessage::ClientRequest { client_request, responder } => {
+                self.client_request(client_request, responder)
+            }
             QueueMessage::CellRequest { request, reply } => {
                 let reply_to = self.pending.insert(PendingReply::Cell(reply));
                 Event::CellRequest(reply_to, request)
@@ -98,16 +100,16 @@
         })
     }
 
-    fn question(&mut self, question: Question, responder: Responder) -> Event {
-        let reply_to = self.pending.insert(PendingReply::Question(responder));
-        match question {
-            Question::User(request) => Event::User(reply_to, request),
-            Question::Heartbeat(heartbeat) => Event::Heartbeat(reply_to, heartbeat),
-            Question::Members => Event::Members(reply_to),
+    fn client_request(&mut self, client_request: ClientRequest, responder: Responder) -> Event {
+        let reply_to = self.pending.insert(PendingReply::ClientRequest(responder));
+        match client_request {
+            ClientRequest::User(request) => Event::User(reply_to, request),
+            ClientRequest::Heartbeat(heartbeat) => Event::Heartbeat(reply_to, heartbeat),
+            ClientRequest::Members => Event::Members(reply_to),
         }
     }
 
-    /// Carries out an action; a request that its link refuses is answered at once.
+    /// Performs an action; if a link refuses a request, the core gets the refusal immediately.
     fn perform(&mut self, now: Secs, action: Action) {
         match action {
             Action::Reply(to, answer) => self.pending.answer(to, answer),
@@ -121,7 +123,8 @@
         }
     }
 
-    /// Hands a request to its link; the event is the answer if the link refuses it.
+    /// Passes a request to its link. Returns the refusal as an event if the link does not take
+    /// it.
     fn send(&self, now: Secs, action: Action) -> Option<Event> {
         let links = &self.links;
         match action {
@@ -145,7 +148,7 @@
                 links.peers.send_progress(&jobs);
                 None
             }
-            // Answered from the pending replies.
+            // `perform` answers these from the pending replies.
             Action::Reply(..) | Action::PledgeReply(..) | Action::CellReply(..) => None,
         }
     }
--- a/src/event_queue.rs
+++ b/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue to the event loop: its sender, its receiver, and what travels in it.
+//! The bounded queue to the event loop: its sender, its receiver and its messages.
 
 use crate::limits::{
     EVENT_BATCH, EVENT_QUEUE_LEN, PRIORITY_QUEUE_LEN, QUEUE_LEN_FOR_POLLS,
@@ -16,20 +16,20 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A question from outside that the core answers.
+/// A request of a user, worker or operator that the core answers.
 #[derive(Debug)]
-pub enum Question {
+pub enum ClientRequest {
     /// A user's request.
     User(UserRequest),
-    /// A worker's heartbeat (the wire's report).
+    /// A worker's heartbeat (`report` on the wire).
     Heartbeat(Box<Heartbeat>),
-    /// An operator's: which controllers run which version.
+    /// An operator's request for the controllers and their versions.
     Members,
 }
 
-impl Question {
-    /// How many messages may wait already for this one to be taken: submissions are
-    /// refused first, heartbeats last.
+impl ClientRequest {
+    /// The queue length from which this request is refused: submissions are refused first,
+    /// heartbeats last.
     fn queue_limit(&self) -> usize {
         match self {
             Self::Heartbeat(_) | Self::User(UserRequest::Health) | Self::Members => EVENT_QUEUE_LEN,
@@ -39,22 +39,22 @@
     }
 }
 
-/// What is called with an answer.
+/// A function that is called with the answer.
 pub type Callback = Box<dyn FnOnce(Answer) + Send>;
 
-/// Where the answer to a question goes.
+/// Where the answer to a client request goes.
 pub enum Responder {
-    /// To a thread that waits.
+    /// To a waiting thread.
     Channel(SyncSender<Answer>),
-    /// To a callback on the event loop's thread, which it must not block.
+    /// To a callback that runs on the event loop's thread and must not block it.
     Callback(Callback),
 }
 
 impl Responder {
-    /// Hands over the answer; never blocks.
+    /// Delivers the answer without blocking.
     pub fn respond(self, answer: Answer) {
         match self {
-            // The thread may have given up waiting: then nobody needs the answer.
+            // Fails if the thread has stopped waiting; the answer is not needed then.
             Self::Channel(sender) => {
                 let _ = sender.try_send(answer);
             }
@@ -69,58 +69,58 @@
     }
 }
 
-/// What another cell is answered.
+/// The answer to another cell's request.
 pub type CellAnswer = Result<Box<CellReply>, CellError>;
 
-/// What waits for the event loop.
+/// A message to the event loop.
 #[derive(Debug)]
 pub enum QueueMessage {
-    /// A question, and where its answer goes.
-    Question {
-        /// The question.
-        question: Question,
+    /// A client request, and where its answer goes.
+    ClientRequest {
+        /// The client request.
+        client_request: ClientRequest,
         /// Where the answer goes.
         responder: Responder,
     },
-    /// A pledge request of another controller.
+    /// A pledge request from another controller.
     PledgeRequest {
-        /// Who asks.
+        /// The controller that asks.
         from: NodeId,
         /// Its term.
         term: u64,
-        /// Its copy of the store is complete up to this revision.
+        /// The revision up to which its copy of the store is complete.
         revision: u64,
-        /// It was told of jobs up to this one already.
+        /// The last job of the previous page, if this request asks for a further page.
         after: Option<JobId>,
         /// Where the answer goes.
         reply: oneshot::Sender<PledgeAnswer>,
     },
-    /// A request of another cell, or of an operator.
+    /// A request from another cell or an operator.
     CellRequest {
         /// The request.
         request: Box<CellRequest>,
         /// Where the answer goes.
         reply: oneshot::Sender<CellAnswer>,
     },
-    /// Anything else.
+    /// Any other event.
     Event(Event),
-    /// A priority event waits in its own queue.
+    /// Wakes the event loop because a priority event waits in the other queue.
     WakeUp,
 }
 
 impl QueueMessage {
     fn is_submission(&self) -> bool {
-        let Self::Question { question, .. } = self else { return false };
-        matches!(question, Question::User(UserRequest::Submit(_)))
+        let Self::ClientRequest { client_request, .. } = self else { return false };
+        matches!(client_request, ClientRequest::User(UserRequest::Submit(_)))
     }
 }
 
-/// What the event loop handles at once.
+/// The messages that the event loop handles in one iteration.
 #[derive(Debug)]
 pub struct Batch {
-    /// Events that go before all others.
+    /// Priority events, handled before all messages.
     pub priority: Vec<Event>,
-    /// The others as they came, submissions last.
+    /// The other messages in order of arrival, but submissions last.
     pub messages: Vec<QueueMessage>,
 }
 
@@ -132,7 +132,7 @@
     depth: Arc<AtomicUsize>,
 }
 
-/// The event loop's end.
+/// The receiving end, owned by the event loop.
 #[derive(Debug)]
 pub struct EventReceiver {
     messages: Receiver<QueueMessage>,
@@ -140,7 +140,7 @@
     depth: Arc<AtomicUsize>,
 }
 
-/// A queue's two ends.
+/// Creates a queue and returns both its ends.
 pub fn channel() -> (EventSender, EventReceiver) {
     let (messages_in, messages_out) = sync_channel(EVENT_QUEUE_LEN);
     let (priority_in, priority_out) = sync_channel(PRIORITY_QUEUE_LEN);
@@ -151,17 +151,20 @@
 }
 
 impl EventReceiver {
-    /// Answers each question by itself, as a stand-in for the event loop.
+    /// Answers each client request with `answer`, in place of an event loop.
     #[cfg(test)]
-    pub fn serve_each(self, answer: impl Fn(&Question) -> Answer) {
+    pub fn serve_each(self, answer: impl Fn(&ClientRequest) -> Answer) {
         while let Ok(message) = self.messages.recv() {
-            if let QueueMessage::Question { question, responder } = self.received(message) {
-                responder.respond(answer(&question));
+            if let QueueMessage::ClientRequest { client_request, responder } =
+                self.received(message)
+            {
+                responder.respond(answer(&client_request));
             }
         }
     }
 
-    /// What has come, once something has or `timeout` is over. `None`: no sender is left.
+    /// Waits up to `timeout` for messages and returns those that have arrived; `None` if all
+    /// senders have been dropped.
     pub fn next_batch(&self, timeout: Duration) -> Option<Batch> {
         let mut messages = Vec::new();
         match self.messages.recv_timeout(timeout) {
@@ -174,7 +177,7 @@
         {
             messages.push(self.received(message));
         }
-        // Polls and heartbeats outrank submissions.
+        // Polls and heartbeats have priority over submissions.
         messages.sort_by_key(QueueMessage::is_submission);
         Some(Batch { priority: self.priority.try_iter().collect(), messages })
     }
@@ -186,31 +189,34 @@
 }
 
 impl EventSender {
-    /// Asks and blocks for the answer; says at once if the queue is too full, and after
-    /// `timeout` that there is none.
-    pub fn ask(&self, question: Question, timeout: Duration) -> Answer {
-        if self.depth.load(Ordering::Relaxed) >= question.queue_limit() {
+    /// Sends a request and blocks for its answer. Answers `Full` immediately if the queue is too
+    /// full, and `Unavailable` after `timeout`.
+    pub fn ask(&self, client_request: ClientRequest, timeout: Duration) -> Answer {
+        if self.depth.load(Ordering::Relaxed) >= client_request.queue_limit() {
             return Answer::Full(RETRY_FULL_S);
         }
         let (sender, answer) = sync_channel(1);
         let responder = Responder::Channel(sender);
-        match self.push(QueueMessage::Question { question, responder }) {
+        match self.push(QueueMessage::ClientRequest { client_request, responder }) {
             Ok(()) => answer.recv_timeout(timeout).unwrap_or(Answer::Unavailable(RETRY_STORE_S)),
             Err(TrySendError::Full(_)) => Answer::Full(RETRY_FULL_S),
             Err(TrySendError::Disconnected(_)) => Answer::Unavailable(RETRY_STORE_S),
         }
     }
 
-    /// Asks without blocking: `callback` gets the answer, here and now if there is no room.
-    /// Only for what the core answers at once.
-    pub fn ask_with_callback(&self, question: Question, callback: Callback) {
+    /// Sends a request without blocking; `callback` gets the answer, immediately if the queue is
+    /// full. Only for requests that the core answers immediately.
+    pub fn ask_with_callback(&self, client_request: ClientRequest, callback: Callback) {
         let responder = Responder::Callback(callback);
         if self.depth.load(Ordering::Relaxed) >= EVENT_QUEUE_LEN {
             return responder.respond(Answer::Full(RETRY_FULL_S));
         }
-        let Err(error) = self.push(QueueMessage::Question { question, responder }) else { return };
+        let Err(error) = self.push(QueueMessage::ClientRequest { client_request, responder })
+        else {
+            return;
+        };
         let (TrySendError::Full(message) | TrySendError::Disconnected(message)) = error;
-        if let QueueMessage::Question { responder, .. } = message {
+        if let QueueMessage::ClientRequest { responder, .. } = message {
             responder.respond(Answer::Full(RETRY_FULL_S));
         }
     }
@@ -223,15 +229,15 @@
         }
     }
 
-    /// Sends an event that goes before all that waits already: a leader's store lease once
-    /// ran out while the answer that renewed it waited behind hundreds of heartbeats.
+    /// Sends an event that is handled before all waiting messages. Without this, a leader's store
+    /// lease expired while the answer that renewed it was queued behind hundreds of heartbeats.
     pub fn send_priority(&self, event: Event) {
         if self.priority.send(event).is_ok() {
             self.try_send(QueueMessage::WakeUp);
         }
     }
 
-    /// Sends without blocking; false if there is no room.
+    /// Sends without blocking; false if the queue is full.
     pub fn try_send(&self, message: QueueMessage) -> bool {
         self.push(message).is_ok()
     }
--- a/src/server/bounds.rs
+++ b/src/server/bounds.rs
@@ -1,16 +1,16 @@
-//! Bounds of the server.
+//! Resource limits of the HTTP server.
 
 use std::time::Duration;
 
-/// How many connections and threads there may be, and when idle connections are closed.
+/// Limits on connections and threads, and the idle timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Connections at most.
+    /// Maximum number of connections.
     pub connections: usize,
     /// Threads for users' requests.
     pub user_threads: usize,
     /// Threads for workers' heartbeats and health checks.
     pub worker_threads: usize,
-    /// An idle connection is closed after this.
+    /// An idle connection is closed after this time.
     pub idle_timeout: Duration,
 }
--- a/src/server/connection_table.rs
+++ b/src/server/connection_table.rs
@@ -1,14 +1,14 @@
-//! All open connections, in slots that are reused.
+//! The table of open connections, in reusable slots.
 
 use crate::http::Connection;
 use crate::limits::{GENERATION_MASK, SLOT_BITS, SLOT_MASK};
 use mio::Token;
 use std::time::{Duration, Instant};
 
-/// Who is at the other end, as its first request shows.
+/// The kind of client, determined from its first request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientKind {
-    /// It has sent nothing yet.
+    /// The client has not sent a request yet.
     Unknown,
     /// A worker or a health check.
     Worker,
@@ -16,7 +16,7 @@
     User,
 }
 
-/// A connection without a request.
+/// A connection that waits for a request.
 struct Idle {
     connection: Connection,
     since: Instant,
@@ -26,29 +26,31 @@
 enum State {
     Free,
     Idle(Idle),
-    /// With a thread; `readable_again`: the poll announced more meanwhile.
+    /// Being served by a thread; `readable_again` is set if the poll reported the connection
+    /// readable meanwhile.
     Serving {
         readable_again: bool,
     },
 }
 
 struct Slot {
-    /// Counts the slot's connections, so that a late event of one never reaches the next.
+    /// Counts the connections that used the slot, so that a late event for one is not taken for
+    /// the next.
     generation: u32,
     state: State,
 }
 
-/// A connection taken out of its slot, to be served.
+/// A connection taken out of the table to be served.
 pub struct Ready {
-    /// Its slot, which stays its own.
+    /// The connection's slot, which stays reserved for it.
     pub slot: usize,
     /// The connection.
     pub connection: Connection,
-    /// Who is at the other end.
+    /// The kind of client.
     pub client: ClientKind,
 }
 
-/// All open connections, by slot.
+/// All open connections, indexed by slot.
 #[derive(Default)]
 pub struct ConnectionTable {
     slots: Vec<Slot>,
@@ -57,17 +59,17 @@
 }
 
 impl ConnectionTable {
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.open
     }
 
-    /// The name of a slot's connection in the readiness poll.
+    /// The readiness poll's token for the connection in `slot`.
     pub fn token(&self, slot: usize) -> Token {
         Token((self.slots[slot].generation as usize) << SLOT_BITS | slot)
     }
 
-    /// Takes in a new connection, idle; its slot.
+    /// Adds a new idle connection and returns its slot.
     pub fn insert(&mut self, connection: Connection) -> usize {
         self.open += 1;
         let slot = self.free.pop().unwrap_or_else(|| {
@@ -78,17 +80,17 @@
         slot
     }
 
-    /// Frees a slot; closes its connection if it is idle.
+    /// Frees a slot, closing its connection if it is idle.
     pub fn remove(&mut self, slot: usize) {
         let freed = &mut self.slots[slot];
-        // Events still in hand for this connection must not reach the slot's next.
+        // Pending events for this connection must not be taken for the slot's next one.
         freed.generation = freed.generation.wrapping_add(1) & GENERATION_MASK;
         freed.state = State::Free;
         self.free.push(slot);
         self.open -= 1;
     }
 
-    /// Takes the connection that the poll announced as readable, if it is idle.
+    /// Takes the connection that the poll reported readable, if it is idle.
     pub fn take_ready(&mut self, token: Token) -> Option<Ready> {
         let slot = token.0 & SLOT_MASK;
         if slot >= self.slots.len() || self.token(slot) != token {
@@ -110,7 +112,8 @@
         }
     }
 
-    /// Puts a served connection back, idle; whether the poll announced more meanwhile.
+    /// Returns a served connection to its slot as idle. Returns whether the poll reported it
+    /// readable meanwhile.
     pub fn put_back(&mut self, slot: usize, connection: Connection, client: ClientKind) -> bool {
         let readable_again =
             matches!(self.slots[slot].state, State::Serving { readable_again: true });
@@ -118,8 +121,8 @@
         readable_again
     }
 
-    /// Closes the connection of a user that has been idle longest: it can make
-    /// another, and who connects now may be a worker whose lease runs out.
+    /// Closes the user connection that has been idle longest. A user can reconnect, while the new
+    /// connection may be of a worker whose lease is about to expire.
     pub fn evict_idle_user(&mut self) -> bool {
         let idle_users = self.slots.iter().enumerate().filter_map(|(index, slot)| {
             let State::Idle(idle) = &slot.state else { return None };
@@ -130,7 +133,7 @@
         true
     }
 
-    /// Closes what has been idle for longer than `limit`.
+    /// Closes all connections that have been idle for longer than `limit`.
     pub fn close_idle(&mut self, limit: Duration) {
         for slot in 0..self.slots.len() {
             if let State::Idle(idle) = &self.slots[slot].state
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,15 +1,13 @@
 //! The HTTP server for users, workers and health checks.
 //!
-//! Idle connections wait in one readiness poll; a request that arrives is served
-//! by a thread of a small pool over blocking sockets. So a fleet's connections
-//! cost a socket and a few hundred bytes each, and no thread. Workers and
-//! health checks have a pool of their own, which users can't crowd; what finds
-//! its pool full is told so at once.
+//! Idle connections wait in one readiness poll; an incoming request is served by a thread of a
+//! small pool over a blocking socket. So an idle connection costs a socket and a few hundred
+//! bytes, but no thread. Workers and health checks have a pool of their own, which users can't
+//! exhaust. A request that finds its pool full is refused immediately.
 //!
-//! A heartbeat or health check that has arrived whole, as nearly all do, needs no thread
-//! of the pool: the poll's thread reads it, the event loop's answers it, and neither waits
-//! for the socket. (Handing each from thread to thread and back once took half of a
-//! leader's processor time.)
+//! A heartbeat or health check that has arrived completely, as nearly all do, needs no pool
+//! thread: the poll thread reads it and the event loop's thread answers it, and neither blocks on
+//! the socket. Passing each one through a pool thread took half of a leader's CPU time.
 
 mod bounds;
 mod connection_table;
@@ -43,7 +41,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Waits for connections and their requests for ever.
+/// Accepts connections and dispatches their requests to the pools.
 pub struct HttpServer {
     poll: Poll,
     listener: TcpListener,
@@ -53,7 +51,7 @@
 }
 
 impl HttpServer {
-    /// A server over a listener that is bound already.
+    /// Creates a server on a listener that is already bound.
     pub fn new(
         listener: TcpListener,
         events: &EventSender,
@@ -71,8 +69,8 @@
         let handler = Arc::new(Handler::new(registry, events.clone(), authority.clone(), bounds));
         let pool = |name, threads| {
             let handler = handler.clone();
-            // A connection has one request at a time, so these are never more
-            // than there are connections.
+            // A connection has one request at a time, so no more requests wait than there are
+            // connections.
             Arc::new(Pool::new(name, threads, bounds.connections, move |pending| {
                 handler.serve(pending)
             }))
@@ -82,7 +80,7 @@
         Ok(Self { poll, listener, handler, worker_pool, user_pool })
     }
 
-    /// Serves for ever.
+    /// Runs the server; never returns.
     pub fn run(mut self) {
         let mut ready = Events::with_capacity(POLL_EVENTS);
         let mut next_sweep = Instant::now() + IDLE_CHECK_INTERVAL;
@@ -92,8 +90,8 @@
             if Instant::now() >= next_sweep {
                 next_sweep = Instant::now() + IDLE_CHECK_INTERVAL;
                 self.handler.connections().close_idle(self.handler.bounds.idle_timeout);
-                // The poll is edge-triggered: a listener that failed for want of
-                // sockets must be tried again.
+                // The poll is edge-triggered: after a failed accept, for example at the socket
+                // limit, it reports no further event, so accepting is retried here.
                 self.accept_all();
             }
         }
@@ -131,13 +129,13 @@
     }
 
     fn admit(&self, stream: TcpStream) {
-        let most = self.handler.bounds.connections;
+        let max_connections = self.handler.bounds.connections;
         let open = self.handler.connections().open();
-        // A few more than the bound are let in, for one answer each: a worker is
-        // heard and let go, a user told to come back.
-        if open >= most
+        // A few connections beyond the limit are accepted for one response each: a worker's
+        // request is served and the connection closed, a user is told to retry later.
+        if open >= max_connections
             && !self.handler.connections().evict_idle_user()
-            && open >= most + EXTRA_CONNECTIONS
+            && open >= max_connections + EXTRA_CONNECTIONS
         {
             return;
         }
@@ -152,7 +150,7 @@
         }
     }
 
-    /// A connection has become readable.
+    /// Serves a connection that has become readable.
     fn serve_ready(&self, token: Token) {
         let Some(ready) = self.handler.connections().take_ready(token) else { return };
         let Some(pending) = self.classify(ready) else { return };
@@ -167,7 +165,8 @@
         }
     }
 
-    /// Tells by its first request who is at the other end; nothing if it has closed.
+    /// Determines the kind of client from its first request; `None` if it has closed the
+    /// connection.
     fn classify(&self, ready: Ready) -> Option<PendingRequest> {
         let Ready { slot, mut connection, mut client } = ready;
         if client == ClientKind::Unknown {
@@ -193,8 +192,8 @@
 
 fn refuse(mut connection: Connection) {
     let response = Response::retry_later(503, RETRY_FULL_S, "too many connections");
-    // What was sent already is read first: unread, it would have the system
-    // reset the connection before our answer is through.
+    // Data already received is read first: if it stayed unread, the kernel would reset the
+    // connection on close and the response might be lost.
     connection.drain();
     let _ = connection.respond(response.head(true), &response.body);
 }
--- a/src/server/nonblocking.rs
+++ b/src/server/nonblocking.rs
@@ -1,4 +1,4 @@
-//! Serves heartbeats and health checks that have arrived whole, without a pool's thread.
+//! Serves completely received heartbeats and health checks without a pool thread.
 
 use super::handler::Handler;
 use super::pending_request::{PendingRequest, UnsentResponse};
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Serves a worker's request that has arrived whole, blocking nowhere; otherwise gives
-/// it back, for a thread to serve.
+/// Serves a worker's request without blocking if it has arrived completely; otherwise returns it,
+/// to be served by a pool thread.
 pub fn serve_nonblocking(
     handler: &Arc<Handler>,
     pool: &Arc<Pool<PendingRequest>>,
@@ -18,7 +18,7 @@
 ) -> Option<PendingRequest> {
     match pending.connection.try_read_request() {
         Ok(Some(request)) => ask(handler, pool, pending, request),
-        // The poll's event was an old one.
+        // The poll's event was stale.
         Ok(None) if !pending.connection.has_unread() => {
             handler.wait_for_next(pending);
             None
@@ -31,15 +31,15 @@
     }
 }
 
-/// Asks what the request asks, if the core answers that at once; the event loop's
-/// thread sends the response.
+/// Passes the request to the core if it is one that the core answers immediately; the event
+/// loop's thread then sends the response. Returns any other request.
 fn ask(
     handler: &Arc<Handler>,
     pool: &Arc<Pool<PendingRequest>>,
     mut pending: PendingRequest,
     request: Request,
 ) -> Option<PendingRequest> {
-    let Some(Ok(question)) = worker_routes::route(&request, &request.path) else {
+    let Some(Ok(client_request)) = worker_routes::route(&request, &request.path) else {
         pending.request = Some(request);
         return Some(pending);
     };
@@ -51,12 +51,12 @@
         let close = request.close || handler.closes_after_response(pending.client);
         respond(&handler, &pool, pending, &response, close);
     };
-    events.ask_with_callback(question, Box::new(send_response));
+    events.ask_with_callback(client_request, Box::new(send_response));
     None
 }
 
-/// Sends a response without blocking; what the socket doesn't take at once is left to a
-/// pool's thread.
+/// Sends a response without blocking; a pool thread sends what the socket doesn't accept
+/// immediately.
 fn respond(
     handler: &Handler,
     pool: &Pool<PendingRequest>,
--- a/src/server/pending_request.rs
+++ b/src/server/pending_request.rs
@@ -1,35 +1,35 @@
-//! A connection that has become readable, on its way through the server's threads.
+//! A connection that has become readable, with the state of its request.
 
 use super::connection_table::ClientKind;
 use crate::http::{Connection, Request};
 use std::time::Instant;
 
-/// The part of a response that the socket didn't take at once.
+/// The part of a response that the socket didn't accept immediately.
 pub struct UnsentResponse {
-    /// What is left to be sent.
+    /// The bytes still to be sent.
     pub bytes: Vec<u8>,
-    /// Whether the connection closes then.
+    /// Whether the connection is closed afterwards.
     pub close: bool,
 }
 
-/// A request that arrives, with its connection.
+/// An incoming request with its connection.
 pub struct PendingRequest {
     /// The connection's slot.
     pub slot: usize,
     /// The connection.
     pub connection: Connection,
-    /// Who is at the other end.
+    /// The kind of client.
     pub client: ClientKind,
-    /// When the poll announced it.
+    /// When the poll reported the connection readable.
     pub since: Instant,
     /// The request, if it was read already.
     pub request: Option<Request>,
-    /// Its response, if it was answered but not sent whole.
+    /// The rest of its response, if it was answered but not completely sent.
     pub unsent: Option<UnsentResponse>,
 }
 
 impl PendingRequest {
-    /// A request of which nothing was read yet.
+    /// Creates a request of which nothing has been read yet.
     pub fn new(slot: usize, connection: Connection, client: ClientKind) -> Self {
         Self { slot, connection, client, since: Instant::now(), request: None, unsent: None }
     }
--- a/src/server/response.rs
+++ b/src/server/response.rs
@@ -7,11 +7,11 @@
 use marblebarrow_proto::wire::{Elsewhere, UnknownDependencies};
 use serde::Serialize;
 
-/// What goes back over HTTP.
+/// An HTTP response.
 pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// Seconds after which to try again.
+    /// Value of the Retry-After header, seconds.
     pub retry_after: Option<u32>,
     /// CBOR body.
     pub body: Vec<u8>,
@@ -23,22 +23,22 @@
 }
 
 impl Response {
-    /// A status with an `error` that says why.
+    /// A status with a body whose `error` field gives the reason.
     pub fn error(status: u16, reason: &str) -> Self {
         Self::with_body(status, &ErrorBody { error: reason })
     }
 
-    /// An error that passes: come back after so many seconds.
+    /// A temporary error with a Retry-After header.
     pub fn retry_later(status: u16, seconds: u32, reason: &str) -> Self {
         Self { retry_after: Some(seconds), ..Self::error(status, reason) }
     }
 
-    /// 421: the leader is that controller, if it is known.
+    /// 421, naming the leader if it is known.
     pub fn misdirected(leader: Option<String>) -> Self {
         Self::with_body(421, &Elsewhere { report_to: leader })
     }
 
-    /// The core's answer.
+    /// Converts an answer of the core.
     pub fn from_answer(answer: Answer) -> Self {
         match answer {
             Answer::Job(status, job) => Self::with_body(status, &job),
@@ -54,12 +54,12 @@
         }
     }
 
-    /// What goes into the head besides the body's length.
+    /// The fields of the response head besides the body's length.
     pub fn head(&self, close: bool) -> ResponseHead {
         ResponseHead { status: self.status, retry_after: self.retry_after, close }
     }
 
-    /// 422 naming the DAG dependencies that were never accepted.
+    /// 422, naming the DAG dependencies that were never accepted.
     fn unknown_dependencies(waits_on: Vec<JobId>) -> Self {
         let error = "names jobs that were never accepted".to_owned();
         Self::with_body(422, &UnknownDependencies { error, waits_on })
--- a/src/server/user_routes.rs
+++ b/src/server/user_routes.rs
@@ -1,33 +1,33 @@
-//! Requests of users (submission, poll, cancellation) and of operators.
+//! Routes for users (submission, poll, cancellation) and operators.
 
 use super::response::Response;
-use crate::event_queue::Question;
+use crate::event_queue::ClientRequest;
 use crate::http::Request;
 use marblebarrow_core::event::UserRequest;
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::job::JobSpec;
 
-/// The question that a request to `path` asks, or the response to one that can't be asked.
-pub fn route(request: &Request, path: &str) -> Result<Question, Response> {
+/// Converts a request to `path` into a request for the core, or returns the error response.
+pub fn route(request: &Request, path: &str) -> Result<ClientRequest, Response> {
     match (request.method.as_str(), path) {
-        ("GET", "/api/members") => Ok(Question::Members),
+        ("GET", "/api/members") => Ok(ClientRequest::Members),
         ("POST", "/api/jobs") => submission(&request.body),
         (_, "/api/members" | "/api/jobs") => Err(Response::error(405, "no such resource")),
         (method, path) => match path.strip_prefix("/api/jobs/") {
-            Some(job_path) => about_job(method, job_path),
+            Some(job_path) => job_request(method, job_path),
             None => Err(Response::error(404, "no such resource")),
         },
     }
 }
 
-fn submission(body: &[u8]) -> Result<Question, Response> {
+fn submission(body: &[u8]) -> Result<ClientRequest, Response> {
     match JobSpec::parse(body) {
-        Ok(spec) => Ok(Question::User(UserRequest::Submit(Box::new(spec)))),
+        Ok(spec) => Ok(ClientRequest::User(UserRequest::Submit(Box::new(spec)))),
         Err(error) => Err(Response::error(400, &error.to_string())),
     }
 }
 
-fn about_job(method: &str, job_path: &str) -> Result<Question, Response> {
+fn job_request(method: &str, job_path: &str) -> Result<ClientRequest, Response> {
     let (id, abort) = match job_path.strip_suffix("/abort") {
         Some(id) => (id, true),
         None => (job_path, false),
@@ -36,8 +36,8 @@
         return Err(Response::error(404, "no such job"));
     }
     match (method, abort) {
-        ("GET", false) => Ok(Question::User(UserRequest::Poll(JobId::new(id)))),
-        ("POST", true) => Ok(Question::User(UserRequest::Cancel(JobId::new(id)))),
+        ("GET", false) => Ok(ClientRequest::User(UserRequest::Poll(JobId::new(id)))),
+        ("POST", true) => Ok(ClientRequest::User(UserRequest::Cancel(JobId::new(id)))),
         _ => Err(Response::error(405, "no such method here")),
     }
 }
--- a/src/tests/server.rs
+++ b/src/tests/server.rs
@@ -1,44 +1,44 @@
 use super::*;
-use crate::event_queue::{self, Question};
+use crate::event_queue::{self, ClientRequest};
 use marblebarrow_core::event::{Answer, UserRequest};
 use std::io::{Read as _, Write as _};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-// The owner's stand-in refuses all but health checks.
-fn front(most: usize) -> SocketAddr {
+// Starts a server whose fake event loop refuses all requests but health checks.
+fn start_server(max_connections: usize) -> SocketAddr {
     let (events, receiver) = event_queue::channel();
     std::thread::spawn(move || {
         receiver.serve_each(|ask| match ask {
-            Question::User(UserRequest::Health) => Answer::Healthy,
+            ClientRequest::User(UserRequest::Health) => Answer::Healthy,
             _ => Answer::Unavailable(1),
         });
     });
-    let listener = TcpListener::bind("127.0.0.1:0").expect("port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("address");
     let bounds = Bounds {
-        connections: most,
+        connections: max_connections,
         user_threads: 2,
         worker_threads: 2,
         idle_timeout: Duration::from_secs(3_600),
     };
-    let front =
-        HttpServer::new(listener, &events, &Authority::default(), bounds).expect("front starts");
-    std::thread::spawn(move || front.run());
+    let server =
+        HttpServer::new(listener, &events, &Authority::default(), bounds).expect("server starts");
+    std::thread::spawn(move || server.run());
     addr
 }
 
 fn connect(addr: SocketAddr) -> TcpStream {
-    TcpStream::connect(addr).expect("connects")
+    TcpStream::connect(addr).expect("connect")
 }
 
 fn ask(stream: &mut TcpStream, method: &str, path: &str) -> String {
     let head = format!("{method} {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-    stream.write_all(head.as_bytes()).expect("sent");
+    stream.write_all(head.as_bytes()).expect("send");
     first_line(stream)
 }
 
-/// Reads an answer, for its first line.
+/// Reads a complete response and returns its first line.
 fn first_line(stream: &mut TcpStream) -> String {
     let mut got = Vec::new();
     let mut chunk = [0u8; 512];
@@ -48,23 +48,23 @@
             let length = text
                 .lines()
                 .find_map(|l| l.strip_prefix("Content-Length: "))
-                .map_or(0, |l| l.trim().parse::<usize>().expect("a length"));
+                .map_or(0, |l| l.trim().parse::<usize>().expect("numeric Content-Length"));
             if got.len() >= end + 4 + length {
                 return text.lines().next().unwrap_or_default().to_owned();
             }
         }
-        match stream.read(&mut chunk).expect("an answer") {
+        match stream.read(&mut chunk).expect("read response") {
             0 => return String::new(),
             n => got.extend_from_slice(&chunk[..n]),
         }
     }
 }
 
-/// Far more connections than threads: each is served, again and again,
-/// while the others stay open and idle.
+/// With far more connections than threads, each is served repeatedly while the others stay open
+/// and idle.
 #[test]
 fn idle_connections_hold_no_thread() {
-    let addr = front(200);
+    let addr = start_server(200);
     let mut all: Vec<TcpStream> = (0..60).map(|_| connect(addr)).collect();
     for _ in 0..3 {
         for stream in &mut all {
@@ -73,14 +73,13 @@
     }
 }
 
-/// Half a request on as many connections as users have threads doesn't keep
-/// a worker waiting.
+/// Incomplete requests that occupy all user threads don't delay workers or health checks.
 #[test]
-fn users_do_not_crowd_out_reports() {
-    let addr = front(200);
+fn slow_users_do_not_delay_workers() {
+    let addr = start_server(200);
     let mut slow: Vec<TcpStream> = (0..2).map(|_| connect(addr)).collect();
     for stream in &mut slow {
-        stream.write_all(b"GET /api/jobs/req-0").expect("sent");
+        stream.write_all(b"GET /api/jobs/req-0").expect("send");
     }
     let mut check = connect(addr);
     assert_eq!(ask(&mut check, "GET", "/healthz"), "HTTP/1.1 200 OK");
@@ -88,34 +87,35 @@
     assert_eq!(ask(&mut worker, "POST", "/hello"), "HTTP/1.1 400 Bad Request");
 }
 
-/// What comes in pieces is served by a thread, what comes whole at once, in turns on
-/// one connection.
+/// Alternates complete requests, which are served without a pool thread, and fragmented ones,
+/// which need one, on the same connection.
 #[test]
-fn requests_whole_and_in_pieces_are_answered() {
-    let addr = front(200);
+fn complete_and_fragmented_requests_are_answered() {
+    let addr = start_server(200);
     let mut check = connect(addr);
     for _ in 0..3 {
         assert_eq!(ask(&mut check, "GET", "/healthz"), "HTTP/1.1 200 OK");
-        check.write_all(b"GET /healthz HTTP/1.1\r\nContent-").expect("sent");
-        // The first piece has arrived: another connection was answered since.
+        check.write_all(b"GET /healthz HTTP/1.1\r\nContent-").expect("send");
+        // By now the first fragment has arrived: another connection has been answered since.
         assert_eq!(ask(&mut connect(addr), "GET", "/healthz"), "HTTP/1.1 200 OK");
-        check.write_all(b"Length: 0\r\n\r\n").expect("sent");
+        check.write_all(b"Length: 0\r\n\r\n").expect("send");
         assert_eq!(first_line(&mut check), "HTTP/1.1 200 OK");
     }
-    // Not what its first request made of it: a user's question on it is answered too.
+    // The first request classified the connection as a worker's; a user's request on it is still
+    // answered.
     let answer = ask(&mut check, "GET", "/api/jobs/req-000001");
     assert_eq!(answer, "HTTP/1.1 503 Service Unavailable");
 }
 
-/// Beyond the bound a connection is told so; an idle user's makes room.
+/// Beyond the connection limit a user is refused with 503, while a worker is served.
 #[test]
-fn a_full_house_refuses_or_makes_room() {
-    let addr = front(2);
+fn beyond_the_connection_limit_users_are_refused_and_workers_served() {
+    let addr = start_server(2);
     let mut checks: Vec<TcpStream> = (0..2).map(|_| connect(addr)).collect();
     for stream in &mut checks {
         assert_eq!(ask(stream, "GET", "/healthz"), "HTTP/1.1 200 OK");
     }
-    // Guests: a user is told to come back, a worker is heard.
+    // Both connections exceed the limit: the user is told to retry later, the worker is served.
     let mut user = connect(addr);
     let answer = ask(&mut user, "GET", "/api/jobs/req-000001");
     assert_eq!(answer, "HTTP/1.1 503 Service Unavailable");
