--- a/src/authority.rs
+++ b/src/authority.rs
@@ -1,40 +1,40 @@
-//! Until when this process may act as leader, as the event loop last knew.
+//! The authority to act as leader and its expiry, as last published by the event loop.
 //!
-//! A process may stand still for seconds between a decision and the moment its
-//! bytes leave, while its store lease ends and another leads. So whatever only a
-//! leader may send is checked against this right before it is sent, not only
+//! A process may be paused for seconds between a decision and the write to the socket. Its store
+//! lease may expire meanwhile and another controller take over. So every message that only a
+//! leader may send is checked against this authority immediately before it is sent, and not only
 //! where it was decided.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// A leader's right to act.
+/// A leader's term, fencing tokens and expiry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leadership {
-    /// Its term, which is its first fencing token.
+    /// The leader's term, which is also its first fencing token.
     pub term: u64,
-    /// Its highest fencing token: it alone took all from its term to this.
+    /// The leader's highest fencing token: all tokens from the term to this one are its own.
     pub highest_fencing_token: u64,
-    /// When the right ends.
+    /// When the authority expires.
     pub valid_until: Instant,
 }
 
-/// The right to act, shared between the event loop and those who send.
+/// The current leadership, shared between the event loop and the threads that send.
 #[derive(Clone, Debug, Default)]
 pub struct Authority(Arc<Mutex<Option<Leadership>>>);
 
 impl Authority {
-    /// Replaces the right to act; `None`: this process doesn't lead.
+    /// Replaces the leadership; `None` if this process doesn't lead.
     pub fn set(&self, leadership: Option<Leadership>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = leadership;
     }
 
-    /// The term in which this process may act now.
+    /// The term in which this process leads now, if it does.
     pub fn term(&self) -> Option<u64> {
         self.current().map(|leadership| leadership.term)
     }
 
-    /// Whether this process may act now, and that fencing token is one of its own.
+    /// Whether this process leads now and `fencing_token` is one of its own.
     pub fn permits(&self, fencing_token: u64) -> bool {
         self.current().is_some_and(|leadership| {
             (leadership.term..=leadership.highest_fencing_token).contains(&fencing_token)
--- a/src/links/cloud.rs
+++ b/src/links/cloud.rs
@@ -1,4 +1,4 @@
-//! The link to the cloud.
+//! The link to the cloud's API.
 
 use super::request_queue::RequestQueue;
 use crate::authority::Authority;
@@ -14,33 +14,34 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::SyncSender;
 
-/// What the cloud's 503 says if no machine is available, rather than the cloud itself.
+/// Error text of a 503 which means that no machine is available, as opposed to an outage of the
+/// cloud.
 const NO_CAPACITY: &str = "no capacity";
-/// Machines in a page of the list (protocol page).
+/// Machines in a page of the list (given by the protocol).
 const LIST_LIMIT: usize = 500;
 
-/// A request of the cloud that the core made.
+/// A request from the core to the cloud.
 struct CloudCall {
     op: OpId,
     request: CloudRequest,
-    /// The term it belongs to, if only a leader may make it.
+    /// The term in which it was made, if only a leader may make it.
     leader_term: Option<u64>,
 }
 
-/// The body of an error.
+/// Body of an error response.
 #[derive(Deserialize)]
 struct ErrorBody {
     error: String,
 }
 
-/// The link to the cloud.
+/// The link to the cloud's API.
 pub struct CloudLink {
     queue: SyncSender<CloudCall>,
     authority: Authority,
 }
 
 impl CloudLink {
-    /// Starts its threads.
+    /// Starts the threads that make the calls.
     pub fn start(
         addr: SocketAddr,
         events: &EventSender,
@@ -54,7 +55,8 @@
         Ok(Self { queue, authority: authority.clone() })
     }
 
-    /// Hands over a request; the event is its answer if it can't be taken.
+    /// Queues a request. Returns the refusal as an event if it can't be queued or isn't
+    /// permitted.
     pub fn send(&self, op: OpId, request: CloudRequest) -> Option<Event> {
         let refused = Some(Event::Cloud(op, CloudResult::Refused));
         let leader_only = matches!(request, CloudRequest::Rent(_) | CloudRequest::Release(_));
@@ -80,9 +82,9 @@
     }
 }
 
-/// Makes a request, if it is permitted: decided before this process stood still, say, another
-/// may lead by now, and use what we would return. So it goes over the connection made before
-/// the check, or not at all.
+/// Makes a request if it is permitted. If this process was paused after the decision, another
+/// controller may lead by now and use the machines that this request would release. So the
+/// request is sent over the connection opened before the check, or not at all.
 fn call(client: &mut Client, request: &CloudRequest, permitted: impl Fn() -> bool) -> CloudResult {
     if client.connect().is_err() || !permitted() {
         return CloudResult::Refused;
@@ -122,17 +124,17 @@
         }
         (CloudRequest::Rent(_), 200) => cbor::decode::<MachineNames>(body)
             .map_or(CloudResult::Unknown, |names| CloudResult::Rented(names.machines)),
-        // Two kinds of 503: no machine available, or an outage of the cloud.
-        (CloudRequest::Rent(_), 503) if says_no_capacity(body) => CloudResult::NoCapacity,
+        // A 503 means either that no machine is available or that the cloud has an outage.
+        (CloudRequest::Rent(_), 503) if is_no_capacity(body) => CloudResult::NoCapacity,
         (CloudRequest::Release(_), 200) => CloudResult::Released,
         (_, 429 | 503) => CloudResult::Refused,
-        // A rental that is refused as malformed rents nothing, now or later.
+        // A rental rejected as malformed never rents a machine, now or later.
         (CloudRequest::Rent(_), 400..=499) => CloudResult::NoCapacity,
         _ => CloudResult::Unknown,
     }
 }
 
-fn says_no_capacity(body: &[u8]) -> bool {
+fn is_no_capacity(body: &[u8]) -> bool {
     cbor::decode::<ErrorBody>(body).is_ok_and(|body| body.error == NO_CAPACITY)
 }
 
--- a/src/links/mod.rs
+++ b/src/links/mod.rs
@@ -1,6 +1,6 @@
-//! The links to the consensus-backed key-value store (the pages' state service), the cloud
-//! and the workers: threads with blocking sockets behind small queues. What finds its queue
-//! full is refused at once, so that the core knows.
+//! The links to the consensus-backed key-value store (the state service of the protocol), the
+//! cloud and the workers: threads with blocking sockets behind small queues. A request that finds
+//! its queue full is refused immediately, so that the core can react.
 
 mod cloud;
 mod request_queue;
--- a/src/links/store.rs
+++ b/src/links/store.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::SyncSender;
 
-/// A request of the store that the core made.
+/// A request from the core to the store.
 struct StoreCall {
     op: OpId,
     request: StoreRequest,
@@ -28,7 +28,7 @@
 }
 
 impl StoreLink {
-    /// Starts its threads, the watch included.
+    /// Starts the threads that make the calls, and the watch thread.
     pub fn start(
         addr: SocketAddr,
         events: &EventSender,
@@ -39,9 +39,9 @@
         for _ in 0..STORE_THREADS {
             spawn_client("store", addr, &data_queue, events)?;
         }
-        // Store leases (the wire's grants: elections, renewals) have threads of their own:
-        // the leader's right to act must not wait behind a user's request, nor a renewal
-        // behind one that gets no answer.
+        // Requests for store leases (elections and renewals; `grants` on the wire) have their own
+        // threads: a renewal of the leader's lease must not wait behind a user's request, nor
+        // behind an earlier renewal that gets no answer.
         let (leases, lease_queue) = RequestQueue::bounded(STORE_QUEUE_LEN);
         for _ in 0..RENEWALS_UNANSWERED_MAX {
             spawn_client("touch", addr, &lease_queue, events)?;
@@ -51,15 +51,15 @@
         Ok(Self { data, leases })
     }
 
-    /// Hands over a request; the event is its answer if it can't be taken.
+    /// Queues a request. Returns the refusal as an event if the queue is full.
     pub fn send(&self, op: OpId, request: StoreRequest) -> Option<Event> {
-        let queue = if concerns_lease(&request) { &self.leases } else { &self.data };
+        let queue = if is_lease_request(&request) { &self.leases } else { &self.data };
         let refused = queue.try_send(StoreCall { op, request }).is_err();
         refused.then_some(Event::Store(op, StoreResult::Refused))
     }
 }
 
-fn concerns_lease(request: &StoreRequest) -> bool {
+fn is_lease_request(request: &StoreRequest) -> bool {
     matches!(
         request,
         StoreRequest::GrantLease(_) | StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_)
@@ -77,8 +77,8 @@
         let mut client = Client::new(addr);
         while let Some(StoreCall { op, request }) = queue.next() {
             let result = store_call(&mut client, &request);
-            // Answers end what is under way already: behind hundreds of heartbeats they
-            // once made a fifth of a second of every submission's time.
+            // Answers complete operations in flight, so they take priority: queued behind
+            // hundreds of heartbeats they added a fifth of a second to every submission.
             events.send_priority(Event::Store(op, result));
         }
     })
--- a/src/links/worker.rs
+++ b/src/links/worker.rs
@@ -1,6 +1,6 @@
-//! The link to the workers: a thread for each call under way, so that a silent worker
-//! holds up no other. Their number is the core's to bound; with a thread and a socket kept
-//! for every worker, a large fleet would take more of both than a controller has.
+//! The link to the workers. Each call in flight has a thread, so that an unreachable worker
+//! doesn't delay the others; the core bounds the number of calls. A thread and a socket per
+//! worker would exceed a controller's limits in a large fleet.
 
 use crate::authority::Authority;
 use crate::event_queue::EventSender;
@@ -12,8 +12,7 @@
 use marblebarrow_proto::wire::{DirectCommands, Heartbeat};
 use std::net::SocketAddr;
 
-/// Commands for a worker, with fencing token and agent epoch, and where
-/// it listens.
+/// Commands for a worker, with fencing token and agent epoch, and the worker's address.
 struct WorkerCall {
     op: OpId,
     addr: SocketAddr,
@@ -24,7 +23,7 @@
 pub struct WorkerLink(Pool<WorkerCall>);
 
 impl WorkerLink {
-    /// A link without threads yet.
+    /// Creates the link; threads are started as calls come.
     pub fn new(events: &EventSender, authority: &Authority, threads: usize) -> Self {
         let (events, authority) = (events.clone(), authority.clone());
         Self(Pool::new("direct", threads, threads, move |worker_call: WorkerCall| {
@@ -33,7 +32,7 @@
         }))
     }
 
-    /// Hands over commands; the event is the answer if they can't be taken.
+    /// Queues commands. Returns `NotSent` as an event if they can't be queued.
     pub fn send(&self, op: OpId, addr: &str, commands: DirectCommands) -> Option<Event> {
         let not_sent = Some(Event::Direct(op, DirectResult::NotSent));
         let Ok(addr) = addr.parse::<SocketAddr>() else {
@@ -44,14 +43,14 @@
     }
 }
 
-/// Sends commands, if `permits` says that this process may act with their fencing token.
+/// Sends commands if `permits` accepts their fencing token.
 fn call(worker_call: &WorkerCall, permits: impl Fn(u64) -> bool) -> DirectResult {
     let mut client = Client::new(worker_call.addr);
     if client.connect().is_err() {
         return DirectResult::NotSent;
     }
-    // Checked last of all: connecting takes its time, and so may a process that stands still.
-    // So the commands go over this connection or not at all.
+    // Checked last: authority may expire while connecting or while the process is paused. So the
+    // commands are sent over this connection or not at all.
     if !permits(worker_call.commands.fencing_token) {
         return DirectResult::NotSent;
     }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,8 +1,8 @@
-//! The other controllers: gRPC, its runtime on one thread at the edge.
+//! The link to the other controllers over gRPC. Its async runtime runs on one thread of its own.
 
 use crate::event_queue::{EventSender, QueueMessage};
 use crate::limits::{PEER_QUEUE_LEN, PEER_TIMEOUT};
-use crate::settings::Other;
+use crate::settings::PeerAddress;
 use marblebarrow_core::event::{Event, JobCounts, PeerNews, PledgeAnswer, Secs, TaskCounts};
 use marblebarrow_core::membership::Announcement;
 use marblebarrow_proto::ids::{JobId, NodeId};
@@ -16,12 +16,12 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Request, Response, Status};
 
-/// Messages that may wait for one peer.
+/// Messages that may be queued for one peer.
 const QUEUE_PER_PEER: usize = 4;
-/// Frames between controllers, bytes.
+/// Maximum HTTP/2 frame size between controllers, bytes.
 const PEER_FRAME_BYTES: u32 = 16 * 1024;
 
-/// A message to every other controller.
+/// A message broadcast to every other controller.
 #[derive(Debug, Clone)]
 enum PeerMessage {
     Heartbeat { store_ok: bool, leading: bool },
@@ -37,16 +37,17 @@
 }
 
 impl Peers {
-    /// Starts the thread that serves them and calls them.
+    /// Starts the thread that serves the peers' calls and makes calls to them.
     pub fn start(
         node: NodeId,
         listen: SocketAddr,
-        others: Vec<Other>,
+        others: Vec<PeerAddress>,
         events: EventSender,
     ) -> std::io::Result<Self> {
         let (messages, received) = mpsc::channel(PEER_QUEUE_LEN);
         let store_ok = Arc::new(AtomicBool::new(false));
-        // Until the event loop has said so, nobody may conclude that we don't lead.
+        // Starts as true: until the event loop has reported otherwise, no peer may conclude that
+        // this controller doesn't lead.
         let leading = Arc::new(AtomicBool::new(true));
         let service = PeerService {
             events: events.clone(),
@@ -75,24 +76,24 @@
         Ok(Self { messages, store_ok, leading })
     }
 
-    // A message that finds the queue full is dropped: all are sent again.
+    // Messages are dropped when the queue is full: every kind is sent again periodically.
     fn enqueue(&self, message: PeerMessage) {
         let _ = self.messages.try_send(message);
     }
 
-    /// Tells whether the store serves us and whether we lead.
+    /// Tells the peers whether the store answers this controller and whether it leads.
     pub fn send_heartbeat(&self, store_ok: bool, leading: bool) {
         self.store_ok.store(store_ok, Ordering::Relaxed);
         self.leading.store(leading, Ordering::Relaxed);
         self.enqueue(PeerMessage::Heartbeat { store_ok, leading });
     }
 
-    /// Asks for pledges; `sent` is when.
+    /// Asks all peers for pledges; `sent` is the time of the request.
     pub fn ask_pledges(&self, term: u64, revision: u64, sent: Secs) {
         self.enqueue(PeerMessage::AskPledge { term, revision, sent });
     }
 
-    /// Shows progress.
+    /// Sends the jobs' progress to the peers.
     pub fn send_progress(&self, updates: &[JobCounts]) {
         let jobs = updates
             .iter()
@@ -106,10 +107,10 @@
     }
 }
 
-/// Hands each message to every peer's task.
+/// Passes each message to the task of every peer.
 async fn broadcast(
     node: NodeId,
-    others: Vec<Other>,
+    others: Vec<PeerAddress>,
     mut messages: mpsc::Receiver<PeerMessage>,
     events: EventSender,
 ) {
@@ -119,7 +120,8 @@
             continue;
         };
         let channel = endpoint.connect_timeout(PEER_TIMEOUT).timeout(PEER_TIMEOUT).connect_lazy();
-        // A small queue each: a silent peer holds up no other.
+        // Each peer has a small queue of its own, so an unreachable peer doesn't delay the
+        // others.
         let (sender, queue) = mpsc::channel(QUEUE_PER_PEER);
         let peer = NodeId::new(&other.node);
         tokio::spawn(send_to_peer(node.clone(), peer, channel, queue, events.clone()));
@@ -132,9 +134,9 @@
     }
 }
 
-/// Makes one peer's calls, one at a time.
+/// Makes the calls to one peer, one at a time.
 async fn send_to_peer(
-    me: NodeId,
+    own_node: NodeId,
     peer: NodeId,
     channel: Channel,
     mut queue: mpsc::Receiver<PeerMessage>,
@@ -145,12 +147,12 @@
         match message {
             PeerMessage::Heartbeat { store_ok, leading } => {
                 let (version, format) = own_announcement();
-                let node = me.to_string();
+                let node = own_node.to_string();
                 let request = BeatRequest { node, store_ok, leading, version, format };
                 exchange_heartbeats(&mut client, &peer, request, &events).await;
             }
             PeerMessage::AskPledge { term, revision, sent } => {
-                let node = me.to_string();
+                let node = own_node.to_string();
                 let first = PledgeRequest { node, term, revision, after: String::new() };
                 ask_pledge(&mut client, &peer, first, sent, &events).await;
             }
@@ -161,7 +163,7 @@
     }
 }
 
-// Our heartbeat, and what the peer's answer tells of it.
+// Sends this controller's heartbeat and publishes the state in the peer's reply.
 async fn exchange_heartbeats(
     client: &mut PeerClient<Channel>,
     peer: &NodeId,
@@ -179,9 +181,9 @@
     publish(events, news);
 }
 
-// A pledge, and the cancellations that come with it, in as many replies as they take.
-// If one gets lost, here or on the way to the event loop, the last never arrives, and
-// nothing counts.
+// Asks a peer for a pledge and the cancellations that come with it, paged over as many replies as
+// needed. If any reply is lost, here or on the way to the event loop, the last one is never
+// published and the pledge doesn't count.
 async fn ask_pledge(
     client: &mut PeerClient<Channel>,
     peer: &NodeId,
@@ -210,24 +212,25 @@
     }
 }
 
-// What this process runs, as heartbeats carry it.
+// This process's version and format, as carried in heartbeats.
 fn own_announcement() -> (String, u32) {
     let own = Announcement::own();
     (own.version.unwrap_or_default(), own.format)
 }
 
-// Tells the event loop something of a peer; false if its queue is full.
+// Sends a peer's news to the event loop; false if the queue is full.
 fn publish(events: &EventSender, news: PeerNews) -> bool {
     events.try_send(QueueMessage::Event(Event::Peer(news)))
 }
 
-// Tells the event loop what a peer runs; the production version leaves both fields empty.
+// Sends a peer's version and format to the event loop; the production version leaves both fields
+// empty.
 fn publish_announcement(events: &EventSender, node: &NodeId, version: &str, format: u32) {
     let runs = Announcement::from_wire(version, format);
     publish(events, PeerNews::Announced { node: node.clone(), runs });
 }
 
-/// What this controller answers its peers.
+/// The gRPC service that answers the peers.
 struct PeerService {
     events: EventSender,
     store_ok: Arc<AtomicBool>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings that the platform hands over (TOML). Unknown fields are
-//! ignored; a missing or invalid one stops the start with one line.
+//! The settings provided by the platform (TOML). Unknown fields are ignored; a missing or invalid
+//! field stops the program at startup with a one-line error.
 
 use crate::limits::VALUE_KB_MIN;
 use marblebarrow_core::consts::CHANGES_LEAST;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Why settings can't be used: names file, field and reason.
+/// An error in the settings, with file, field and reason.
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {field}: {reason}")]
 pub struct SettingsError {
@@ -18,9 +18,9 @@
     reason: String,
 }
 
-/// Another controller.
+/// Name and address of another controller.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Other {
+pub struct PeerAddress {
     /// Its name.
     pub node: String,
     /// Where its peer service listens.
@@ -33,7 +33,7 @@
     serve_on: SocketAddr,
     peer_bind: SocketAddr,
     #[serde(default)]
-    others: Vec<Other>,
+    others: Vec<PeerAddress>,
     endpoints: Endpoints,
     facts: RawFacts,
 }
@@ -49,7 +49,7 @@
     #[serde(default)]
     teams: Vec<RawTeam>,
     #[serde(default)]
-    objectives: Vec<RawAim>,
+    objectives: Vec<RawObjective>,
     workers: RawWorkers,
     state: RawState,
     cloud: RawCloud,
@@ -70,7 +70,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct RawAim {
+struct RawObjective {
     kind: String,
     class: Option<String>,
     times: Option<f64>,
@@ -90,11 +90,11 @@
     write_rps: f64,
     value_kb: f64,
     txn_ops: usize,
-    /// Limits that come into force later, without notice.
+    /// Announced limits, which come into force later without further notice.
     next: Option<RawNextState>,
 }
 
-/// Limits of the state service to come; what is absent stays as it is.
+/// Announced limits of the state service; an absent limit stays unchanged.
 #[derive(Debug, Default, Deserialize)]
 struct RawNextState {
     rps: Option<f64>,
@@ -103,8 +103,8 @@
     txn_ops: Option<usize>,
 }
 
-/// Limits of the state service that hold whenever the announced ones come into force: of
-/// each the smaller.
+/// The smaller of each current and announced limit of the state service, which is safe to use at
+/// any time.
 #[derive(Debug)]
 struct StoreLimits {
     rps: f64,
@@ -117,7 +117,7 @@
     fn limits(&self) -> Result<StoreLimits, (String, String)> {
         let next = RawNextState::default();
         let next = self.next.as_ref().unwrap_or(&next);
-        let value_kb = smaller("value_kb", self.value_kb, next.value_kb)?;
+        let value_kb = smaller_limit("value_kb", self.value_kb, next.value_kb)?;
         if value_kb < VALUE_KB_MIN {
             return Err(("facts.state.value_kb".into(), format!("is below {VALUE_KB_MIN}")));
         }
@@ -126,26 +126,27 @@
             return Err(("facts.state.txn_ops".into(), format!("is below {CHANGES_LEAST}")));
         }
         Ok(StoreLimits {
-            rps: smaller("rps", self.rps, next.rps)?,
-            write_rps: smaller("write_rps", self.write_rps, next.write_rps)?,
+            rps: smaller_limit("rps", self.rps, next.rps)?,
+            write_rps: smaller_limit("write_rps", self.write_rps, next.write_rps)?,
             value_bytes: (value_kb * 1024.0) as usize,
             txn_ops,
         })
     }
 }
 
-/// Aims of a kind that name a class and a time.
-fn time_aims(objectives: &[RawAim], kind: &str) -> Vec<TimeAim> {
-    let aims = objectives.iter().filter(|o| o.kind == kind);
-    aims.filter_map(|o| {
-        let within_s = o.within_s.filter(|w| w.is_finite() && *w > 0.0)?;
-        Some(TimeAim { class: o.class.clone()?, within_s })
-    })
-    .collect()
+/// The objectives of a kind that name a class and a valid time.
+fn time_objectives(objectives: &[RawObjective], kind: &str) -> Vec<TimeAim> {
+    let matching = objectives.iter().filter(|o| o.kind == kind);
+    matching
+        .filter_map(|o| {
+            let within_s = o.within_s.filter(|w| w.is_finite() && *w > 0.0)?;
+            Some(TimeAim { class: o.class.clone()?, within_s })
+        })
+        .collect()
 }
 
-/// The smaller of a limit in force and an announced one, if there is any.
-fn smaller(field: &str, now: f64, next: Option<f64>) -> Result<f64, (String, String)> {
+/// The smaller of a current limit and the announced one, if there is one.
+fn smaller_limit(field: &str, now: f64, next: Option<f64>) -> Result<f64, (String, String)> {
     let now = positive(&format!("facts.state.{field}"), now)?;
     let next = next.map(|next| positive(&format!("facts.state.next.{field}"), next)).transpose()?;
     Ok(next.map_or(now, |next| now.min(next)))
@@ -165,13 +166,13 @@
     list_lag_s: f64,
 }
 
-fn whole_core() -> f64 {
+fn default_core_share() -> f64 {
     1.0
 }
 
 #[derive(Debug, Deserialize)]
 struct RawResources {
-    #[serde(default = "whole_core")]
+    #[serde(default = "default_core_share")]
     core_share: f64,
     mem_mb: f64,
     fd_limit: usize,
@@ -180,21 +181,21 @@
 /// Settings that passed all checks.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Where users, workers and health checks come.
+    /// Address on which users, workers and health checks are served.
     pub listen: SocketAddr,
-    /// Where the other controllers come.
+    /// Address on which the other controllers are served.
     pub peer_listen: SocketAddr,
     /// The other controllers.
-    pub others: Vec<Other>,
-    /// The cloud.
+    pub others: Vec<PeerAddress>,
+    /// Address of the cloud.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Address of the state service.
     pub state: SocketAddr,
     /// Memory limit, MB.
     pub memory_mb: f64,
-    /// Socket limit.
+    /// Limit on open sockets.
     pub max_sockets: usize,
-    /// What the core is told.
+    /// The settings passed to the core.
     pub facts: Facts,
 }
 
@@ -211,7 +212,7 @@
         Self::parse(&text).map_err(|(field, reason)| error(&field, reason))
     }
 
-    /// Checks settings text; the error names field and reason.
+    /// Parses and checks the text of a settings file; an error contains field and reason.
     pub fn parse(text: &str) -> Result<Self, (String, String)> {
         let one_line = |s: &str| s.split_whitespace().collect::<Vec<_>>().join(" ");
         let toml = toml::Deserializer::parse(text)
@@ -240,15 +241,15 @@
             .objectives
             .iter()
             .filter(|o| o.kind == "deadline")
-            // Times that are no number count as one: an aim can't be met sooner.
+            // An invalid factor counts as 1, the strictest deadline that can be met.
             .filter_map(|o| {
                 let times = o.times.filter(|t| t.is_finite() && *t > 0.0).unwrap_or(1.0);
                 Some(DeadlineAim { class: o.class.clone()?, times })
             })
             .collect();
-        // Aims of other kinds are the users' to judge.
-        let finishes = time_aims(&f.objectives, "finished");
-        let starts = time_aims(&f.objectives, "wait");
+        // Objectives of other kinds don't affect scheduling.
+        let finishes = time_objectives(&f.objectives, "finished");
+        let starts = time_objectives(&f.objectives, "wait");
         let facts = Facts {
             node: NodeId::new(&raw.node),
             others: raw.others.iter().map(|o| NodeId::new(&o.node)).collect(),
@@ -277,10 +278,10 @@
             list_lag_s: positive("facts.cloud.list_lag_s", f.cloud.list_lag_s)?,
             log: true,
             core_share: positive("facts.resources.core_share", f.resources.core_share)?,
-            // Shared out from the resources when the parts are started.
+            // Replaced in `controller::serve` by the share derived from the resources.
             direct_most: 4,
             tuning: Tuning::default(),
-            // A file of their own.
+            // Loaded from a separate file.
             cells: None,
         };
         Ok(Self {
--- a/src/tests/closing_listener.rs
+++ b/src/tests/closing_listener.rs
@@ -1,4 +1,5 @@
-//! A server's side that closes its first connections unread, and answers requests on others.
+//! A test server that closes its first connections without reading and answers requests on later
+//! ones.
 
 use crate::limits::STALE_AFTER;
 use std::io::{Read as _, Write as _};
@@ -7,7 +8,7 @@
 use std::sync::{Arc, mpsc};
 use std::thread;
 
-/// The listener's address, and what came.
+/// A running test server with its counters.
 pub struct ClosingListener {
     pub addr: SocketAddr,
     closed: mpsc::Receiver<()>,
@@ -15,18 +16,18 @@
 }
 
 impl ClosingListener {
-    /// Closes that many connections unread.
+    /// Starts a server that closes the first `closes` connections.
     pub fn new(closes: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let addr = listener.local_addr().expect("address");
         let requests = Arc::new(AtomicUsize::new(0));
-        let (told, closed) = mpsc::channel();
+        let (closed_sender, closed) = mpsc::channel();
         let counted = requests.clone();
         thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
                 if number < closes {
                     drop(stream);
-                    let _ = told.send(());
+                    let _ = closed_sender.send(());
                     continue;
                 }
                 answer(stream, &counted);
@@ -35,13 +36,14 @@
         Self { addr, closed, requests }
     }
 
-    /// Stands still until a connection is closed, and so long that its user looks at it again.
-    pub fn stand_still(&self) {
+    /// Blocks until a connection is closed, and then for longer than `STALE_AFTER`, so that the
+    /// client checks the connection before it is used again.
+    pub fn wait_until_stale(&self) {
         self.closed.recv().expect("closed");
         thread::sleep(STALE_AFTER + STALE_AFTER / 4);
     }
 
-    /// Requests that came.
+    /// Number of requests received.
     pub fn requests(&self) -> usize {
         self.requests.load(Ordering::SeqCst)
     }
--- a/src/tests/settings.rs
+++ b/src/tests/settings.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn of_the_limits_in_force_and_the_announced_ones_the_smaller_count() {
+fn smaller_of_current_and_announced_limits_applies() {
     assert_eq!(limits(""), Ok((100.0, 20.0, 16 * 1024, 16)));
     let next = "[facts.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 5\n";
     assert_eq!(limits(next), Ok((100.0, 15.0, 2 * 1024, 5)));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn limits_that_no_record_fits_stop_the_start() {
+fn limits_too_small_for_a_record_are_rejected() {
     let next = |line: &str| limits(&format!("[facts.state.next]\n{line}\n"));
     assert_eq!(next("value_kb = 1.0"), Err("facts.state.value_kb".into()));
     assert_eq!(next("txn_ops = 3"), Err("facts.state.txn_ops".into()));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_wait_objective_rules_classes_without_one_on_their_end() {
+fn wait_objective_applies_to_classes_without_a_completion_objective() {
     let objective = |kind: &str, class: &str, rest: &str| {
         format!("[[facts.objectives]]\nkind = \"{kind}\"\nclass = \"{class}\"\n{rest}\n")
     };
--- a/src/tests/store_link.rs
+++ b/src/tests/store_link.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// A state service that knows no key.
+/// Starts a fake state service that contains no key.
 fn empty_store() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("address");
@@ -25,24 +25,27 @@
     addr
 }
 
-/// What the state service answers goes before all that waits: a submission that is written
-/// already doesn't wait once more behind the reports that came meanwhile.
+/// Answers of the state service are handled before all waiting messages: a submission that has
+/// already been written must not wait again behind the heartbeats that arrived meanwhile.
 #[test]
-fn answers_of_the_store_go_before_what_waits() {
+fn store_answers_bypass_the_message_queue() {
     let (events, receiver) = event_queue::channel();
     let timing = WatchTiming { block: Duration::from_secs(1), slack: Duration::from_secs(1) };
-    let link = StoreLink::start(empty_store(), &events, Clock::start(), timing).expect("threads");
+    let link =
+        StoreLink::start(empty_store(), &events, Clock::start(), timing).expect("threads start");
     for _ in 0..200 {
         assert!(events.try_send(QueueMessage::WakeUp));
     }
     assert!(link.send(OpId(7), StoreRequest::Get("w/none".into())).is_none());
-    // Without its answer, so many batches would only bring what waited before.
+    // The answer must arrive as a priority event, never among the queued messages.
     let mut found = false;
     while !found {
-        let Batch { priority: urgent, messages: batch } =
-            receiver.next_batch(Duration::from_secs(60)).expect("open");
-        found = urgent.iter().any(|e| matches!(e, Event::Store(OpId(7), StoreResult::Value(None))));
+        let Batch { priority: priority_events, messages: batch } =
+            receiver.next_batch(Duration::from_secs(60)).expect("a sender is left");
+        found = priority_events
+            .iter()
+            .any(|e| matches!(e, Event::Store(OpId(7), StoreResult::Value(None))));
         let late = |m: &QueueMessage| matches!(m, QueueMessage::Event(Event::Store(OpId(7), _)));
-        assert!(!batch.iter().any(late), "it waited with the others");
+        assert!(!batch.iter().any(late), "the answer waited among the queued messages");
     }
 }
--- a/src/tests/watch.rs
+++ b/src/tests/watch.rs
@@ -7,26 +7,27 @@
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// What the stand-in does with one request.
+/// How the fake store responds to one request.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Answers with this body.
+    /// Answers with 200 and this body.
     Answer(Vec<u8>),
-    /// The same, one byte a write.
-    InPieces(Vec<u8>),
+    /// The same, written byte by byte.
+    ByteByByte(Vec<u8>),
     /// Answers with this status and no body.
     Status(u16),
-    /// Announces a body longer than is taken.
-    TooLong,
-    /// Closes in the middle of an answer.
-    Closes,
+    /// Announces a body larger than the client accepts.
+    OversizedBody,
+    /// Closes the connection in the middle of a response.
+    CloseMidResponse,
 }
 
-/// Answers requests, over whatever connections, with the steps in turn, and tells their
-/// paths. When all are used up it holds what comes without an answer.
-fn stand_in(steps: Vec<Step>) -> (SocketAddr, Receiver<String>) {
+/// Starts a fake store that responds to requests, over any connection, with the given steps in
+/// order, and reports the paths of the requests. After the last step it keeps connections open
+/// without answering.
+fn fake_store(steps: Vec<Step>) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
-    let addr = listener.local_addr().expect("addr");
+    let addr = listener.local_addr().expect("address");
     let (paths, asked) = channel();
     thread::spawn(move || {
         let mut steps = steps.into_iter();
@@ -39,7 +40,7 @@
     (addr, asked)
 }
 
-/// Whether the connection goes on.
+/// Responds to one request; returns whether the connection stays open.
 fn answer_next(
     stream: &mut TcpStream,
     steps: &mut impl Iterator<Item = Step>,
@@ -53,20 +54,20 @@
     };
     match step {
         Step::Answer(body) => {
-            stream.write_all(&[head(200, body.len()), body].concat()).expect("sent");
+            stream.write_all(&[head(200, body.len()), body].concat()).expect("send");
         }
-        Step::InPieces(body) => {
+        Step::ByteByByte(body) => {
             for byte in [head(200, body.len()), body].concat() {
-                stream.write_all(&[byte]).expect("sent");
-                stream.flush().expect("sent");
+                stream.write_all(&[byte]).expect("send");
+                stream.flush().expect("send");
             }
         }
-        Step::Status(status) => stream.write_all(&head(status, 0)).expect("sent"),
-        Step::TooLong => {
+        Step::Status(status) => stream.write_all(&head(status, 0)).expect("send"),
+        Step::OversizedBody => {
             let _ = stream.write_all(&head(200, RESPONSE_BODY_MAX + 1));
             return false;
         }
-        Step::Closes => {
+        Step::CloseMidResponse => {
             let _ = stream.write_all(&head(200, 100)[..20]);
             let _ = stream.shutdown(std::net::Shutdown::Both);
             return false;
@@ -90,7 +91,7 @@
     Step::Answer(cbor::encode(&ItemPage { items: Vec::new(), more: false, revision }))
 }
 
-fn nothing_new(revision: u64) -> Vec<u8> {
+fn empty_answer(revision: u64) -> Vec<u8> {
     cbor::encode(&WatchAnswer { revision, events: Vec::new() })
 }
 
@@ -100,9 +101,10 @@
     cbor::encode(&WatchAnswer { revision, events: vec![event] })
 }
 
-/// A watch of a stand-in that answers so: the paths it asks for, and what it tells.
-fn watching(steps: Vec<Step>) -> (Receiver<String>, EventReceiver) {
-    let (addr, asked) = stand_in(steps);
+/// Starts a watch of a fake store with the given steps; returns the paths that it requests and
+/// the queue of its events.
+fn start_watch(steps: Vec<Step>) -> (Receiver<String>, EventReceiver) {
+    let (addr, asked) = fake_store(steps);
     let (events, receiver) = event_queue::channel();
     let timing = WatchTiming { block: Duration::from_secs(20), slack: Duration::from_secs(20) };
     let watch = Watch::new(addr, events, Clock::start(), timing);
@@ -110,33 +112,33 @@
     (asked, receiver)
 }
 
-/// What the next request asks for.
+/// The kind of a request made by the watch.
 #[derive(Debug, PartialEq)]
-enum Asked {
+enum WatchRequest {
     AllKeys,
-    /// News after that revision; whether it may block.
-    News(u64, bool),
+    /// The changes after a revision, and whether the request may block.
+    Changes(u64, bool),
 }
 
-fn next(asked: &Receiver<String>) -> Asked {
-    let path = asked.recv_timeout(Duration::from_secs(60)).expect("asks again");
+fn next(asked: &Receiver<String>) -> WatchRequest {
+    let path = asked.recv_timeout(Duration::from_secs(60)).expect("another request");
     if path.starts_with("/store?") {
-        return Asked::AllKeys;
+        return WatchRequest::AllKeys;
     }
     let number = |name: &str| -> u64 {
         let found = path.split(['?', '&']).find_map(|p| p.strip_prefix(name));
         found.and_then(|n| n.parse().ok()).expect("a number")
     };
-    Asked::News(number("after="), number("block_ms=") > 0)
+    WatchRequest::Changes(number("after="), number("block_ms=") > 0)
 }
 
-/// Waits for news that makes the copy whole up to that revision; how many changes came.
-fn told(receiver: &EventReceiver, revision: u64) -> usize {
+/// Waits until the copy is complete up to `revision`; returns the number of changes received.
+fn wait_for_revision(receiver: &EventReceiver, revision: u64) -> usize {
     let mut changes = 0;
     loop {
         let Batch { messages: batch, .. } =
-            receiver.next_batch(Duration::from_secs(60)).expect("watches");
-        assert!(!batch.is_empty(), "nothing is told");
+            receiver.next_batch(Duration::from_secs(60)).expect("the watch thread runs");
+        assert!(!batch.is_empty(), "no event within the timeout");
         for message in batch {
             let QueueMessage::Event(Event::Watch(news)) = message else { continue };
             if let WatchContent::Events(events) = &news.content {
@@ -149,69 +151,72 @@
     }
 }
 
-/// No answer, and answers that can't be read: the watch asks again from where it was, at
-/// first without blocking, and then takes in what it missed.
+/// After a missing or unreadable answer the watch retries from the same revision, first without
+/// blocking, and then receives the changes that it missed.
 #[test]
-fn a_failed_watch_asks_again_at_once_and_misses_nothing() {
+fn failed_watch_retries_without_blocking_and_misses_no_change() {
     let garbage = Step::Answer(b"\xff{\"ledger\":".to_vec());
-    for bad in [Step::Status(503), Step::Status(500), garbage, Step::TooLong, Step::Closes] {
-        let (asked, receiver) = watching(vec![
+    for bad in
+        [Step::Status(503), Step::Status(500), garbage, Step::OversizedBody, Step::CloseMidResponse]
+    {
+        let (asked, receiver) = start_watch(vec![
             all_keys(7),
-            Step::Answer(nothing_new(8)),
+            Step::Answer(empty_answer(8)),
             bad.clone(),
-            Step::InPieces(cancelled(9)),
+            Step::ByteByByte(cancelled(9)),
         ]);
-        assert_eq!(next(&asked), Asked::AllKeys, "{bad:?}");
-        assert_eq!(next(&asked), Asked::News(7, true), "{bad:?}");
-        assert_eq!(next(&asked), Asked::News(8, true), "{bad:?}");
-        assert_eq!(next(&asked), Asked::News(8, false), "{bad:?}");
-        assert_eq!(told(&receiver, 9), 1, "{bad:?}");
-        assert_eq!(next(&asked), Asked::News(9, true), "{bad:?}");
+        assert_eq!(next(&asked), WatchRequest::AllKeys, "{bad:?}");
+        assert_eq!(next(&asked), WatchRequest::Changes(7, true), "{bad:?}");
+        assert_eq!(next(&asked), WatchRequest::Changes(8, true), "{bad:?}");
+        assert_eq!(next(&asked), WatchRequest::Changes(8, false), "{bad:?}");
+        assert_eq!(wait_for_revision(&receiver, 9), 1, "{bad:?}");
+        assert_eq!(next(&asked), WatchRequest::Changes(9, true), "{bad:?}");
     }
 }
 
-/// Answers that stay unreadable, a revision that goes back and 410 each lead to all keys
-/// being read anew; an old revision is told to nobody as if it were new.
+/// Repeated unreadable answers, a decreasing revision and status 410 each lead to a full read of
+/// all keys; a decreased revision is never published.
 #[test]
-fn what_cannot_be_followed_is_read_anew() {
-    let unreadable = vec![Step::TooLong; WATCH_UNREADABLE_MAX as usize];
-    for bad in [unreadable, vec![Step::Answer(nothing_new(5))], vec![Step::Status(410)]] {
+fn watch_rereads_all_keys_when_it_cannot_continue() {
+    let unreadable = vec![Step::OversizedBody; WATCH_UNREADABLE_MAX as usize];
+    for bad in [unreadable, vec![Step::Answer(empty_answer(5))], vec![Step::Status(410)]] {
         let count = bad.len();
-        let mut steps = vec![all_keys(7), Step::Answer(nothing_new(8))];
+        let mut steps = vec![all_keys(7), Step::Answer(empty_answer(8))];
         steps.extend(bad.clone());
         steps.extend([all_keys(12), Step::Answer(cancelled(13))]);
-        let (asked, receiver) = watching(steps);
-        assert_eq!(next(&asked), Asked::AllKeys);
-        assert_eq!(next(&asked), Asked::News(7, true));
+        let (asked, receiver) = start_watch(steps);
+        assert_eq!(next(&asked), WatchRequest::AllKeys);
+        assert_eq!(next(&asked), WatchRequest::Changes(7, true));
         for n in 0..count {
-            assert_eq!(next(&asked), Asked::News(8, n == 0), "{bad:?}");
+            assert_eq!(next(&asked), WatchRequest::Changes(8, n == 0), "{bad:?}");
         }
-        assert_eq!(next(&asked), Asked::AllKeys, "{bad:?}");
-        assert!(matches!(next(&asked), Asked::News(12, _)), "{bad:?}");
-        assert_eq!(told(&receiver, 13), 1, "{bad:?}");
+        assert_eq!(next(&asked), WatchRequest::AllKeys, "{bad:?}");
+        assert!(matches!(next(&asked), WatchRequest::Changes(12, _)), "{bad:?}");
+        assert_eq!(wait_for_revision(&receiver, 13), 1, "{bad:?}");
     }
 }
 
-/// A store that ends watches early is asked again, and each answer counts as news.
+/// A watch that the store ends early is reopened, and each of its answers still proves the copy
+/// up to date.
 #[test]
-fn a_watch_that_ends_early_is_opened_again() {
+fn watch_that_ends_early_is_reopened() {
     let mut steps = vec![all_keys(7)];
-    steps.extend((8..12).map(|revision| Step::Answer(nothing_new(revision))));
-    let (asked, receiver) = watching(steps);
-    assert_eq!(next(&asked), Asked::AllKeys);
+    steps.extend((8..12).map(|revision| Step::Answer(empty_answer(revision))));
+    let (asked, receiver) = start_watch(steps);
+    assert_eq!(next(&asked), WatchRequest::AllKeys);
     for revision in 7..12 {
-        assert_eq!(next(&asked), Asked::News(revision, true));
+        assert_eq!(next(&asked), WatchRequest::Changes(revision, true));
     }
-    assert_eq!(told(&receiver, 11), 0);
+    assert_eq!(wait_for_revision(&receiver, 11), 0);
 }
 
-/// Failures in a row are tried again after longer and longer pauses, within a bound.
+/// The backoff grows with consecutive failures up to its bound.
 #[test]
-fn pauses_between_failures_grow_to_a_bound() {
-    assert_eq!(retry_pause(1), WATCH_RETRY_FIRST);
+fn retry_backoff_grows_up_to_its_bound() {
+    assert_eq!(retry_backoff(1), WATCH_RETRY_FIRST);
     for failures in 1..40 {
-        let (pause, longer) = (retry_pause(failures), retry_pause(failures + 1));
+        let (pause, longer) = (retry_backoff(failures), retry_backoff(failures + 1));
         assert!(longer >= pause && longer <= WATCH_RETRY_MAX);
     }
-    assert_eq!(retry_pause(u32::MAX), WATCH_RETRY_MAX);
+    assert_eq!(retry_backoff(u32::MAX), WATCH_RETRY_MAX);
 }
--- a/src/tests/worker_link.rs
+++ b/src/tests/worker_link.rs
@@ -1,10 +1,11 @@
-//! Direct commands over real sockets.
+//! Direct commands to workers, over real sockets.
 //!
-//! What happens: a process stands still after it has checked that it may act, and goes on when
-//! its connection to the worker is closed and another leads. Why: a connection idle for 0.8 s
-//! was looked at before its use, and where it was found closed the command went out over a new
-//! one, made after the check, with up to 0.6 s more for connecting. What showed it: the test
-//! below, in which the worker's side took a request on the second connection.
+//! Guards against commands sent after the authority check has become invalid. A process is paused
+//! after the check and resumes when its connection to the worker is closed and another controller
+//! leads. A connection idle for 0.8 s is checked before its use, and if it was found closed, the
+//! command was sent over a new one, opened after the authority check, with up to 0.6 s more for
+//! connecting. The first test reproduced this: the worker received a request on the second
+//! connection.
 
 use super::*;
 use crate::closing_listener::ClosingListener;
@@ -14,27 +15,27 @@
     WorkerCall { op: OpId(1), addr, commands }
 }
 
-/// The process stands still between the check and the bytes, and its connection is closed
-/// meanwhile: nothing is sent over another one.
+/// The process is paused between the check and the write, and its connection is closed meanwhile:
+/// nothing is sent over another connection.
 #[test]
-fn a_command_goes_out_only_over_the_connection_made_before_the_check() {
+fn command_is_sent_only_over_the_connection_opened_before_the_check() {
     let worker = ClosingListener::new(1);
-    let stands_still = |_| {
-        worker.stand_still();
+    let stalled_check = |_| {
+        worker.wait_until_stale();
         true
     };
-    let result = call(&commands_to(worker.addr), stands_still);
+    let result = call(&commands_to(worker.addr), stalled_check);
     assert_eq!(result, DirectResult::NotSent);
-    assert_eq!(worker.requests(), 0, "a command went out");
+    assert_eq!(worker.requests(), 0, "a command was sent");
 }
 
-/// A process that may act sends its command; one that may not, sends none.
+/// A command is sent if the authority check permits it, and not otherwise.
 #[test]
-fn a_command_goes_out_if_it_may() {
+fn command_is_sent_only_if_permitted() {
     let worker = ClosingListener::new(0);
     assert_eq!(call(&commands_to(worker.addr), |_| false), DirectResult::NotSent);
     let worker = ClosingListener::new(0);
-    // Refused by the stand-in as malformed, which says that it came.
+    // The test server rejects it as malformed, which shows that it arrived.
     assert_eq!(call(&commands_to(worker.addr), |_| true), DirectResult::NotSent);
     assert_eq!(worker.requests(), 1);
 }
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -1,5 +1,5 @@
-//! The watch of the key-value store: keeps this controller's copy of the watched keys
-//! current, and proves how current it is.
+//! The watch of the key-value store: keeps this controller's copy of the watched keys up to date
+//! and establishes the time as of which it is complete.
 
 use crate::clock::Clock;
 use crate::event_queue::EventSender;
@@ -15,42 +15,42 @@
 use std::thread;
 use std::time::Duration;
 
-/// Why a watch, or the first read of the watched keys, brought nothing.
+/// Why a watch request, or a full read of the watched keys, failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum WatchError {
-    /// The store refused it, or gave no answer in time.
+    /// The store refused the request or did not answer in time.
     #[error("no answer")]
     NoAnswer,
-    /// An answer came that can't be read.
+    /// The answer could not be decoded.
     #[error("unreadable answer")]
     Unreadable,
-    /// The answer's revision is below an earlier one. The store can't have gone back: this
-    /// revision, or the one before, is wrong, and changes may have been missed.
+    /// The answer's revision is lower than an earlier one. The store's revision never decreases,
+    /// so one of the two is wrong and changes may have been missed.
     #[error("revision went back from {from} to {to}")]
-    WentBack { from: u64, to: u64 },
+    RevisionDecreased { from: u64, to: u64 },
 }
 
-/// The thread's state.
+/// State of the watch thread.
 pub struct Watch {
     client: Client,
     events: EventSender,
     clock: Clock,
     timing: WatchTiming,
-    /// The copy holds all changes up to this revision; `None`: all keys must be read first.
+    /// The copy contains all changes up to this revision; `None` if all keys must be read first.
     revision: Option<u64>,
-    /// Failures in a row, and how many of them were unreadable answers.
+    /// Consecutive failures; `unreadable` counts those that were unreadable answers.
     failures: u32,
     unreadable: u32,
 }
 
 impl Watch {
-    /// A watch that has read nothing yet.
+    /// Creates a watch that has not read any key yet.
     pub fn new(addr: SocketAddr, events: EventSender, clock: Clock, timing: WatchTiming) -> Self {
         let client = Client::new(addr);
         Self { client, events, clock, timing, revision: None, failures: 0, unreadable: 0 }
     }
 
-    /// Watches for ever.
+    /// Runs the watch; never returns.
     pub fn run(mut self) {
         loop {
             match self.fetch() {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// One request, or the first read; the revision up to which the copy is whole then.
+    /// Makes one watch request or, without a known revision, reads all keys. Returns the revision
+    /// up to which the copy is complete; `None` if the keys must be read again.
     fn fetch(&mut self) -> Result<Option<u64>, WatchError> {
         match self.revision {
             None => self.read_all().map(Some),
@@ -69,7 +70,8 @@
     }
 
     fn on_success(&mut self, revision: Option<u64>) {
-        // Only a watch shows that all is well again: what was read anew may be as wrong.
+        // Only a successful watch ends a run of failures: a full read may return the same wrong
+        // revision again.
         let watched = self.revision.is_some();
         self.revision = revision;
         if !watched {
@@ -90,12 +92,12 @@
         if error == WatchError::Unreadable {
             self.unreadable += 1;
         }
-        let went_back = matches!(error, WatchError::WentBack { .. });
-        if went_back || self.unreadable >= WATCH_UNREADABLE_MAX {
+        let revision_decreased = matches!(error, WatchError::RevisionDecreased { .. });
+        if revision_decreased || self.unreadable >= WATCH_UNREADABLE_MAX {
             self.unreadable = 0;
             self.revision = None;
         }
-        thread::sleep(retry_pause(self.failures));
+        thread::sleep(retry_backoff(self.failures));
     }
 
     fn read_all(&mut self) -> Result<u64, WatchError> {
@@ -108,7 +110,8 @@
             let StoreResult::Page(page) = store_call(&mut self.client, &request) else {
                 return Err(WatchError::NoAnswer);
             };
-            // Changes made while the pages are read come with the watch.
+            // The watch starts at the first page's revision, so it delivers the changes made
+            // while the other pages were read.
             let revision = *first.get_or_insert(page.revision);
             after = page.items.last().map_or_else(String::new, |i| i.key.clone());
             items.extend(page.items);
@@ -120,8 +123,8 @@
     }
 
     fn watch(&mut self, after: u64) -> Result<Option<u64>, WatchError> {
-        // After a failure the copy is already older than usual: an answer at once proves
-        // it current again, also if there is no news.
+        // After a failure the copy is older than usual, so this request doesn't block: even an
+        // answer without changes proves the copy up to date.
         let block = if self.failures > 0 { Duration::ZERO } else { self.timing.block };
         let block_ms = block.as_millis();
         let path = format!("/watch?under={WATCHED}&after={after}&block_ms={block_ms}");
@@ -140,10 +143,10 @@
 
     fn accept(&mut self, sent: Secs, after: u64, answer: WatchAnswer) -> Result<u64, WatchError> {
         if answer.revision < after {
-            return Err(WatchError::WentBack { from: after, to: answer.revision });
+            return Err(WatchError::RevisionDecreased { from: after, to: answer.revision });
         }
         let changed = !answer.events.is_empty();
-        // An answer without changes proves the copy current too.
+        // An answer without changes also proves that the copy is up to date.
         self.publish(sent, answer.revision, WatchContent::Events(answer.events));
         if changed {
             thread::sleep(WATCH_PAUSE);
@@ -153,8 +156,8 @@
         Ok(answer.revision)
     }
 
-    /// Whether a watch without news ended long before its time: asked again at once, it would
-    /// use up the requests that the store allows.
+    /// Whether a watch without changes ended long before its blocking time. Repeating it
+    /// immediately would use up the store's rate limit.
     fn ended_early(&self, sent: Secs) -> bool {
         self.clock.now() - sent < self.timing.block.as_secs_f64() / 2.0
     }
@@ -164,8 +167,8 @@
     }
 }
 
-/// How long to wait after so many failures in a row.
-fn retry_pause(failures: u32) -> Duration {
+/// Backoff after the given number of consecutive failures.
+fn retry_backoff(failures: u32) -> Duration {
     let doubled = 1 << failures.saturating_sub(1).min(8);
     (WATCH_RETRY_FIRST * doubled).min(WATCH_RETRY_MAX)
 }
