--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client's side: calls over one connection that is kept between them.
+//! HTTP client: calls over one persistent connection.
 
 use super::connection::Connection;
 use super::error::{CallError, ReadError};
@@ -8,28 +8,28 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Usual size of a request's head, bytes.
+/// Typical size of a request's head, bytes.
 const REQUEST_HEAD_LEN: usize = 160;
 
-/// A response as a client reads it.
+/// A response received by a client.
 #[derive(Debug)]
 pub struct ClientResponse {
     /// HTTP status.
     pub status: u16,
     /// Body.
     pub body: Vec<u8>,
-    /// The server closes the connection.
+    /// Whether the server closes the connection.
     close: bool,
 }
 
-/// A connection kept for the next call.
+/// A persistent connection, kept for the next call.
 #[derive(Debug)]
 struct KeptConnection {
     connection: Connection,
     last_used: Instant,
 }
 
-/// A client that keeps one connection to one address.
+/// A client that keeps one connection to one address open.
 #[derive(Debug)]
 pub struct Client {
     addr: SocketAddr,
@@ -37,12 +37,12 @@
 }
 
 impl Client {
-    /// A client of that address; connects when needed.
+    /// Creates a client of `addr`, which connects when needed.
     pub fn new(addr: SocketAddr) -> Self {
         Self { addr, kept: None }
     }
 
-    /// Connects, unless a usable connection is kept.
+    /// Connects, unless a usable connection is already open.
     pub fn connect(&mut self) -> io::Result<()> {
         let connection = match self.take_usable() {
             Some(connection) => connection,
@@ -67,8 +67,8 @@
         self.exchange(connection, method, path, body, timeout)
     }
 
-    /// The same over the connection that [`Client::connect`] made, and no other: what was
-    /// checked since then may not hold by the time that another is made.
+    /// Like [`Client::call`], but only over the connection that [`Client::connect`] opened: a
+    /// condition that the caller has checked since then might no longer hold after a reconnect.
     pub fn call_connected(
         &mut self,
         method: &str,
@@ -109,7 +109,8 @@
         self.kept = Some(KeptConnection { connection, last_used: Instant::now() });
     }
 
-    /// The kept connection, unless it was idle for long and is found closed.
+    /// Takes the open connection; `None` if there is none, or if it was idle for long and is
+    /// found to be closed.
     fn take_usable(&mut self) -> Option<Connection> {
         let KeptConnection { mut connection, last_used } = self.kept.take()?;
         let usable = last_used.elapsed() < STALE_AFTER || !connection.is_stale();
@@ -134,7 +135,7 @@
                 if head.framing.body_len > RESPONSE_BODY_MAX {
                     return Err(ReadError::TooLarge);
                 }
-                while !self.holds(&head.framing) {
+                while !self.contains_message(&head.framing) {
                     self.read_until(deadline)?;
                 }
                 let body = self.take_body(&head.framing);
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Whether the other side has closed, or sent something unasked.
+    /// Whether the server has closed the connection or sent unexpected data.
     fn is_stale(&mut self) -> bool {
         let mut byte = [0u8; 1];
         !matches!(self.peek_now(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! A connection: its socket, the bytes read but not consumed yet, and its blocking mode.
+//! A connection: its socket, the bytes read but not yet consumed, and its blocking mode.
 
 use super::error::ReadError;
 use super::parse::Framing;
@@ -8,10 +8,10 @@
 use std::os::fd::{AsRawFd as _, RawFd};
 use std::time::{Duration, Instant};
 
-/// Bytes read from a socket at once.
+/// Maximum number of bytes per read from a socket.
 const READ_CHUNK: usize = 4096;
 
-/// A connection with its unconsumed bytes.
+/// A connection with a buffer of unconsumed bytes.
 #[derive(Debug)]
 pub struct Connection {
     pub(super) stream: TcpStream,
@@ -29,24 +29,24 @@
         Ok(Self { stream, buffer: Vec::new(), read_timeout: None, blocking: true })
     }
 
-    /// The socket's descriptor, for the readiness poll.
+    /// The socket's file descriptor, for the readiness poll.
     pub fn fd(&self) -> RawFd {
         self.stream.as_raw_fd()
     }
 
-    /// Whether bytes were read that no message has consumed yet.
+    /// Whether the buffer contains unconsumed bytes.
     pub fn has_unread(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Frees memory that an idle connection needn't hold.
+    /// Frees buffer memory that an idle connection doesn't need.
     pub fn shrink_idle_buffer(&mut self) {
         if self.buffer.is_empty() && self.buffer.capacity() > IDLE_BUFFER_BYTES {
             self.buffer = Vec::new();
         }
     }
 
-    /// Sends as much as the socket takes at once; how many bytes that was.
+    /// Sends as much as the socket accepts without blocking; returns the number of bytes sent.
     pub fn try_send(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.set_blocking(false)?;
         let mut sent = 0;
@@ -62,13 +62,13 @@
         Ok(sent)
     }
 
-    /// Sends all of it, and blocks while the socket takes no more.
+    /// Sends all bytes, blocking as needed.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.set_blocking(true)?;
         self.stream.write_all(bytes)
     }
 
-    /// Discards what has arrived, without blocking.
+    /// Discards one chunk of received data, without blocking.
     pub fn drain(&mut self) {
         if self.set_blocking(false).is_ok() {
             let mut chunk = [0u8; READ_CHUNK];
@@ -84,14 +84,14 @@
         Ok(())
     }
 
-    /// Looks at the next bytes without consuming them or blocking.
+    /// Peeks at the next bytes without consuming them or blocking.
     pub(super) fn peek_now(&mut self, into: &mut [u8]) -> io::Result<usize> {
         self.set_blocking(false)?;
         self.stream.peek(into)
     }
 
-    /// Reads once into the buffer; [`ReadError::TooSlow`] if nothing came in time, which is at
-    /// once on a non-blocking socket.
+    /// Reads once into the buffer; [`ReadError::TooSlow`] if nothing arrived within the read
+    /// timeout, or immediately on a non-blocking socket.
     pub(super) fn read_some(&mut self) -> Result<(), ReadError> {
         let mut chunk = [0u8; READ_CHUNK];
         match self.stream.read(&mut chunk) {
@@ -108,13 +108,14 @@
         }
     }
 
-    /// Reads once, until `deadline` at the latest.
+    /// Reads once into the buffer, waiting until `deadline` at the latest.
     pub(super) fn read_until(&mut self, deadline: Instant) -> Result<(), ReadError> {
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(ReadError::TooSlow);
         }
-        // Setting the timeout costs a system call; within a factor of two the old one will do.
+        // Setting the timeout costs a system call, so the previous timeout is kept if it is
+        // within a factor of two.
         if self.read_timeout.is_none_or(|set| set > left + left || set + set < left) {
             self.set_read_timeout(left)?;
         }
@@ -127,12 +128,12 @@
         Ok(())
     }
 
-    /// Whether the whole message is in the buffer.
-    pub(super) fn holds(&self, framing: &Framing) -> bool {
+    /// Whether the buffer contains the complete message.
+    pub(super) fn contains_message(&self, framing: &Framing) -> bool {
         self.buffer.len() >= framing.message_len()
     }
 
-    /// Consumes a message that the buffer holds; its body.
+    /// Consumes a message that is complete in the buffer and returns its body.
     pub(super) fn take_body(&mut self, framing: &Framing) -> Vec<u8> {
         let end = framing.message_len();
         let body = self.buffer[framing.head_len..end].to_vec();
--- a/src/http/error.rs
+++ b/src/http/error.rs
@@ -1,40 +1,41 @@
-//! How reading a message, or a whole call, fails.
+//! Errors of reading a message and of making a call.
 
 use std::io;
 
 /// Why a message could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The other side closed before a message began.
-    #[error("closed")]
+    /// The peer closed the connection before a message began.
+    #[error("connection closed before a message began")]
     Closed,
-    /// It took too long.
-    #[error("too slow")]
+    /// The message did not arrive in time.
+    #[error("timed out")]
     TooSlow,
     /// No message has begun.
-    #[error("nothing")]
+    #[error("no message has begun")]
     Nothing,
-    /// Not HTTP/1.1 as this program speaks it.
-    #[error("malformed")]
+    /// Not in the subset of HTTP/1.1 that this program supports.
+    #[error("malformed message")]
     Malformed,
-    /// Larger than allowed.
-    #[error("too large")]
+    /// The message exceeds a size limit.
+    #[error("message too large")]
     TooLarge,
     /// The connection failed.
     #[error("connection failed: {0}")]
     Io(io::Error),
 }
 
-/// How a client's call failed.
+/// Why a client's call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The request never left: no connection was made.
-    #[error("not sent")]
+    /// The request was not sent: no connection was available.
+    #[error("request not sent")]
     NotSent,
-    /// The request may have arrived, or may yet.
-    #[error("no answer")]
+    /// The request may have arrived, or may still arrive.
+    #[error("no response")]
     Unknown,
-    /// The request arrived, but its response is malformed or too long: its outcome isn't known.
-    #[error("unreadable answer")]
+    /// The request arrived, but the response is malformed or too large, so its outcome is
+    /// unknown.
+    #[error("unreadable response")]
     Unreadable,
 }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 over plain sockets: connections, message heads, the server's and the client's side.
+//! HTTP/1.1 over plain sockets: connections, message heads, server and client.
 
 mod client;
 mod connection;
--- a/src/http/parse.rs
+++ b/src/http/parse.rs
@@ -1,21 +1,21 @@
-//! Heads of requests and responses.
+//! Parsing of request and response heads.
 
 use super::error::ReadError;
 use crate::limits::HEADERS_MAX;
 
-/// Where a message ends, as its head says, and whether its connection does too.
+/// A message's length, as given by its head, and whether the connection closes after it.
 #[derive(Clone, Copy, Debug)]
 pub struct Framing {
-    /// Bytes of the head.
+    /// Length of the head, bytes.
     pub head_len: usize,
-    /// Bytes of the body.
+    /// Length of the body, bytes.
     pub body_len: usize,
-    /// The sender closes the connection after this message.
+    /// Whether the sender closes the connection after this message.
     pub close: bool,
 }
 
 impl Framing {
-    /// Bytes of the whole message.
+    /// Length of the whole message, bytes.
     pub fn message_len(&self) -> usize {
         self.head_len + self.body_len
     }
@@ -24,7 +24,7 @@
 /// The head of a request.
 #[derive(Debug)]
 pub struct RequestHead {
-    /// Where the request ends.
+    /// The request's length and connection handling.
     pub framing: Framing,
     /// Method.
     pub method: String,
@@ -35,19 +35,19 @@
 /// The head of a response.
 #[derive(Debug)]
 pub struct ResponseStatus {
-    /// Where the response ends.
+    /// The response's length and connection handling.
     pub framing: Framing,
     /// HTTP status.
     pub status: u16,
 }
 
-/// What the headers say about the body and the connection.
+/// The header values that concern the body and the connection.
 struct BodyHeaders {
     body_len: usize,
     close: bool,
 }
 
-/// A request's head, once `buffer` holds all of it.
+/// Parses a request's head; `None` while `buffer` doesn't contain all of it.
 pub fn parse_request(buffer: &[u8]) -> Result<Option<RequestHead>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut request = httparse::Request::new(&mut headers);
@@ -65,7 +65,7 @@
     }))
 }
 
-/// A response's head, once `buffer` holds all of it.
+/// Parses a response's head; `None` while `buffer` doesn't contain all of it.
 pub fn parse_response(buffer: &[u8]) -> Result<Option<ResponseStatus>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut response = httparse::Response::new(&mut headers);
@@ -82,7 +82,7 @@
 
 fn read_headers(
     headers: &[httparse::Header<'_>],
-    of_request: bool,
+    is_request: bool,
 ) -> Result<BodyHeaders, ReadError> {
     let mut length = None;
     let mut close = false;
@@ -96,8 +96,9 @@
             length = Some(given);
         } else if header.name.eq_ignore_ascii_case("connection") {
             close |= value.eq_ignore_ascii_case("close");
-        } else if header.name.eq_ignore_ascii_case("transfer-encoding") && of_request {
-            // Only Content-Length is taken: two ways to give a length invite request smuggling.
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") && is_request {
+            // Only Content-Length is accepted: two ways to give the length would allow request
+            // smuggling.
             return Err(ReadError::Malformed);
         }
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server's side: reads requests from a connection and writes responses.
+//! HTTP server side: reads requests from a connection and writes responses.
 
 use super::connection::Connection;
 use super::error::ReadError;
@@ -7,11 +7,11 @@
 use std::io::{self, Write as _};
 use std::time::Instant;
 
-/// What the requests of workers and health checks begin with.
+/// First bytes of the requests of workers and health checks.
 const WORKER_REQUESTS: [&[u8]; 2] = [b"POST /hello", b"GET /health"];
-/// Bytes that tell them from others.
+/// Number of bytes needed to recognise them.
 const PEEK_LEN: usize = 11;
-/// Usual size of a response's head, bytes.
+/// Typical size of a response's head, bytes.
 const RESPONSE_HEAD_LEN: usize = 160;
 
 /// A request's head and body.
@@ -23,28 +23,28 @@
     pub path: String,
     /// Body.
     pub body: Vec<u8>,
-    /// The sender will close.
+    /// Whether the client closes the connection after the response.
     pub close: bool,
 }
 
-/// What goes into the head of a response besides the body's length.
+/// The fields of a response head besides the body's length.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseHead {
     /// HTTP status.
     pub status: u16,
-    /// Seconds after which to try again.
+    /// Value of the Retry-After header, seconds.
     pub retry_after: Option<u32>,
-    /// The connection closes after this response.
+    /// Whether the connection is closed after this response.
     pub close: bool,
 }
 
 impl Connection {
-    /// The request that has arrived, without blocking; `None`: not all of it has.
+    /// Reads the request without blocking; `None` if it hasn't completely arrived.
     pub fn try_read_request(&mut self) -> Result<Option<Request>, ReadError> {
         self.set_blocking(false).map_err(ReadError::Io)?;
         loop {
             if let Some(head) = self.request_head()?
-                && self.holds(&head.framing)
+                && self.contains_message(&head.framing)
             {
                 return Ok(Some(self.take_request(head)));
             }
@@ -55,26 +55,27 @@
         }
     }
 
-    /// Reads the request that has begun to arrive, blocking; [`ReadError::Nothing`] if none has.
+    /// Reads the request that has begun to arrive, blocking; [`ReadError::Nothing`] if none has
+    /// begun.
     pub fn read_request(&mut self) -> Result<Request, ReadError> {
         self.set_blocking(true).map_err(ReadError::Io)?;
         let begun = Instant::now();
         loop {
             if let Some(head) = self.request_head()? {
-                while !self.holds(&head.framing) {
-                    self.read_slice(begun)?;
+                while !self.contains_message(&head.framing) {
+                    self.read_in_slices(begun)?;
                 }
                 return Ok(self.take_request(head));
             }
-            match self.read_slice(begun) {
+            match self.read_in_slices(begun) {
                 Err(ReadError::TooSlow) if !self.has_unread() => return Err(ReadError::Nothing),
                 read => read?,
             }
         }
     }
 
-    /// Whether the request that has arrived is a worker's or a health check's;
-    /// `None` if the other side has closed.
+    /// Whether the incoming request is a worker's or a health check; `None` if the client has
+    /// closed the connection.
     pub fn peek_is_worker(&mut self) -> Option<bool> {
         let mut start = [0u8; PEEK_LEN];
         match self.peek_now(&mut start) {
@@ -90,7 +91,8 @@
         self.send(&encode_response(head, body))
     }
 
-    /// The head of the request in the buffer, within the bounds of size; `None`: not whole yet.
+    /// Parses the head of the request in the buffer and checks the size limits; `None` if the
+    /// head is incomplete.
     fn request_head(&self) -> Result<Option<RequestHead>, ReadError> {
         let head = parse_request(&self.buffer)?;
         let too_large = match &head {
@@ -105,9 +107,9 @@
         Request { method: head.method, path: head.path, body, close: head.framing.close }
     }
 
-    /// Reads what arrives within a slice of time; the timeout is set once, so that
-    /// a request costs no further system call.
-    fn read_slice(&mut self, begun: Instant) -> Result<(), ReadError> {
+    /// Reads once, in slices of [`READ_SLICE`] up to [`REQUEST_TIMEOUT`] after a request has
+    /// begun. The socket's timeout is set only once, which saves a system call per request.
+    fn read_in_slices(&mut self, begun: Instant) -> Result<(), ReadError> {
         loop {
             if self.read_timeout.is_none() {
                 self.set_read_timeout(READ_SLICE)?;
@@ -124,7 +126,7 @@
     }
 }
 
-/// A response as it is sent.
+/// Encodes a response.
 pub fn encode_response(head: ResponseHead, body: &[u8]) -> Vec<u8> {
     let ResponseHead { status, retry_after, close } = head;
     let mut out = Vec::with_capacity(RESPONSE_HEAD_LEN + body.len());
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,6 +1,6 @@
-//! A pool of threads that grows as work comes, up to a bound, and shrinks when
-//! there is none. Work beyond its threads waits in a small queue; what finds
-//! that full is handed back at once.
+//! A thread pool that grows with its load up to a limit and shrinks when idle. Work waits in a
+//! small queue if all threads are busy, and is returned to the caller immediately if the queue is
+//! full.
 
 use crate::limits::{POOL_IDLE, THREAD_STACK_BYTES};
 use std::collections::VecDeque;
@@ -20,39 +20,45 @@
 }
 
 impl<T> Shared<T> {
-    // Nothing that could panic runs while the lock is held.
+    // No code that could panic runs while the lock is held, so a poisoned lock is still
+    // consistent.
     fn lock(&self) -> MutexGuard<'_, State<T>> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The pool.
+/// A thread pool that applies one function to each work item.
 pub struct Pool<T> {
     shared: Arc<Shared<T>>,
     name: &'static str,
     threads: usize,
-    room: usize,
+    queue_capacity: usize,
 }
 
 impl<T: Send + 'static> Pool<T> {
-    /// A pool of at most `threads`, none of them started yet, with `room` for
-    /// work that waits.
+    /// Creates a pool of at most `threads` threads, none of them started yet, with a queue for
+    /// `queue_capacity` work items.
     pub fn new(
         name: &'static str,
         threads: usize,
-        room: usize,
+        queue_capacity: usize,
         work: impl Fn(T) + Send + Sync + 'static,
     ) -> Self {
         let state = State { queue: VecDeque::new(), idle: 0, threads: 0 };
         let shared =
             Shared { state: Mutex::new(state), wake: Condvar::new(), work: Box::new(work) };
-        Self { shared: Arc::new(shared), name, threads: threads.max(1), room: room.max(1) }
+        Self {
+            shared: Arc::new(shared),
+            name,
+            threads: threads.max(1),
+            queue_capacity: queue_capacity.max(1),
+        }
     }
 
-    /// Hands over work; gives it back if there is no room.
+    /// Queues a work item; returns it if the queue is full.
     pub fn submit(&self, item: T) -> Result<(), T> {
         let mut state = self.shared.lock();
-        if state.queue.len() >= self.room {
+        if state.queue.len() >= self.queue_capacity {
             return Err(item);
         }
         state.queue.push_back(item);
@@ -74,7 +80,7 @@
             .spawn(run)
             .is_err()
         {
-            // The threads there are take it, if there are any.
+            // The existing threads take the item, if there are any.
             let mut state = self.shared.lock();
             state.threads -= 1;
             if state.threads == 0
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -1,4 +1,4 @@
-//! Requests of the key-value store over HTTP, and what their answers mean.
+//! Requests to the key-value store over HTTP, and the interpretation of their answers.
 
 use crate::http::{CallError, Client, ClientResponse};
 use crate::limits::{STORE_LEASE_TIMEOUT, STORE_TIMEOUT};
@@ -7,7 +7,7 @@
 use marblebarrow_proto::cbor;
 use marblebarrow_proto::wire::{LeaseGranted, LeaseRequest, TxnAnswer};
 
-/// Makes a request of the store and reads its answer.
+/// Makes a request to the store and interprets its answer.
 pub fn store_call(client: &mut Client, request: &StoreRequest) -> StoreResult {
     match send(client, request) {
         Ok(response) => read_response(request, &response),
--- a/src/tests/pool.rs
+++ b/src/tests/pool.rs
@@ -1,28 +1,28 @@
 use super::*;
 use std::sync::mpsc::sync_channel;
 
-/// Work that hangs takes its threads, fills the queue, and what comes then
-/// is told at once; as it goes on, all that was taken is done.
+/// Blocked work occupies all threads and fills the queue; further work is rejected immediately.
+/// When the work is unblocked, every accepted item is completed.
 #[test]
-fn a_full_pool_refuses_at_once_and_loses_nothing() {
+fn full_pool_rejects_immediately_and_completes_accepted_work() {
     let (tx, rx) = sync_channel::<u32>(100);
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
     let inner = gate.clone();
     let pool = Pool::new("test", 3, 4, move |n: u32| {
-        let mut open = inner.0.lock().expect("gate");
+        let mut open = inner.0.lock().expect("lock gate");
         while !*open {
-            open = inner.1.wait(open).expect("gate");
+            open = inner.1.wait(open).expect("lock gate");
         }
         drop(open);
-        tx.send(n).expect("taken");
+        tx.send(n).expect("receiver is alive");
     });
-    // Three threads take one each, four wait; how soon the threads take
-    // theirs is the machine's, so more may be refused, never less taken.
-    let taken: Vec<u32> = (0..20).filter(|n| pool.submit(*n).is_ok()).collect();
-    assert!((4..=7).contains(&taken.len()), "{taken:?}");
-    *gate.0.lock().expect("gate") = true;
+    // Three threads take one item each and four wait. How soon a thread takes its item depends on
+    // scheduling, so between four and seven are accepted.
+    let accepted: Vec<u32> = (0..20).filter(|n| pool.submit(*n).is_ok()).collect();
+    assert!((4..=7).contains(&accepted.len()), "{accepted:?}");
+    *gate.0.lock().expect("lock gate") = true;
     gate.1.notify_all();
-    let mut done: Vec<u32> = taken.iter().map(|_| rx.recv().expect("done")).collect();
+    let mut done: Vec<u32> = accepted.iter().map(|_| rx.recv().expect("completed item")).collect();
     done.sort_unstable();
-    assert_eq!(done, taken);
+    assert_eq!(done, accepted);
 }
--- a/src/thread.rs
+++ b/src/thread.rs
@@ -1,4 +1,4 @@
-//! Threads with small stacks, as memory limits are tight.
+//! Threads with small stacks, because the memory limit is low.
 
 use crate::limits::THREAD_STACK_BYTES;
 use std::thread;
