--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -1,9 +1,9 @@
-//! What a controller costs: processor time, wakeups and memory of the real program over
-//! loopback, among the stand-ins of the tests, stage by stage.
+//! Measures a controller's CPU time, wakeups and memory stage by stage: the real program over
+//! loopback, with the fake services of the tests.
 //!
-//! `cargo bench --bench fleet -- [MACHINES]`. The figures are of this machine and compare
-//! versions of the program with each other; `strace -f -c -p` and `perf record -p` on the
-//! process ids that it prints tell more.
+//! `cargo bench --bench fleet -- [MACHINES]`. The figures are only comparable between versions of
+//! the program on one machine; `strace -f -c -p` and `perf record -p` on the printed process ids
+//! give more detail.
 
 #[path = "../tests/stand_in/mod.rs"]
 mod stand_in;
@@ -13,19 +13,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long each stage is measured.
-const STAGE: Duration = Duration::from_secs(10);
-/// How long a stage may take to begin.
-const SETTLE: Duration = Duration::from_secs(4);
-/// CPUs of a machine of the stand-in.
+/// Duration of the measurement of each stage.
+const STAGE_DURATION: Duration = Duration::from_secs(10);
+/// Wait for a stage to settle before it is measured.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// CPUs of a machine of the fake cloud.
 const MACHINE_CPUS: usize = 4;
-/// Tenths of a second between two arrays.
-const ARRAY_EVERY: usize = 20;
-/// Machines, if none are named.
-const MACHINES: usize = 240;
+/// Interval between two job arrays, in tenths of a second.
+const ARRAY_INTERVAL_TENTHS: usize = 20;
+/// Default number of machines.
+const DEFAULT_MACHINES: usize = 240;
 
 fn main() {
-    let machines = std::env::args().filter_map(|a| a.parse().ok()).next().unwrap_or(MACHINES);
+    let machines =
+        std::env::args().filter_map(|a| a.parse().ok()).next().unwrap_or(DEFAULT_MACHINES);
     let plan = Plan {
         machines_most: machines,
         team_cpus: 1e6,
@@ -41,7 +42,7 @@
     cluster.wait_for("all machines are returned", |c| c.rented() == 0);
     measure(&cluster, "idle", || {});
 
-    // Services that never end: one task a CPU, on all machines.
+    // Services that never end: one task per CPU on all machines.
     for n in 0..machines / 8 {
         cluster.submit(&format!("req-{n:05}2"), "daemon", (8 * MACHINE_CPUS) as u32);
     }
@@ -51,7 +52,7 @@
         thread::sleep(Duration::from_secs(2));
         c.held() == tasks
     });
-    thread::sleep(SETTLE);
+    thread::sleep(SETTLE_TIME);
     measure(&cluster, "reports only", || {});
     measure(&cluster, "and 100 polls a second", || {
         for n in 0..10 {
@@ -59,27 +60,27 @@
         }
     });
 
-    // Cancelled in turn: a direct order for each machine.
+    // Cancels the services one by one: a direct command to each machine.
     let before = cluster.usage();
     for n in 0..machines / 16 {
         cluster.call("POST", &format!("/api/jobs/req-{n:05}2/abort"), &[]);
     }
     cluster.wait_for("half of the tasks are gone", |c| c.held() <= tasks / 2 + 32);
-    print_usage("half of all tasks cancelled", &before, &cluster.usage(), STAGE);
+    print_usage("half of all tasks cancelled", &before, &cluster.usage(), STAGE_DURATION);
 
-    // Arrays in the room that came free: a job of 24 tasks of six seconds every two.
+    // Job arrays on the freed capacity: a job of 24 six-second tasks every two seconds.
     let next = Cell::new(0_usize);
     measure(&cluster, "and arrays, 12 tasks a second", || {
         let n = next.replace(next.get() + 1);
-        if n.is_multiple_of(ARRAY_EVERY) {
-            cluster.submit(&format!("req-{:05}5", n / ARRAY_EVERY), "sweep", 24);
+        if n.is_multiple_of(ARRAY_INTERVAL_TENTHS) {
+            cluster.submit(&format!("req-{:05}5", n / ARRAY_INTERVAL_TENTHS), "sweep", 24);
         }
     });
     takeover(&mut cluster);
     println!("broken {:?}", cluster.broken());
 }
 
-/// The cost of a takeover, from the end of one leader until the next has settled.
+/// Measures the cost of a takeover, from the end of one leader until the next has settled.
 fn takeover(cluster: &mut Cluster) {
     let leaders = cluster.leaders();
     cluster.kill_leader();
@@ -98,11 +99,11 @@
     }
 }
 
-fn measure(cluster: &Cluster, stage: &str, every_tenth: impl Fn()) {
+fn measure(cluster: &Cluster, stage: &str, every_100_ms: impl Fn()) {
     let before = cluster.usage();
     let begun = Instant::now();
-    while begun.elapsed() < STAGE {
-        every_tenth();
+    while begun.elapsed() < STAGE_DURATION {
+        every_100_ms();
         thread::sleep(Duration::from_millis(100));
     }
     print_usage(stage, &before, &cluster.usage(), begun.elapsed());
--- a/src/cells.rs
+++ b/src/cells.rs
@@ -1,5 +1,5 @@
-//! The link to other cells: gRPC, its runtime on one thread at the edge. It keeps no state of
-//! transfers: every request may be lost or repeated.
+//! The link to other cells over gRPC. Its async runtime runs on one thread of its own. It keeps
+//! no state of transfers: every request may be lost or repeated.
 
 use crate::event_queue::{CellAnswer, EventSender, QueueMessage};
 use crate::limits::{
@@ -23,9 +23,9 @@
 use tonic::{Request, Response, Status};
 use tracing::Instrument as _;
 
-/// A request on its way to another cell.
+/// A request to another cell.
 #[derive(Debug)]
-struct Outgoing {
+struct OutgoingRequest {
     op: OpId,
     request: Box<CellRequest>,
 }
@@ -33,11 +33,11 @@
 /// The link to the other cells.
 #[derive(Debug)]
 pub struct CellLink {
-    cells: BTreeMap<CellName, mpsc::Sender<Outgoing>>,
+    cells: BTreeMap<CellName, mpsc::Sender<OutgoingRequest>>,
 }
 
 impl CellLink {
-    /// Starts the thread that serves them and calls them.
+    /// Starts the thread that serves the other cells' calls and makes calls to them.
     pub fn start(settings: &CellsSettings, events: &EventSender) -> std::io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let listener = std::net::TcpListener::bind(settings.listen)?;
@@ -61,9 +61,10 @@
         Ok(Self { cells })
     }
 
-    /// Hands over a request; the event is its answer if it can't be taken.
+    /// Queues a request. Returns `NoAnswer` as an event if it can't be queued.
     pub fn send(&self, op: OpId, cell: &CellName, request: Box<CellRequest>) -> Option<Event> {
-        let sent = self.cells.get(cell).map(|queue| queue.try_send(Outgoing { op, request }));
+        let sent =
+            self.cells.get(cell).map(|queue| queue.try_send(OutgoingRequest { op, request }));
         match sent {
             Some(Ok(())) => None,
             _ => Some(Event::CellAnswer(op, Err(CellError::NoAnswer))),
@@ -89,11 +90,11 @@
     }
 }
 
-/// One cell's requests, several at once. A controller that isn't the leader, or doesn't
-/// answer, is left for the next.
+/// Makes the calls to one cell, several concurrently. If a controller isn't the leader or doesn't
+/// answer, later calls go to the next one.
 async fn call_cell(
     other: OtherCell,
-    mut requests: mpsc::Receiver<Outgoing>,
+    mut requests: mpsc::Receiver<OutgoingRequest>,
     events: EventSender,
     message_bytes: usize,
 ) {
@@ -105,7 +106,7 @@
     let cell = other.name;
     let next_controller = Arc::new(AtomicU64::new(0));
     let permits = Arc::new(tokio::sync::Semaphore::new(CELL_CALLS_MAX));
-    while let Some(Outgoing { op, request }) = requests.recv().await {
+    while let Some(OutgoingRequest { op, request }) = requests.recv().await {
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let turn = next_controller.load(Ordering::Relaxed);
         let client = clients[(turn % clients.len() as u64) as usize].clone();
@@ -114,7 +115,7 @@
         let call = async move {
             let answer = call(client, &request).await;
             if matches!(answer, Err(CellError::NotLeader | CellError::NoAnswer)) {
-                // Fails if another call has moved on to the next controller already.
+                // Has no effect if another call has already advanced to the next controller.
                 let _ = next_controller.compare_exchange(
                     turn,
                     turn + 1,
@@ -153,7 +154,7 @@
             let reply = reply.map_err(|status| error_of(&status))?.into_inner();
             OfferReply::try_from(reply).map(CellReply::Offer)
         }
-        // Operators ask for themselves.
+        // Only operators' tools make these calls.
         CellRequest::Overview | CellRequest::DeclareLost(_) => Err(CellError::Malformed),
     }
 }
@@ -168,7 +169,7 @@
 
 struct CellService {
     events: EventSender,
-    /// Requests refused before the event loop saw them.
+    /// Malformed requests, refused before they reach the event loop.
     malformed: Arc<AtomicU64>,
 }
 
--- a/src/cells_cli.rs
+++ b/src/cells_cli.rs
@@ -1,4 +1,4 @@
-//! Operators' commands on cells: what a cell knows of the others, and a cell's loss.
+//! Operators' commands on cells: show a cell's view of the others, and declare a cell lost.
 
 use crate::limits::{CELL_TIMEOUT, CONNECT_TIMEOUT};
 use marblebarrow_cells::wire::cells_client::CellsClient;
@@ -10,16 +10,16 @@
 /// Why a command on cells failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CellsCommandError {
-    /// The gRPC runtime didn't start.
+    /// The async runtime didn't start.
     #[error(transparent)]
     Runtime(#[from] std::io::Error),
-    /// The server's address can't be used.
+    /// The server's address is invalid.
     #[error(transparent)]
     Address(#[from] transport::Error),
     /// No connection to the server.
     #[error("no answer from {0}")]
     NoAnswer(SocketAddr),
-    /// The server refused, and says why.
+    /// The server refused the call, with this message.
     #[error("{0}")]
     Refused(String),
 }
@@ -30,7 +30,7 @@
     }
 }
 
-/// What the loss of a cell risks, told before it is declared.
+/// The risks of declaring a cell lost, printed before confirmation.
 pub const LOSS_RISKS: &str = "jobs that are in a lost cell start again at home: if that cell, \
 or a machine of it, still runs, they run twice, and what it finished is done again";
 
@@ -45,7 +45,7 @@
     Ok(CellsClient::new(channel))
 }
 
-/// The overview of the cell that a controller leads, a line each.
+/// Returns the overview of the cell that a controller leads, as lines of text.
 pub fn overview(server: SocketAddr) -> Result<Vec<String>, CellsCommandError> {
     let runtime = runtime()?;
     runtime.block_on(async {
@@ -55,7 +55,7 @@
     })
 }
 
-/// Declares a cell lost for good.
+/// Declares a cell permanently lost.
 pub fn declare_lost(
     server: SocketAddr,
     cell: &str,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -2,7 +2,7 @@
 
 use crate::cells_cli;
 use crate::http::Client;
-use crate::job_cli::{PATIENCE, call, job_body};
+use crate::job_cli::{CALL_TIMEOUT, call, job_body};
 use crate::operator::OperatorFileError;
 use crate::settings::{Settings, SettingsError};
 use clap::{Parser, Subcommand};
@@ -14,8 +14,8 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// Exit code for settings or arguments that can't be used.
-const BAD_USE: u8 = 2;
+/// Exit code for invalid settings or arguments.
+const EXIT_USAGE_ERROR: u8 = 2;
 
 /// A cluster scheduler: leased leader, task-sampling queues, rented machines.
 #[derive(Debug, Parser)]
@@ -42,7 +42,7 @@
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Check a settings file and say what it means
+    /// Check a settings file and print a summary
     Check {
         /// Settings file (TOML)
         #[arg(long, value_name = "FILE")]
@@ -56,7 +56,7 @@
         /// The job
         file: PathBuf,
     },
-    /// Ask how a job stands
+    /// Show the status of a job
     Status {
         /// A controller or the load balancer
         #[arg(long, value_name = "IP:PORT")]
@@ -64,27 +64,28 @@
         /// The job's id
         job: String,
     },
-    /// Show cells, links, room and transfers, or declare a cell lost
+    /// Show cells, links, capacity and transfers, or declare a cell lost
     Cells {
-        /// Where a controller listens for cells
+        /// Address on which a controller serves other cells
         #[arg(long, value_name = "IP:PORT")]
         server: SocketAddr,
-        /// A cell that is gone for good, whose jobs may start again at home
+        /// A cell that is permanently lost, whose jobs may start again in their home cell
         #[arg(long, value_name = "CELL")]
         declare_lost: Option<String>,
-        /// Its name once more
+        /// The cell's name again, as a confirmation
         #[arg(long, value_name = "CELL", requires = "declare_lost")]
         typed_name: Option<String>,
     },
-    /// Rehearse failures in simulated time: exit code 0 pass, 1 a rule was broken
+    /// Rehearse failures in simulated time; exits with 0 on a pass, 1 if an invariant was
+    /// violated
     Rehearse {
-        /// Which; without a name, lists them
+        /// Name of the rehearsal; without a name, lists them
         name: Option<String>,
-        /// Decides all that is left to luck
+        /// Seed of all random choices
         #[arg(long, default_value_t = 0)]
         seed: u64,
     },
-    /// Show each controller, the version and format it runs, and for how long it is seen so
+    /// Show each controller, its version and format, and for how long it has been seen with them
     Members {
         /// A controller or the load balancer
         #[arg(long, value_name = "IP:PORT")]
@@ -101,7 +102,7 @@
 }
 
 impl Cli {
-    /// Does what was asked.
+    /// Runs the command.
     pub fn run(self) -> ExitCode {
         match (self.command, self.config) {
             (Some(Cmd::Serve { config }), _) | (None, Some(config)) => {
@@ -116,7 +117,7 @@
             }
             (Some(Cmd::Submit { server, file }), _) => match job_body(&file) {
                 Ok(body) => call(server, "POST", "/api/jobs", &body),
-                Err(e) => bad(e),
+                Err(e) => usage_error(e),
             },
             (Some(Cmd::Status { server, job }), _) => {
                 call(server, "GET", &format!("/api/jobs/{job}"), &[])
@@ -125,16 +126,16 @@
                 call(server, "POST", &format!("/api/jobs/{job}/abort"), &[])
             }
             (Some(Cmd::Members { server }), _) => members(server),
-            (None, None) => bad("give --config FILE to serve, or a command (see --help)"),
+            (None, None) => usage_error("give --config FILE to serve, or a command (see --help)"),
         }
     }
 }
 
-/// Checks settings and says what they mean.
+/// Checks settings and prints a summary.
 fn check(config: &Path, operator: Option<&Path>, cells: Option<&Path>) -> ExitCode {
     let settings = match load(config, operator, cells) {
         Ok(settings) => settings,
-        Err(error) => return bad(error),
+        Err(error) => return usage_error(error),
     };
     println!(
         "{}: ok, controller {} of {}, {} teams",
@@ -146,12 +147,12 @@
     ExitCode::SUCCESS
 }
 
-fn bad(line: impl Display) -> ExitCode {
+fn usage_error(line: impl Display) -> ExitCode {
     eprintln!("marblebarrow: {line}");
-    ExitCode::from(BAD_USE)
+    ExitCode::from(EXIT_USAGE_ERROR)
 }
 
-/// Shows what a cell knows of the others, or declares one lost.
+/// Shows a cell's view of the other cells, or declares one lost.
 fn cells(server: SocketAddr, lost: Option<&str>, typed_name: Option<&str>) -> ExitCode {
     let Some(lost) = lost else {
         return match cells_cli::overview(server) {
@@ -159,23 +160,23 @@
                 lines.iter().for_each(|line| println!("{line}"));
                 ExitCode::SUCCESS
             }
-            Err(why) => failed(why),
+            Err(why) => failure(why),
         };
     };
     if typed_name != Some(lost) {
         let risks = cells_cli::LOSS_RISKS;
-        return bad(format!("{risks}. To go on, add --typed-name {lost}"));
+        return usage_error(format!("{risks}. To go on, add --typed-name {lost}"));
     }
     match cells_cli::declare_lost(server, lost, lost) {
         Ok(()) => {
             println!("cell={lost} declared lost");
             ExitCode::SUCCESS
         }
-        Err(why) => failed(why),
+        Err(why) => failure(why),
     }
 }
 
-/// Runs a rehearsal, or lists them.
+/// Runs a rehearsal, or lists all rehearsals.
 fn rehearse(name: Option<&str>, seed: u64) -> ExitCode {
     let names: Vec<&str> = Scenario::ALL.iter().map(|scenario| scenario.name()).collect();
     let Some(name) = name else {
@@ -183,19 +184,19 @@
         return ExitCode::SUCCESS;
     };
     let Some(scenario) = Scenario::named(name) else {
-        return bad(format!("no rehearsal `{name}`; there are {}", names.join(", ")));
+        return usage_error(format!("no rehearsal `{name}`; there are {}", names.join(", ")));
     };
     let verdict = scenario.run(seed);
     print!("{verdict}");
     if verdict.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn failed(why: impl Display) -> ExitCode {
+fn failure(why: impl Display) -> ExitCode {
     eprintln!("marblebarrow: {why}");
     ExitCode::FAILURE
 }
 
-/// Why the files of settings can't be used.
+/// An error in one of the settings files.
 #[derive(Debug, thiserror::Error)]
 enum LoadError {
     #[error(transparent)]
@@ -225,7 +226,7 @@
 fn serve(config: &Path, operator: Option<&Path>, cells: Option<&Path>) -> ExitCode {
     let settings = match load(config, operator, cells) {
         Ok(s) => s,
-        Err(e) => return bad(e),
+        Err(e) => return usage_error(e),
     };
     let level = std::env::var("LOG_LEVEL")
         .ok()
@@ -240,7 +241,7 @@
         .init();
     match crate::controller::serve(settings) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => bad(format!("can't serve: {e}")),
+        Err(e) => usage_error(format!("can't serve: {e}")),
     }
 }
 
@@ -248,13 +249,13 @@
 #[derive(serde::Deserialize)]
 struct MembershipView {
     controllers: Vec<Member>,
-    /// Absent from the answers of versions before the record: read as 0.
+    /// Absent from answers of versions that don't record it; read as 0.
     #[serde(default)]
     format_in_store: u32,
     dependencies_allowed: bool,
 }
 
-/// A controller in it.
+/// A controller in a [`MembershipView`].
 #[derive(serde::Deserialize)]
 struct Member {
     node: String,
@@ -265,15 +266,15 @@
 }
 
 fn members(server: SocketAddr) -> ExitCode {
-    let answer = Client::new(server).call("GET", "/api/members", &[], PATIENCE);
+    let answer = Client::new(server).call("GET", "/api/members", &[], CALL_TIMEOUT);
     let Ok(response) = answer else {
-        return failed(format!("no answer from {server}"));
+        return failure(format!("no answer from {server}"));
     };
     if response.status != 200 {
-        return failed(format!("{server} answered {}", response.status));
+        return failure(format!("{server} answered {}", response.status));
     }
     let Ok(view) = marblebarrow_proto::cbor::decode::<MembershipView>(&response.body) else {
-        return failed(format!("{server} answered what is no list of controllers"));
+        return failure(format!("{server} answered what is no list of controllers"));
     };
     for m in view.controllers {
         let version = if m.version.is_empty() { "-" } else { &m.version };
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,4 +1,4 @@
-//! A controller: builds its parts from the settings, connects them and runs them.
+//! A controller: creates its components from the settings, connects them and runs them.
 
 use crate::authority::Authority;
 use crate::cells::CellLink;
@@ -16,7 +16,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-/// Serves until killed.
+/// Runs a controller until the process is killed.
 pub fn serve(mut settings: Settings) -> io::Result<()> {
     let (events, event_receiver) = event_queue::channel();
     let clock = Clock::start();
@@ -74,8 +74,8 @@
     }
 }
 
-/// Listens as the standard library does, with room for more to wait: a whole
-/// fleet may come at once.
+/// Opens a listener like the standard library's, but with a larger backlog: a whole fleet may
+/// connect at the same time.
 fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/src/job_cli.rs
+++ b/src/job_cli.rs
@@ -1,4 +1,5 @@
-//! Users' commands on jobs: the submission's file, the call, and the answer as a line of text.
+//! Users' commands on jobs: reads the job file, makes the call and prints the answer as a line of
+//! text.
 
 use crate::http::Client;
 use ciborium::Value;
@@ -10,13 +11,13 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// How long a user's command waits for an answer (protocol page: 5 s).
-pub const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a user's command waits for an answer (5 s, given by the protocol).
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a job's file can't be submitted.
+/// Why a job file can't be submitted.
 #[derive(Debug, thiserror::Error)]
 pub enum JobFileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: {error}", file.display())]
     Unreadable {
         /// The file.
@@ -24,7 +25,7 @@
         /// Why.
         error: io::Error,
     },
-    /// It isn't TOML.
+    /// The file isn't valid TOML.
     #[error("{}: {}", file.display(), error.message())]
     Syntax {
         /// The file.
@@ -32,18 +33,18 @@
         /// Why.
         error: toml::de::Error,
     },
-    /// It isn't a job.
+    /// The file doesn't describe a valid job.
     #[error("{}: {reason}", file.display())]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// Why, naming the field.
+        /// The reason, with the name of the field.
         reason: String,
     },
 }
 
-/// The body of a submission: the TOML table as CBOR, field for field, so that
-/// `waits_on = ["req-000398"]` goes out as the list of DAG dependencies.
+/// Reads a job file and returns the body of a submission: the TOML table as CBOR, field for
+/// field, so that `waits_on = ["req-000398"]` is sent as the list of DAG dependencies.
 pub fn job_body(path: &Path) -> Result<Vec<u8>, JobFileError> {
     let file = || path.to_owned();
     let text = std::fs::read_to_string(path)
@@ -56,9 +57,9 @@
     Ok(body)
 }
 
-/// Makes a request of a controller and prints status and fields of the answer.
+/// Makes a request to a controller and prints the status and fields of the answer.
 pub fn call(server: SocketAddr, method: &str, path: &str, body: &[u8]) -> ExitCode {
-    let Ok(response) = Client::new(server).call(method, path, body, PATIENCE) else {
+    let Ok(response) = Client::new(server).call(method, path, body, CALL_TIMEOUT) else {
         eprintln!("marblebarrow: no answer from {server}");
         return ExitCode::FAILURE;
     };
@@ -66,19 +67,20 @@
     if response.status < 300 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// The fields of a CBOR map as `key=value` texts; nothing if it is no map.
+/// The fields of a CBOR map as `key=value` texts; empty if it isn't a map.
 fn fields(body: &[u8]) -> String {
     let Ok(Value::Map(fields)) = cbor::decode::<Value>(body) else { return String::new() };
-    let texts = fields.iter().map(|(key, value)| format!("{}={}", show(key), show(value)));
+    let texts =
+        fields.iter().map(|(key, value)| format!("{}={}", format_value(key), format_value(value)));
     texts.collect::<Vec<_>>().join(" ")
 }
 
-/// One field of an answer as text; a list, such as the DAG dependencies that a
-/// job still waits on (`waits_on`), as its items joined by commas.
-fn show(value: &Value) -> String {
+/// Formats one value of an answer. A list, such as the DAG dependencies that a job still waits on
+/// (`waits_on`), becomes its items joined by commas.
+fn format_value(value: &Value) -> String {
     match value {
         Value::Text(text) => text.clone(),
-        Value::Array(items) => items.iter().map(show).collect::<Vec<_>>().join(","),
+        Value::Array(items) => items.iter().map(format_value).collect::<Vec<_>>().join(","),
         Value::Integer(integer) => i128::from(*integer).to_string(),
         Value::Float(float) => float.to_string(),
         Value::Bool(flag) => flag.to_string(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! marblebarrow: a cluster scheduler. `--config FILE` serves; the other
-//! commands check settings and speak to a running controller.
+//! marblebarrow: a cluster scheduler. `--config FILE` runs a controller; the other commands check
+//! settings, run rehearsals and call a running controller.
 
 mod authority;
 mod cells;
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,5 +1,5 @@
-//! Operators' own settings (HCL), beyond what the platform hands over. All are
-//! optional; unknown names and values out of range stop the start.
+//! Operators' own settings (HCL), in addition to those provided by the platform. All are
+//! optional; unknown names and values out of range stop the program at startup.
 
 use marblebarrow_core::facts::Tuning;
 use serde::Deserialize;
@@ -11,7 +11,7 @@
 const WARM_FACTOR_RANGE: RangeInclusive<f64> = 0.0..=10.0;
 const IDLE_S_RANGE: RangeInclusive<f64> = 0.0..=3_600.0;
 
-/// Why an operators' file can't be used: names file, field and reason.
+/// An error in an operators' file, with file, field and reason.
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {error}")]
 pub struct OperatorFileError {
@@ -19,7 +19,7 @@
     error: FieldError,
 }
 
-/// What is wrong with a field, or with the file's syntax.
+/// An error in a field or in the file's syntax.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("{field}: {reason}")]
 struct FieldError {
@@ -27,7 +27,7 @@
     reason: String,
 }
 
-/// The file's form: a few numbers in one block.
+/// Contents of the file: one block of numbers.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct OperatorFile {
