--- a/crates/core/tests/cluster/meetings.rs
+++ b/crates/core/tests/cluster/fault_combinations.rs
@@ -1,46 +1,47 @@
-//! Troubles that meet, beyond those in `main.rs`. Each test says how often its troubles
-//! must have met, so that it can't pass because they missed each other.
+//! Combinations of faults. Each test states how often its faults must have coincided, so that it
+//! can't pass because they missed each other.
 
 use crate::at_leader;
 use marblebarrow_rehearsal::world::{Trouble, World};
 
-/// Plays a meeting with other luck each time, at the same times and some seconds later,
-/// with jobs whose tasks end far apart. `set` prepares each world; `met` counts, after
-/// the day, how often its troubles met, which in all must be `least` or more.
-fn meet(
-    troubles: &[(u32, Trouble)],
-    set: impl Fn(&mut World),
-    met: impl Fn(&World) -> usize,
-    least: usize,
+/// Runs a combination of faults for 12 seeds, at the given times or some seconds later, with
+/// jobs whose tasks end far apart. `configure` prepares each world; `occurrences` counts after
+/// each run how often the faults coincided, which must be at least `min_total` in all runs
+/// together.
+fn run_and_count(
+    faults: &[(u32, Trouble)],
+    configure: impl Fn(&mut World),
+    occurrences: impl Fn(&World) -> usize,
+    min_total: usize,
 ) {
-    let mut times = 0;
+    let mut total = 0;
     for seed in 0..12u64 {
         let shift = (seed % 4) as u32 * 17;
-        let moved = troubles.iter().map(|(at, t)| (at + shift, t.clone())).collect();
-        let mut world = World::new(seed, moved);
+        let shifted_faults = faults.iter().map(|(at, t)| (at + shift, t.clone())).collect();
+        let mut world = World::new(seed, shifted_faults);
         (world.gaps, world.width, world.pace, world.odd) = (true, 3, (16, 500), true);
-        set(&mut world);
+        configure(&mut world);
         world.run(1_900);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {troubles:?}");
+        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {faults:?}");
         assert!(world.starts > 40, "seed {seed}: only {} starts", world.starts);
         assert!(world.met.odd > 10, "seed {seed}: {} odd requests", world.met.odd);
-        times += met(&world);
+        total += occurrences(&world);
     }
-    assert!(times >= least, "the troubles met {times} times");
+    assert!(total >= min_total, "the faults coincided only {total} times");
 }
 
-fn as_it_is(_: &mut World) {}
+fn no_setup(_: &mut World) {}
 
-fn within(world: &World, from: u32, to: u32) -> usize {
-    let shifted = world.met.cancelled.iter().filter(|(at, _)| (from..to + 51).contains(at));
-    shifted.count()
+fn cancelled_between(world: &World, from: u32, to: u32) -> usize {
+    let cancelled = world.met.cancelled.iter().filter(|(at, _)| (from..to + 51).contains(at));
+    cancelled.count()
 }
 
-/// A zone's machines and a controller are cut off together, for longer than a lease;
-/// jobs that run there are called off through the others.
+/// A zone's machines and one controller are partitioned from the rest for longer than a lease;
+/// jobs that run there are cancelled through the other controllers.
 #[test]
-fn a_zone_is_apart_with_its_controller() {
-    meet(
+fn a_zone_is_partitioned_with_its_controller() {
+    run_and_count(
         &[
             (200, at_leader(Trouble::ZoneApart("a", 0, 160))),
             (204, Trouble::CancelNow(4)),
@@ -48,33 +49,33 @@
             (420, Trouble::ZoneApart("b", 1, 160)),
             (430, Trouble::CancelNow(3)),
         ],
-        as_it_is,
+        no_setup,
         |w| w.met.cancelled_apart as usize,
         12,
     );
 }
 
-/// A leader keeps its workers and users, and loses store and peers; jobs are called off
-/// through the new one.
+/// A leader still reaches its workers and users but neither the store nor its peers; jobs are
+/// cancelled through the new leader.
 #[test]
-fn called_off_through_the_next_while_the_last_serves_on() {
-    meet(
+fn jobs_cancelled_through_the_new_leader_while_the_old_still_serves() {
+    run_and_count(
         &[
             (200, at_leader(Trouble::Isolated(0, 250))),
             (215, Trouble::CancelNow(4)),
             (245, Trouble::CancelNow(4)),
             (300, Trouble::CloseLooks(60)),
         ],
-        as_it_is,
-        |w| within(w, 200, 300),
+        no_setup,
+        |w| cancelled_between(w, 200, 300),
         24,
     );
 }
 
-/// Jobs are called off in the very seconds in which their leader's work changes hands.
+/// Jobs are cancelled within the seconds in which a new leader takes over.
 #[test]
-fn called_off_while_work_changes_hands() {
-    meet(
+fn jobs_cancelled_during_a_change_of_leader() {
+    run_and_count(
         &[
             (199, Trouble::CancelNow(2)),
             (200, at_leader(Trouble::Crash(0, 60))),
@@ -85,17 +86,17 @@
             (401, Trouble::CancelNow(2)),
             (430, Trouble::CancelNow(2)),
         ],
-        as_it_is,
-        |w| within(w, 199, 250).min(w.met.changes_of_leader.len() * 10),
+        no_setup,
+        |w| cancelled_between(w, 199, 250).min(w.met.changes_of_leader.len() * 10),
         24,
     );
 }
 
-/// More work than room, while the store is slow, machines come up late and the leader
-/// ends.
+/// More work than the machines can run, while the store is slow, machines boot late and the
+/// leader crashes.
 #[test]
-fn more_work_than_room_over_slow_links() {
-    meet(
+fn more_work_than_capacity_with_a_slow_store() {
+    run_and_count(
         &[
             (120, Trouble::StoreSlow(250)),
             (130, Trouble::Boots(30, 200)),
@@ -109,11 +110,11 @@
     );
 }
 
-/// The store is slow, refuses the leader alone, then everybody for longer than a
-/// cancellation may take, while users call off, ask everywhere and repeat themselves.
+/// The store is slow, refuses only the leader, and then is down for longer than a cancellation
+/// may take, while users cancel jobs, ask every controller and repeat their requests.
 #[test]
-fn a_slow_store_then_the_gap_while_users_look_closely() {
-    meet(
+fn a_slow_store_then_an_outage_under_close_polling() {
+    run_and_count(
         &[
             (150, Trouble::StoreSlow(60)),
             (200, at_leader(Trouble::StoreRefuses(0, 140))),
@@ -122,18 +123,19 @@
             (219, Trouble::StoreDown(260)),
             (530, Trouble::CancelNow(2)),
         ],
-        as_it_is,
-        |w| within(w, 200, 220).min(w.met.looks as usize),
+        no_setup,
+        |w| cancelled_between(w, 200, 220).min(w.met.looks as usize),
         6,
     );
 }
 
-/// The team is at its limit as the leader changes, with machines that can't be asked,
-/// cut off and hung, whose jobs are called off.
+/// The team is at its limit as the leader changes, and jobs are cancelled whose machines are
+/// partitioned or hung.
 #[test]
-fn at_the_limit_with_machines_apart_as_the_leader_changes() {
-    let apart = |at, m, s| [(at, Trouble::MachineCut(m, s)), (at, Trouble::MachineHangs(m + 1, s))];
-    let mut troubles = vec![
+fn at_the_team_limit_with_unreachable_machines_as_the_leader_changes() {
+    let unreachable =
+        |at, m, s| [(at, Trouble::MachineCut(m, s)), (at, Trouble::MachineHangs(m + 1, s))];
+    let mut faults = vec![
         (204, Trouble::CancelNow(6)),
         (206, at_leader(Trouble::Crash(0, 30))),
         (236, Trouble::CancelNow(3)),
@@ -141,34 +143,34 @@
         (430, at_leader(Trouble::Freeze(0, 50))),
     ];
     for (at, s) in [(200, 50), (420, 130)] {
-        troubles.extend([0, 2].into_iter().flat_map(|m| apart(at, m, s)));
+        faults.extend([0, 2].into_iter().flat_map(|m| unreachable(at, m, s)));
     }
-    meet(
-        &troubles,
+    run_and_count(
+        &faults,
         |w| (w.pace, w.gap_s) = ((10, 420), 4.0),
         |w| (w.met.cancelled_apart.min(4) + w.met.changes_at_limit) as usize,
         24,
     );
 }
 
-/// Users ask all controllers within a step and repeat what they asked, right after a
-/// job was accepted, ended or called off, with no other trouble; half of the jobs are
-/// called off as their last task ends.
+/// Users ask all controllers within a step and repeat their requests, right after a job was
+/// accepted, ended or cancelled, without other faults; half of the jobs are cancelled as their
+/// last task ends.
 #[test]
-fn close_looks_at_ends_without_other_trouble() {
-    meet(
+fn close_polling_around_job_ends_without_other_faults() {
+    run_and_count(
         &[(1, Trouble::CloseLooks(900)), (1, Trouble::CancelAtEnd(900))],
-        as_it_is,
+        no_setup,
         |w| w.met.cancelled_at_end as usize * usize::from(w.met.looks > 40),
         80,
     );
 }
 
-/// The same while transactions are carried out and only their answers are lost, and
-/// the leader changes.
+/// Close polling while transactions are executed and only their answers are lost, and the leader
+/// changes.
 #[test]
 fn answers_lost_while_others_read_what_was_written() {
-    meet(
+    run_and_count(
         &[
             (100, Trouble::AnswersLost(400)),
             (100, Trouble::CloseLooks(400)),
@@ -177,33 +179,33 @@
             (230, at_leader(Trouble::Crash(0, 10))),
             (330, at_leader(Trouble::StoreRefuses(0, 60))),
         ],
-        as_it_is,
+        no_setup,
         |w| w.met.answers_lost.min(w.met.looks) as usize,
         400,
     );
 }
 
-/// All controllers are away for longer than a lease.
+/// All controllers are down for longer than a lease, so that leases expire.
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
-    meet(
+fn all_controllers_are_down_for_longer_than_a_lease() {
+    run_and_count(
         &[
             (198, Trouble::CancelNow(3)),
             (200, Trouble::CrashAll(130)),
             (420, Trouble::KeptHeartbeats(30)),
             (440, Trouble::CrashAll(100)),
         ],
-        as_it_is,
+        no_setup,
         |w| w.lapses as usize,
         24,
     );
 }
 
-/// Workers reach no controller, while direct orders reach them; jobs are called off and
-/// the leader changes.
+/// Workers reach no controller, while direct commands reach them; jobs are cancelled and the
+/// leader changes.
 #[test]
-fn workers_reach_nobody_while_orders_reach_them() {
-    meet(
+fn workers_reach_no_controller_while_commands_reach_them() {
+    run_and_count(
         &[
             (200, Trouble::AllMute(60)),
             (205, Trouble::CancelNow(4)),
@@ -211,18 +213,17 @@
             (400, Trouble::AllMute(150)),
             (410, Trouble::CancelNow(4)),
         ],
-        as_it_is,
+        no_setup,
         |w| w.met.mute_orders as usize,
         40,
     );
 }
 
-/// Jobs bound to a zone lose their machines, and the zone is cut off, as the leader
-/// changes.
+/// Jobs bound to a zone lose their machines as the leader changes, and a zone is partitioned.
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
     let dies = |m| (210, Trouble::MachineDies(m));
-    meet(
+    run_and_count(
         &[
             dies(0),
             dies(1),
@@ -238,23 +239,28 @@
     );
 }
 
-/// Leaders change ten times in two minutes, also inside an outage, while jobs are
-/// called off.
+/// Leaders change ten times in two minutes, also during an outage of the store, while jobs are
+/// cancelled.
 #[test]
 fn leaders_change_ten_times_in_two_minutes() {
-    let mut troubles: Vec<(u32, Trouble)> = (0..10)
+    let mut faults: Vec<(u32, Trouble)> = (0..10)
         .map(|n| (150 + n * 110, at_leader(Trouble::Crash(0, if n % 3 == 0 { 3 } else { 45 }))))
         .collect();
-    troubles.extend((0..10).map(|n| (155 + n * 110, Trouble::CancelNow(1))));
-    troubles.push((470, Trouble::StoreDown(120)));
-    troubles.push((900, Trouble::StoreDown(90)));
-    meet(&troubles, |w| (w.pace, w.width) = ((16, 500), 2), |w| w.met.changes_of_leader.len(), 80);
+    faults.extend((0..10).map(|n| (155 + n * 110, Trouble::CancelNow(1))));
+    faults.push((470, Trouble::StoreDown(120)));
+    faults.push((900, Trouble::StoreDown(90)));
+    run_and_count(
+        &faults,
+        |w| (w.pace, w.width) = ((16, 500), 2),
+        |w| w.met.changes_of_leader.len(),
+        80,
+    );
 }
 
-/// Reports are kept until another leads, and then reach every controller.
+/// Heartbeats are held until another controller leads, and then reach every controller.
 #[test]
-fn old_reports_reach_every_controller_as_another_begins() {
-    meet(
+fn old_heartbeats_reach_every_controller_as_a_new_leader_begins() {
+    run_and_count(
         &[
             (150, Trouble::KeptHeartbeats(400)),
             (200, at_leader(Trouble::Crash(0, 30))),
@@ -264,16 +270,17 @@
             (430, Trouble::CrashAll(20)),
             (500, at_leader(Trouble::Crash(0, 4))),
         ],
-        as_it_is,
+        no_setup,
         |w| w.met.kept as usize,
         120,
     );
 }
 
-/// Jobs of one task come four a second for minutes, a quarter of them called off.
+/// Jobs of one task are submitted at a rate of about four a second for minutes, and a quarter of
+/// them is cancelled.
 #[test]
-fn one_task_jobs_four_a_second_a_quarter_called_off() {
-    meet(
+fn one_task_jobs_four_a_second_a_quarter_cancelled() {
+    run_and_count(
         &[
             (300, at_leader(Trouble::Crash(0, 20))),
             (400, Trouble::CloseLooks(100)),
@@ -288,11 +295,11 @@
     );
 }
 
-/// New machines are up within two seconds and get work at once, while writes lag and
-/// take effect late, and the leader ends.
+/// New machines boot within two seconds and get work at once, while writes are slow or take
+/// effect late, and the leader crashes.
 #[test]
-fn machines_up_at_once_while_writes_lag_and_the_leader_ends() {
-    meet(
+fn machines_boot_at_once_while_writes_lag_and_the_leader_crashes() {
+    run_and_count(
         &[
             (30, Trouble::Boots(5, 500)),
             (60, Trouble::StoreSlow(200)),
@@ -307,17 +314,18 @@
     );
 }
 
-/// A job bound to a zone that has no machine, while one of another zone idles: it once
-/// was laid onto that one's CPUs, in thought, and waited for ever.
+/// A job is bound to a zone that has no machine, while a machine of another zone is idle. The
+/// planner used to count the idle machine's CPUs as available to the job, which then waited
+/// forever.
 #[test]
-fn an_idle_machine_elsewhere_holds_up_no_job_bound_to_a_zone() {
-    let troubles = vec![
+fn an_idle_machine_in_another_zone_delays_no_zone_bound_job() {
+    let faults = vec![
         (60, Trouble::CancelNow(2)),
         (72, Trouble::Crash(1, 2)),
         (319, Trouble::MachineDies(1)),
         (417, Trouble::CancelNow(2)),
     ];
-    let mut world = World::new(8_195_287_890_673_818_304, troubles);
+    let mut world = World::new(8_195_287_890_673_818_304, faults);
     (world.gaps, world.zoned, world.odd, world.width) = (true, true, true, 3);
     world.run(1_700);
     assert_eq!(world.broken, Vec::<String>::new());
--- a/crates/core/tests/cluster/generated_troubles.rs
+++ b/crates/core/tests/cluster/generated_faults.rs
@@ -1,15 +1,15 @@
-//! Troubles at generated times, all rules checked.
+//! Property tests with faults of generated kinds and times; the simulation checks all its rules.
 
 use crate::at_leader;
 use marblebarrow_rehearsal::world::{Held, Trouble, World};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn trouble() -> impl Strategy<Value = (u32, Trouble)> {
+fn fault() -> impl Strategy<Value = (u32, Trouble)> {
     let kind = prop_oneof![
         (0usize..3, 1u32..60).prop_map(|(n, s)| Trouble::Crash(n, s)),
         (1u32..60).prop_map(Trouble::CrashAll),
-        // Back within a fraction of a second, also mid-election.
+        // Restarts within a fraction of a second, also during an election.
         (0usize..3, 1u32..5).prop_map(|(n, s)| Trouble::Crash(n, s)),
         (1u32..5).prop_map(Trouble::CrashAll),
         (0usize..3, 1u32..200).prop_map(|(n, s)| Trouble::Isolated(n, s)),
@@ -34,7 +34,8 @@
     (10u32..500, kind)
 }
 
-/// Single direct commands and answers are held, for less and more than a cancellation's time.
+/// Single direct commands and answers are held for less or more than the time that a
+/// cancellation may take.
 fn held_commands() -> impl Strategy<Value = Trouble> {
     let kind = (2u32..12, 1u32..300, 1u32..700, any::<bool>(), 1u32..400);
     kind.prop_map(|(one_in, least, more, called_off, steps)| {
@@ -52,13 +53,13 @@
     })]
 
     #[test]
-    fn rules_hold_under_troubles(
+    fn rules_hold_under_generated_faults(
         seed in any::<u64>(),
-        troubles in proptest::collection::vec(trouble(), 0..7),
+        faults in proptest::collection::vec(fault(), 0..7),
         gaps in any::<bool>(),
         mistaken in proptest::option::of(2u32..9),
     ) {
-        let mut world = World::new(seed, troubles);
+        let mut world = World::new(seed, faults);
         (world.gaps, world.mistaken) = (gaps, mistaken);
         world.width = if gaps { 3 } else { 6 };
         world.run(1_600);
@@ -66,8 +67,8 @@
     }
 }
 
-/// The rarer troubles, which meet the others in the test below.
-fn rarer_trouble() -> impl Strategy<Value = (u32, Trouble)> {
+/// The rarer faults, which the test below combines with the others.
+fn rarer_fault() -> impl Strategy<Value = (u32, Trouble)> {
     let kind = prop_oneof![
         (1u32..400).prop_map(|s| at_leader(Trouble::WatchStuck(0, s))),
         (1u32..200).prop_map(|s| at_leader(Trouble::StoreRefuses(0, s))),
@@ -97,14 +98,14 @@
     })]
 
     #[test]
-    fn rules_hold_under_rarer_troubles(
+    fn rules_hold_under_rarer_faults(
         seed in any::<u64>(),
-        rarer in proptest::collection::vec(rarer_trouble(), 1..6),
-        others in proptest::collection::vec(trouble(), 0..4),
+        rarer in proptest::collection::vec(rarer_fault(), 1..6),
+        other_faults in proptest::collection::vec(fault(), 0..4),
         gaps in any::<bool>(),
         zoned in any::<bool>(),
     ) {
-        let mut world = World::new(seed, rarer.into_iter().chain(others).collect());
+        let mut world = World::new(seed, rarer.into_iter().chain(other_faults).collect());
         (world.gaps, world.zoned, world.odd) = (gaps, zoned, true);
         world.width = if gaps { 3 } else { 6 };
         world.run(1_700);
--- a/crates/core/tests/cluster/held_commands.rs
+++ b/crates/core/tests/cluster/held_commands.rs
@@ -1,50 +1,50 @@
-//! Single direct commands held up for longer than cancelled tasks may take, while all else to
-//! and from their machines flows: the fencing token of a machine is raised before a start that
-//! went unanswered could be carried out too late.
+//! Single direct commands held in the network for longer than cancelled tasks may run, while all
+//! other messages to and from their machines are delivered. The leader must raise the fencing
+//! token of a machine before an unanswered start can be executed too late.
 
 use marblebarrow_rehearsal::held_commands::{HELD, day, leaders_end, outage};
 use marblebarrow_rehearsal::world::{Met, Trouble, World};
 
-/// Plays a day with other luck each time, and sums up what `met` counts.
-fn play(others: &[(u32, Trouble)], met: impl Fn(&World) -> u32) -> u32 {
-    let one = |seed| {
-        let mut world = day(seed, HELD, others);
+/// Runs the workload with held commands for 12 seeds and sums what `occurrences` counts.
+fn sum_over_seeds(other_faults: &[(u32, Trouble)], occurrences: impl Fn(&World) -> u32) -> u32 {
+    let run_seed = |seed| {
+        let mut world = day(seed, HELD, other_faults);
         world.run(2_200);
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
         assert!(world.starts > 60, "seed {seed}: only {} starts", world.starts);
-        met(&world)
+        occurrences(&world)
     };
-    (0..12).map(one).sum()
+    (0..12).map(run_seed).sum()
 }
 
-fn meet(others: &[(u32, Trouble)], met: impl Fn(&Met) -> u32) -> u32 {
-    play(others, |world| met(&world.met))
+fn run_and_count(other_faults: &[(u32, Trouble)], occurrences: impl Fn(&Met) -> u32) -> u32 {
+    sum_over_seeds(other_faults, |world| occurrences(&world.met))
 }
 
-fn told(world: &World, event: &str) -> u32 {
+fn count_logged(world: &World, event: &str) -> u32 {
     world.info.iter().filter(|line| line.contains(event)).count() as u32
 }
 
-/// The incident at production size: a start goes unanswered, its job is cancelled, all else
-/// flows, and the start arrives after the job's tasks had to be gone.
+/// A past incident at production size: a start goes unanswered, its job is cancelled, all other
+/// messages are delivered, and the start arrives after the job's tasks had to be gone.
 #[test]
-fn a_start_held_past_its_cancellation_is_not_carried_out() {
-    let times = meet(&[], |met| met.starts_past_cancellation);
-    assert!(times >= 24, "they met {times} times");
+fn a_start_held_past_its_cancellation_is_not_executed() {
+    let total = run_and_count(&[], |met| met.starts_past_cancellation);
+    assert!(total >= 24, "only {total} starts arrived after their job's tasks had to be gone");
 }
 
-/// The token that takes such starts back ends nobody's epoch.
+/// Raising the fencing token, which invalidates such starts, ends no agent's epoch.
 #[test]
 fn raising_the_token_ends_no_agent_epoch() {
-    let raised = play(&[], |world| {
+    let raised = sum_over_seeds(&[], |world| {
         assert_eq!(world.lapses, 0);
-        told(world, "event=token_raised ")
+        count_logged(world, "event=token_raised ")
     });
     assert!(raised >= 24, "{raised} tokens raised");
 }
 
-/// The tokens that leaders took, in the order in which they knew of it: those they were elected
-/// with, and those they raised.
+/// The fencing tokens that leaders used, in the order in which they logged them: those that they
+/// were elected with (`true`) and those that they raised (`false`).
 fn tokens(world: &World) -> Vec<(bool, u64)> {
     let number = |line: &str, key: &str| -> Option<u64> {
         line.split(' ').find_map(|word| word.strip_prefix(key))?.parse().ok()
@@ -58,10 +58,10 @@
     world.info.iter().filter_map(token).collect()
 }
 
-/// Whoever leads next has a higher token than any taken before, and no two ever have the same.
+/// A new leader has a higher fencing token than any used before, and no token is used twice.
 #[test]
 fn no_two_leaders_ever_have_the_same_token() {
-    let raised = play(&leaders_end(), |world| {
+    let raised = sum_over_seeds(&leaders_end(), |world| {
         let tokens = tokens(world);
         for (i, (elected, token)) in tokens.iter().enumerate() {
             let earlier = || tokens[..i].iter().map(|(_, token)| token);
@@ -73,45 +73,46 @@
     assert!(raised >= 24, "{raised} tokens raised");
 }
 
-/// The same as leaders end, also within a second.
+/// Held starts while leaders crash, also when they restart within a second.
 #[test]
-fn held_starts_meet_changes_of_leader() {
-    let others = leaders_end();
-    let changes = meet(&others, |met| met.changes_of_leader.len() as u32);
+fn held_starts_during_changes_of_leader() {
+    let other_faults = leaders_end();
+    let changes = run_and_count(&other_faults, |met| met.changes_of_leader.len() as u32);
     assert!(changes >= 48, "{changes} changes of leader");
-    let times = meet(&others, |met| met.starts_past_cancellation);
-    assert!(times >= 18, "they met {times} times");
+    let total = run_and_count(&other_faults, |met| met.starts_past_cancellation);
+    assert!(total >= 18, "only {total} starts arrived after their job's tasks had to be gone");
 }
 
-/// The same as no transaction goes through for longer than cancelled tasks may take, so that
-/// the token can't be raised. (When answers are withheld then: `tests/revocation.rs`.)
+/// Held starts while no transaction succeeds for longer than cancelled tasks may run, so that the
+/// fencing token can't be raised. `tests/revocation.rs` tests when the leader then withholds
+/// heartbeat answers.
 #[test]
-fn held_starts_meet_an_outage_of_the_store() {
-    let times = meet(&outage(), |met| met.starts_past_cancellation);
-    assert!(times >= 12, "they met {times} times");
+fn held_starts_during_a_store_outage() {
+    let total = run_and_count(&outage(), |met| met.starts_past_cancellation);
+    assert!(total >= 12, "only {total} starts arrived after their job's tasks had to be gone");
 }
 
-/// The same with machines that report but hear nothing, or hang: their epochs end by
-/// themselves, or they hear the higher token as soon as they hear anything.
+/// Held starts with machines that send heartbeats but receive nothing, or hang. Either their
+/// epochs end by themselves, or the first message that they receive carries the higher token.
 #[test]
-fn held_starts_meet_deaf_and_hung_machines() {
-    let others = [
+fn held_starts_with_unreachable_and_hung_machines() {
+    let other_faults = [
         (200, Trouble::MachineDeaf(0, 60)),
         (230, Trouble::MachineHangs(1, 50)),
         (300, Trouble::MachineDeaf(2, 160)),
         (330, Trouble::MachineMute(3, 40)),
         (400, Trouble::MachineHangs(0, 120)),
     ];
-    let unheard = meet(&others, |met| met.unheard);
-    assert!(unheard >= 12, "{unheard} answers went unheard");
-    let times = meet(&others, |met| met.starts_past_cancellation);
-    assert!(times >= 12, "they met {times} times");
+    let unreceived = run_and_count(&other_faults, |met| met.unheard);
+    assert!(unreceived >= 12, "only {unreceived} answers failed to reach their machine");
+    let total = run_and_count(&other_faults, |met| met.starts_past_cancellation);
+    assert!(total >= 12, "only {total} starts arrived after their job's tasks had to be gone");
 }
 
-/// Answers to commands that were carried out come late as well: what they carried is known
-/// by then from a heartbeat, and nothing is started twice.
+/// Answers to executed commands arrive late as well. Their content is already known from a
+/// heartbeat, and nothing is started twice.
 #[test]
 fn answers_held_for_minutes_change_nothing() {
-    let times = meet(&[], |met| met.late_answers);
-    assert!(times >= 100, "only {times} answers came late");
+    let total = run_and_count(&[], |met| met.late_answers);
+    assert!(total >= 100, "only {total} answers arrived late");
 }
--- a/crates/core/tests/cluster/large_fleet.rs
+++ b/crates/core/tests/cluster/large_fleet.rs
@@ -1,25 +1,25 @@
-//! Four thousand machines: what they run, a takeover with a quarter of them dead, and what
-//! that costs the store and the links, in counts and bytes.
+//! Four thousand machines: a takeover while a quarter of them fails, and a cascade of a thousand
+//! cancelled jobs, with bounds on the load of the state service and the network.
 
 use marblebarrow_rehearsal::world::{CascadePlan, StoreLimits, Trouble, World};
 
 const MACHINES: usize = 4_200;
 /// Replicas of each service; half of the jobs are services.
 pub(crate) const REPLICAS: u32 = 600;
-/// When a quarter of the machines dies and all controllers end, in steps.
+/// Step at which a quarter of the machines fails; all controllers crash one step later.
 pub(crate) const LOSS_AT: u32 = 640;
-/// Bytes that values stay below here: half of what the store takes.
+/// Largest value that may be written in these tests, bytes: half of what the store accepts.
 const VALUE_LIMIT: usize = 8 * 1024;
-/// Largest body of a transaction (protocol page), bytes.
+/// Largest body of a transaction that the protocol allows, bytes.
 const TRANSACTION_LIMIT: usize = 64 * 1024;
-/// Changes a second that the store takes in these tests, and as many at once.
+/// Changes per second that the store accepts in these tests; also its burst size.
 const STORE_RATE: usize = 60;
 
 pub(crate) fn fleet(seed: u64) -> World {
     let dies = |n: usize| (LOSS_AT, Trouble::MachineDies(n * 4));
-    let mut troubles: Vec<_> = (0..MACHINES / 4).map(dies).collect();
-    troubles.push((LOSS_AT + 1, Trouble::CrashAll(5)));
-    let mut world = World::new(seed, troubles);
+    let mut faults: Vec<_> = (0..MACHINES / 4).map(dies).collect();
+    faults.push((LOSS_AT + 1, Trouble::CrashAll(5)));
+    let mut world = World::new(seed, faults);
     world.size = (MACHINES, 18_000.0);
     world.beat = (6.0, 31.0);
     world.page = 200;
@@ -28,8 +28,8 @@
     world
 }
 
-/// All replicas serve before, and again after; the store gets no more changes, and no
-/// larger values, than it takes.
+/// All replicas serve before the loss and again after it, and the store receives neither more
+/// changes nor larger values than it accepts.
 #[test]
 fn four_thousand_machines_lose_a_quarter_in_a_takeover() {
     let mut world = fleet(12);
@@ -52,18 +52,20 @@
     assert!(world.changes <= 2 * STORE_RATE, "{} changes in a second", world.changes);
     assert!(after.largest_value <= VALUE_LIMIT, "{after:?}");
     assert!(after.largest_transaction <= TRANSACTION_LIMIT, "{after:?}");
-    // What was lost (some 3,600 replicas) is started again, and nothing else.
+    // Only the lost replicas (some 3,600) are started again.
     let starts = world.starts - starts_before;
     assert!(starts < MACHINES as u32, "{starts} starts");
-    // Machines are recorded by blocks, and replicas by jobs: far less than a change each.
+    // Machines are recorded in blocks and replicas by job, so there is far less than one change
+    // for each machine or replica.
     let changes = after.changes - before.changes;
     assert!(changes < MACHINES / 4, "{changes} changes for the takeover");
     let bytes = after.bytes - before.bytes;
     assert!(bytes < MACHINES * 250, "{bytes} bytes for the takeover");
 
-    // Back in a steady state: hardly anything is written, and no machine that works is
-    // taken for deaf, though 40 direct orders at once can't ask so many every ten seconds.
-    // (Some twenty a second were returned, and one replica in twenty-five was always away.)
+    // Back in steady state, hardly anything is written, and no working machine is taken for
+    // unreachable, though 40 concurrent direct commands can't probe so many machines every ten
+    // seconds. A former version returned some twenty machines a second for this reason, so that
+    // one replica in twenty-five was always missing.
     world.run(LOSS_AT + 800);
     assert_eq!(world.broken, Vec::<String>::new());
     assert_eq!(world.serving(), replicas);
@@ -71,15 +73,16 @@
     assert!(quiet < STORE_RATE, "{quiet} changes in twenty quiet seconds");
 }
 
-/// Jobs after the one that is cancelled.
-const FOLLOWERS: u32 = 1_000;
-/// When it is cancelled, in steps.
+/// Jobs that depend, directly or not, on the cancelled one.
+const DEPENDENTS: u32 = 1_000;
+/// Step at which the root of the cascade is cancelled.
 const CASCADE_AT: u32 = 1_700;
-/// The least time that cancellations have at the operators' sites, seconds.
+/// Shortest time limit for cancellations at any site of the operators, seconds.
 const CANCEL_S: f64 = 32.0;
 
-/// Four thousand machines serve, and of pipelines 20 deep a thousand jobs are cancelled with
-/// the one that they need: users learn it in time, the store takes all, no replica is lost.
+/// While four thousand machines serve, a job is cancelled on which a thousand jobs in pipelines
+/// of depth 20 depend. Users are told of each in time, the store accepts all changes, and no
+/// replica is lost.
 #[test]
 fn four_thousand_machines_and_a_cascade_of_a_thousand_jobs() {
     let mut world = World::new(13, Vec::new());
@@ -96,7 +99,7 @@
     });
     world.cascade = Some(CascadePlan {
         first: 1_001,
-        followers: FOLLOWERS,
+        followers: DEPENDENTS,
         depth: 20,
         submit_from: 300,
         per_step: 1,
@@ -104,7 +107,7 @@
     });
     world.play(CASCADE_AT - 1);
     assert_eq!(world.broken, Vec::<String>::new());
-    assert_eq!(world.cascade_accepted(), FOLLOWERS as usize + 1);
+    assert_eq!(world.cascade_accepted(), DEPENDENTS as usize + 1);
     let (replicas, before) = (world.serving(), world.store_work);
     assert_eq!(replicas, 24 * REPLICAS as usize);
 
@@ -114,7 +117,7 @@
     let changes = world.store_work.changes - before.changes;
     println!("{times:?}; {changes} changes in 40 s, {} in the busiest second", world.changes);
     println!("{} refusals, {} ends", world.met.store_refusals, world.ends());
-    assert_eq!(times.jobs, FOLLOWERS as usize);
+    assert_eq!(times.jobs, DEPENDENTS as usize);
     assert!(times.max_s < CANCEL_S, "{times:?}");
     assert_eq!(world.serving(), replicas);
     assert!(changes < 20 * 40, "{changes} changes in 40 s");
--- a/crates/core/tests/cluster/main.rs
+++ b/crates/core/tests/cluster/main.rs
@@ -1,13 +1,13 @@
-//! Three controllers over a stand-in of state service, cloud and workers, with
-//! crashes, outages, cuts, lost answers and late messages at generated times.
-//! The rules are checked at every start, stop and answer.
+//! Tests of three controllers on a simulated state service, cloud and workers, with crashes,
+//! outages, network partitions, lost answers and late messages. The simulation checks its
+//! rules at every start, stop and answer.
 
+mod fault_combinations;
 mod gap;
-mod generated_troubles;
+mod generated_faults;
 mod held_commands;
 mod large_fleet;
-mod meetings;
-mod named_meetings;
+mod named_fault_combinations;
 mod pipelines;
 mod serving_fleets;
 mod store_limits;
@@ -18,6 +18,6 @@
 
 use marblebarrow_rehearsal::world::Trouble;
 
-fn at_leader(trouble: Trouble) -> Trouble {
-    Trouble::AtLeader(Box::new(trouble))
+fn at_leader(fault: Trouble) -> Trouble {
+    Trouble::AtLeader(Box::new(fault))
 }
--- a/crates/core/tests/cluster/named_meetings.rs
+++ b/crates/core/tests/cluster/named_fault_combinations.rs
@@ -1,35 +1,35 @@
-//! Meetings of troubles that the operators have named, with other luck each time.
+//! Combinations of faults that the operators have listed, each run with several seeds.
 
 use crate::at_leader;
 use marblebarrow_rehearsal::world::{Met, Trouble, World};
 
-/// Plays a meeting of troubles with other luck each time, at the same times and some
-/// seconds later, with jobs whose tasks end far apart and many cancels.
-/// `met` counts, after the day, how often the troubles came about; in all that must be
-/// `least` or more.
-fn meet(troubles: &[(u32, Trouble)], met: impl Fn(&Met) -> u32, least: u32) {
-    let mut times = 0;
+/// Runs a combination of faults for 12 seeds, at the given times or some seconds later, with
+/// jobs whose tasks end far apart and many cancellations. `occurrences` counts after each run how
+/// often the faults took effect, which must be at least `min_total` in all runs together.
+fn run_and_count(faults: &[(u32, Trouble)], occurrences: impl Fn(&Met) -> u32, min_total: u32) {
+    let mut total = 0;
     for seed in 0..12u64 {
         let shift = (seed % 4) as u32 * 17;
-        let moved = troubles.iter().map(|(at, t)| (at + shift, t.clone())).collect();
-        let mut world = World::new(seed, moved);
+        let shifted_faults = faults.iter().map(|(at, t)| (at + shift, t.clone())).collect();
+        let mut world = World::new(seed, shifted_faults);
         (world.gaps, world.width, world.pace) = (true, 3, (12, 500));
         world.run(1_700);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {troubles:?}");
+        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {faults:?}");
         assert!(world.starts > 60, "seed {seed}: only {} starts", world.starts);
-        times += met(&world.met);
+        total += occurrences(&world.met);
     }
-    assert!(times >= least, "the troubles met {times} times");
+    assert!(total >= min_total, "the faults coincided only {total} times");
 }
 
 fn changes(met: &Met) -> u32 {
     met.changes_of_leader.len() as u32
 }
 
-/// Controllers hand over and back, all end, and one returns, also within a second.
+/// Leadership moves between controllers and back, all controllers crash and only one returns,
+/// also within a second.
 #[test]
-fn handing_over_and_back_within_a_second() {
-    meet(
+fn leadership_moves_back_and_forth_within_a_second() {
+    run_and_count(
         &[
             (200, at_leader(Trouble::Crash(0, 4))),
             (205, at_leader(Trouble::Crash(0, 2))),
@@ -44,11 +44,11 @@
     );
 }
 
-/// A leader is cut off from the state service and the others, not from workers and
-/// users, while jobs are cancelled through the new one.
+/// A leader is cut off from the state service and the other controllers, but not from workers
+/// and users, while jobs are cancelled through the new leader.
 #[test]
 fn cancelled_through_the_new_leader_while_the_old_is_cut_off() {
-    meet(
+    run_and_count(
         &[
             (180, at_leader(Trouble::Isolated(0, 250))),
             (330, at_leader(Trouble::Isolated(0, 250))),
@@ -59,11 +59,11 @@
     );
 }
 
-/// The state service is slow, refuses the leader alone, then everybody for longer than
-/// a cancelled task may stay.
+/// The state service is slow, refuses only the leader, and then is down for longer than a
+/// cancelled task may run.
 #[test]
-fn the_store_refuses_one_and_then_all() {
-    meet(
+fn the_store_refuses_the_leader_and_then_everyone() {
+    run_and_count(
         &[
             (150, Trouble::StoreSlow(120)),
             (200, at_leader(Trouble::StoreRefuses(0, 300))),
@@ -76,17 +76,21 @@
     );
 }
 
-/// Tasks of a job end far apart, the leader changes in between, and again.
+/// Tasks of a job end far apart, and the leader changes several times in between.
 #[test]
 fn tasks_end_far_apart_across_changes_of_leader() {
     let crash = |at| (at, at_leader(Trouble::Crash(0, 50)));
-    meet(&[crash(160), crash(230), crash(300), crash(370), crash(440), crash(510)], changes, 60);
+    run_and_count(
+        &[crash(160), crash(230), crash(300), crash(370), crash(440), crash(510)],
+        changes,
+        60,
+    );
 }
 
-/// Old heartbeats arrive after newer ones, also from earlier epochs and attempts.
+/// Old heartbeats arrive after newer ones, also from earlier agent epochs and attempts.
 #[test]
-fn old_reports_arrive_after_newer_ones() {
-    meet(
+fn old_heartbeats_arrive_after_newer_ones() {
+    run_and_count(
         &[
             (120, Trouble::LateCopies(400)),
             (150, Trouble::MachineDeaf(0, 130)),
@@ -100,11 +104,11 @@
     );
 }
 
-/// Commands and their answers are held up for seconds, and machines go on.
+/// Commands and their answers are delayed for seconds while the machines keep running.
 #[test]
-fn commands_held_up_for_seconds() {
+fn commands_delayed_for_seconds() {
     let held = |at, m| (at, Trouble::MachineCut(m, 40));
-    meet(
+    run_and_count(
         &[
             held(140, 0),
             held(150, 1),
@@ -124,10 +128,10 @@
     );
 }
 
-/// Transactions without an answer are carried out late, after newer ones.
+/// Transactions without an answer take effect late, after newer ones.
 #[test]
 fn writes_take_effect_late_and_out_of_order() {
-    meet(
+    run_and_count(
         &[
             (120, Trouble::LateWrites(200)),
             (200, at_leader(Trouble::Crash(0, 15))),
@@ -140,11 +144,11 @@
     );
 }
 
-/// A leader ends while machines with long tasks are out of reach, or don't hear the
-/// new one's answers.
+/// A leader crashes while machines with long tasks are unreachable or don't receive the new
+/// leader's answers.
 #[test]
-fn a_leader_ends_while_machines_are_out_of_reach() {
-    meet(
+fn a_leader_crashes_while_machines_are_unreachable() {
+    run_and_count(
         &[
             (190, Trouble::MachineCut(0, 60)),
             (192, Trouble::MachineDeaf(1, 70)),
@@ -158,10 +162,10 @@
     );
 }
 
-/// Pairs that no list names.
+/// Pairs of faults that are not in the operators' list.
 #[test]
-fn troubles_meet_that_no_list_names() {
-    meet(
+fn unlisted_pairs_of_faults() {
+    run_and_count(
         &[
             (150, Trouble::Boots(50, 200)),
             (160, Trouble::MachineDies(0)),
--- a/crates/core/tests/cluster/pipelines.rs
+++ b/crates/core/tests/cluster/pipelines.rs
@@ -1,32 +1,33 @@
-//! Pipelines of jobs with DAG dependencies: no task starts before every job its job
-//! needs is done (`too_early`), and the jobs after a cancelled one are told aborted
-//! within the cancellation's time (`orphaned`), through failover, lost answers of the
-//! write of `done`, late copies of heartbeats and restarts within a second.
+//! Pipelines of jobs with DAG dependencies. No task starts before every job that its job depends
+//! on is done (rule `too_early`), and the dependents of a cancelled job are reported as aborted
+//! within the time limit of cancellations (rule `orphaned`), despite failover, lost answers to
+//! the write of `done`, late copies of heartbeats and restarts within a second.
 
 use crate::at_leader;
 use marblebarrow_proto::wire::Stage;
 use marblebarrow_rehearsal::world::{CascadePlan, CascadeTimes, StoreLimits, Trouble, World};
 
-/// Plays a day with pipelines of three jobs under the troubles, over several seeds; every
-/// fourth job is called off a second after it was accepted.
-fn pipelines_under(troubles: &[(u32, Trouble)]) -> (u32, u32) {
-    let mut followers_started = 0;
+/// Runs pipelines of three jobs under the faults, for several seeds; every fourth job is
+/// cancelled a second after it was accepted. Returns how many dependents started and how many
+/// jobs a cascade cancelled.
+fn pipelines_under(faults: &[(u32, Trouble)]) -> (u32, u32) {
+    let mut dependents_started = 0;
     let mut cascades = 0;
     for seed in 0..6u64 {
-        let mut world = World::new(seed, troubles.to_vec());
+        let mut world = World::new(seed, faults.to_vec());
         (world.width, world.pace, world.no_services) = (3, (10, 600), true);
         world.pipeline = Some(3);
         world.quarter = true;
         world.run(2_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {troubles:?}");
-        followers_started += world.met.dependents_started;
+        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {faults:?}");
+        dependents_started += world.met.dependents_started;
         cascades += world.met.cascaded;
     }
-    (followers_started, cascades)
+    (dependents_started, cascades)
 }
 
 #[test]
-fn pipelines_wait_and_cascade_on_a_quiet_day() {
+fn pipelines_wait_and_cascade_without_faults() {
     let (started, cascaded) = pipelines_under(&[]);
     assert!(started > 30, "only {started} jobs after others began");
     assert!(cascaded > 3, "only {cascaded} jobs cancelled by a cascade");
@@ -47,11 +48,11 @@
     assert!(cascaded > 3, "only {cascaded} jobs cancelled by a cascade");
 }
 
-/// A cascade cancellation that was carried out though its answer was lost isn't repeated for
-/// good: each failed repetition counts against the store's rate of changes, and the few that
-/// may be under way at once would hold up all later ones.
+/// A cascade cancellation that was executed although its answer was lost must not be retried
+/// forever: each failed retry counts against the store's rate limit, and only a few may be in
+/// flight at once, so they would delay all later ones.
 #[test]
-fn a_cascade_whose_answer_was_lost_is_not_repeated_for_good() {
+fn a_cascade_whose_answer_was_lost_is_not_retried_forever() {
     for seed in 0..6u64 {
         let mut world = World::new(seed, vec![(20, Trouble::AnswersLost(580))]);
         (world.width, world.pace, world.no_services) = (3, (10, 600), true);
@@ -65,27 +66,28 @@
     }
 }
 
-/// A job accepted as queued though one it names was cancelled just before, and is over: the
-/// leader finds that in the store and cancels it, and so does the next leader if this one
-/// ends first.
+/// A job is accepted as queued although one of its dependencies was cancelled just before and has
+/// ended. The leader finds this in the store and cancels the job, and so does the next leader if
+/// the first one crashes before.
 #[test]
 fn a_job_accepted_as_its_dependency_was_cancelled_is_cancelled_too() {
-    let leader_ends = |at| (at, at_leader(Trouble::Crash(0, 40)));
-    for troubles in [vec![], vec![leader_ends(151)], vec![leader_ends(153)]] {
+    let leader_crash = |at| (at, at_leader(Trouble::Crash(0, 40)));
+    for faults in [vec![], vec![leader_crash(151)], vec![leader_crash(153)]] {
         for seed in 0..4u64 {
-            let mut world = World::new(seed, troubles.clone());
+            let mut world = World::new(seed, faults.clone());
             (world.width, world.pace, world.no_services) = (3, (25, 300), true);
             world.play(150);
             let job = world.accept_after_cancellation();
             world.run(600);
-            assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {troubles:?}");
-            let told = world.told(&job);
-            assert!(matches!(told, Some((Stage::Cancelled, _))), "seed {seed}: {told:?}");
-            assert!(!world.begun.contains_key(&job), "seed {seed}: it started");
+            assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {faults:?}");
+            let reported = world.told(&job);
+            assert!(matches!(reported, Some((Stage::Cancelled, _))), "seed {seed}: {reported:?}");
+            assert!(!world.begun.contains_key(&job), "seed {seed}: the job started");
         }
     }
 }
-/// The smallest limits that were announced: 15 changes a second, five in a transaction.
+/// The smallest limits that the state service announces: 15 changes per second, five per
+/// transaction.
 const LIMITS: StoreLimits = StoreLimits {
     requests_per_s: 100.0,
     changes_per_s: 15.0,
@@ -94,23 +96,23 @@
     announced: true,
     from: 0,
 };
-/// When the root of the cascade is cancelled, in steps.
+/// Step at which the root of the cascade is cancelled.
 const CASCADE_AT: u32 = 1_400;
-/// Jobs after it.
-const FOLLOWERS: u32 = 1_000;
-/// The least time that cancellations have at the operators' sites, seconds.
+/// Jobs that depend, directly or not, on the root of the cascade.
+const DEPENDENTS: u32 = 1_000;
+/// Shortest time limit for cancellations at any site of the operators, seconds.
 const CANCEL_S: f64 = 32.0;
 
-/// A cascade of a thousand jobs in pipelines of so many, beside other jobs, on a store with
-/// the smallest limits.
-fn cascade(seed: u64, depth: u32, troubles: &[(u32, Trouble)]) -> World {
-    let mut world = World::new(seed, troubles.to_vec());
+/// A cascade of a thousand jobs in pipelines of the given depth, alongside other jobs, on a store
+/// with the smallest limits.
+fn cascade(seed: u64, depth: u32, faults: &[(u32, Trouble)]) -> World {
+    let mut world = World::new(seed, faults.to_vec());
     (world.width, world.pace, world.no_services) = (1, (50, 3_000), true);
     (world.gaps, world.gap_s, world.page) = (true, 100_000.0, 100);
     (world.poll_every, world.store_limits) = (50, Some(LIMITS));
     world.cascade = Some(CascadePlan {
         first: 1_001,
-        followers: FOLLOWERS,
+        followers: DEPENDENTS,
         depth,
         submit_from: 100,
         per_step: 1,
@@ -119,11 +121,11 @@
     world
 }
 
-/// Runs until users have been told of the whole cascade; returns how long that took.
-fn tell_all(world: &mut World) -> CascadeTimes {
+/// Runs until users have been told of every cancelled job; returns how long that took.
+fn run_until_all_reported(world: &mut World) -> CascadeTimes {
     world.play(CASCADE_AT - 1);
     assert_eq!(world.broken, Vec::<String>::new());
-    assert_eq!(world.cascade_accepted(), FOLLOWERS as usize + 1);
+    assert_eq!(world.cascade_accepted(), DEPENDENTS as usize + 1);
     let before = world.store_work.changes;
     world.play(CASCADE_AT + 400);
     assert_eq!(world.broken, Vec::<String>::new());
@@ -131,33 +133,33 @@
     let (changes, met) = (world.store_work.changes - before, &world.met);
     println!("{times:?}; {changes} changes in 40 s, {} in the busiest second", world.changes);
     println!("{} refusals, {} unanswered polls", met.store_refusals, met.cascade_unanswered);
-    assert_eq!(times.jobs, FOLLOWERS as usize);
+    assert_eq!(times.jobs, DEPENDENTS as usize);
     assert!(times.max_s < CANCEL_S, "{times:?}");
     times
 }
 
 #[test]
-fn a_thousand_jobs_are_aborted_in_time_by_a_slow_store() {
+fn a_thousand_jobs_are_aborted_in_time_with_the_smallest_store_limits() {
     let mut world = cascade(1, 20, &[]);
-    let times = tell_all(&mut world);
-    // Users ask every five seconds.
+    let times = run_until_all_reported(&mut world);
+    // Users poll every five seconds.
     assert!(times.p99_s < 6.0, "{times:?}");
     assert!(world.cascade_lists() > 0);
-    // The final states follow, and then the lists go.
+    // The final states are written later, and then the cascade lists are deleted.
     world.run(CASCADE_AT + 7_000);
     assert_eq!(world.broken, Vec::<String>::new());
     println!("{} ends, {} refusals", world.ends(), world.met.store_refusals);
     assert_eq!(world.cascade_lists(), 0);
-    assert!(world.ends() > FOLLOWERS as usize);
+    assert!(world.ends() > DEPENDENTS as usize);
     assert!(world.changes <= 2 * LIMITS.changes_per_s as usize, "{} a second", world.changes);
 }
 
-/// Leaders end while the lists are written and after, answers of transactions are lost, and
-/// some transactions take effect late, after newer ones.
+/// Leaders crash while the cascade lists are written and after that, answers to transactions are
+/// lost, and some transactions take effect late, after newer ones.
 #[test]
 fn a_thousand_jobs_are_aborted_through_failover_and_lost_answers() {
-    let after = |steps: u32, trouble| (CASCADE_AT + steps, trouble);
-    let days: [&[(u32, Trouble)]; 3] = [
+    let after = |steps: u32, fault| (CASCADE_AT + steps, fault);
+    let fault_plans: [&[(u32, Trouble)]; 3] = [
         &[
             after(0, Trouble::AnswersLost(100)),
             after(5, at_leader(Trouble::Crash(0, 30))),
@@ -171,11 +173,11 @@
         ],
         &[after(3, at_leader(Trouble::StoreRefuses(0, 40))), after(8, Trouble::CrashAll(10))],
     ];
-    for (seed, troubles) in (2..).zip(days) {
-        let mut world = cascade(seed, 20, troubles);
-        tell_all(&mut world);
+    for (seed, faults) in (2..).zip(fault_plans) {
+        let mut world = cascade(seed, 20, faults);
+        run_until_all_reported(&mut world);
         if seed == 2 {
-            // The last leader goes on from the lists that it found.
+            // The last leader continues from the lists that it found in the store.
             world.run(CASCADE_AT + 7_500);
             assert_eq!(world.broken, Vec::<String>::new());
             assert_eq!(world.cascade_lists(), 0);
@@ -183,10 +185,10 @@
     }
 }
 
-/// A controller's watch brings nothing, and users ask all controllers right after one said
-/// aborted: the one that is behind answers no job with something older.
+/// A controller's watch is stuck, and users ask all controllers right after one reported a job
+/// as aborted: the lagging controller must not answer with an older state.
 #[test]
-fn a_controller_that_is_behind_says_nothing_older_than_aborted() {
+fn a_lagging_controller_reports_no_state_older_than_aborted() {
     for stuck in 0..3 {
         let mut world = cascade(
             5 + stuck as u64,
@@ -196,8 +198,8 @@
                 (CASCADE_AT, Trouble::CloseLooks(200)),
             ],
         );
-        tell_all(&mut world);
-        assert!(world.met.looks >= FOLLOWERS, "{} looks", world.met.looks);
+        run_until_all_reported(&mut world);
+        assert!(world.met.looks >= DEPENDENTS, "{} looks", world.met.looks);
         assert!(world.met.cascade_unanswered > 0);
     }
 }
--- a/crates/core/tests/cluster/serving_fleets.rs
+++ b/crates/core/tests/cluster/serving_fleets.rs
@@ -1,10 +1,12 @@
-//! Fleets that serve: machines that die, cuts that look like it, and a quarter lost.
+//! Fleets that run services: failed machines, network partitions that resemble failures, and the
+//! loss of a quarter of the machines.
 
 use marblebarrow_rehearsal::world::{Trouble, World};
 
-/// A service on eighty machines in two zones, at a real fleet's pace.
-fn serving_fleet(seed: u64, trouble: Vec<(u32, Trouble)>) -> World {
-    let mut world = World::new(seed, trouble);
+/// A service on eighty machines in two zones, with the heartbeat interval and lease of a real
+/// fleet.
+fn serving_fleet(seed: u64, faults: Vec<(u32, Trouble)>) -> World {
+    let mut world = World::new(seed, faults);
     world.size = (120, 400.0);
     world.beat = (5.0, 26.5);
     world.page = 200;
@@ -13,8 +15,8 @@
     world
 }
 
-/// Machines that die are given up, and their replicas serve elsewhere, long
-/// before their leases end (26.5 s): once they kept them away for all of it.
+/// Failed machines are returned to the cloud, and their replicas serve elsewhere, long before the
+/// leases expire (26.5 s). The replicas used to be missing until then.
 #[test]
 fn replicas_of_dead_machines_do_not_wait_for_leases() {
     for seed in 0..4 {
@@ -22,7 +24,7 @@
         let mut world = serving_fleet(seed, (0..10).map(dies).collect());
         world.run(395);
         let replicas = world.serving();
-        assert!(replicas >= 300, "seed {seed}: {replicas} serve");
+        assert!(replicas >= 300, "seed {seed}: {replicas} replicas serve");
         world.run(405);
         assert!(world.serving() <= replicas - 30, "seed {seed}: {}", world.serving());
         world.run(600);
@@ -31,10 +33,10 @@
     }
 }
 
-/// Neither a zone that is cut off nor a leader that is cut off from its workers
-/// has machines given up within the seconds that would be enough for dead ones.
+/// Neither a partitioned zone nor a leader that is cut off from its workers causes machines to be
+/// returned within the seconds after which failed ones are.
 #[test]
-fn cuts_are_not_taken_for_deaths() {
+fn partitions_are_not_taken_for_machine_failures() {
     for seed in 0..4 {
         let cuts: Vec<Vec<(u32, Trouble)>> = vec![
             vec![(400, Trouble::ZoneCut("b", 140))],
@@ -49,28 +51,28 @@
             assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {cut:?}");
             assert_eq!(world.serving(), replicas, "seed {seed} {cut:?}");
             let more = world.returned() - returned;
-            assert!(more <= 4, "seed {seed} {cut:?}: {more} given up");
+            assert!(more <= 4, "seed {seed} {cut:?}: {more} machines returned");
         }
     }
 }
 
-/// Half as many machines again as the largest fleet has. A quarter of them dies
-/// in one moment, while all controllers crash: the silent ones hold up neither
-/// the orders to the others nor the return to service, direct commands and
-/// changes to the store stay within their bounds, and every replica serves
-/// again.
+/// A fleet 1.5 times as large as the operators' largest loses a quarter of its machines at once,
+/// while all controllers crash. The unreachable machines delay neither the commands to the others
+/// nor the recovery, direct commands and changes to the store stay within their bounds, and every
+/// replica serves again.
 #[test]
 fn a_fleet_that_loses_a_quarter_in_a_takeover_serves_again() {
     let dies = |m: usize| (400, Trouble::MachineDies(m * 4));
-    let mut troubles: Vec<_> = (0..525).map(dies).collect();
-    troubles.push((401, Trouble::CrashAll(5)));
-    let mut world = World::new(11, troubles);
+    let mut faults: Vec<_> = (0..525).map(dies).collect();
+    faults.push((401, Trouble::CrashAll(5)));
+    let mut world = World::new(11, faults);
     world.size = (2_100, 9_000.0);
     world.beat = (5.0, 26.5);
     world.page = 200;
     world.replicas = 300;
     world.pace = (4, 190);
-    // Jobs that came last are not over yet: that they are is checked when the day ends.
+    // `play` doesn't check that jobs have ended: the latest ones are still running here. `run`
+    // checks it below.
     world.play(395);
     assert_eq!(world.broken, Vec::<String>::new());
     let (up, replicas) = (world.up(), world.serving());
@@ -78,12 +80,12 @@
     assert_eq!(replicas, 24 * 300);
     world.run(410);
     assert!(world.serving() < replicas - 1_000, "{} of {replicas}", world.serving());
-    // What it takes to give up the dead, boot others, and place and record more
-    // than a thousand, with one order in 25 lost for up to 12 s.
+    // Time to return the failed machines, boot others, and place and record more than a
+    // thousand tasks, with one command in 25 lost for up to 12 s.
     world.run(800);
     assert_eq!(world.broken, Vec::<String>::new());
     assert_eq!(world.serving(), replicas);
     assert!(world.directs <= 40, "{} direct commands at once", world.directs);
-    // The store takes bursts of one second's worth.
+    // The store accepts bursts of one second's worth of changes.
     assert!(world.changes <= 2 * 60, "{} changes in a second", world.changes);
 }
--- a/crates/core/tests/cluster/store_limits.rs
+++ b/crates/core/tests/cluster/store_limits.rs
@@ -1,37 +1,38 @@
-//! The state service's limits fall while it is in use: values of 1 KiB, five changes a
-//! transaction, 15 changes a second. What was stored under the wider ones stays readable, and
-//! its next rewrite fits; nothing that was accepted is lost, and work goes on.
+//! The state service's limits are lowered while it is in use: to values of 1 KiB, five changes
+//! per transaction and 15 changes per second. Records stored under the higher limits must stay
+//! readable and fit when they are next written, no accepted work may be lost, and work goes on.
 
 use crate::at_leader;
 use marblebarrow_rehearsal::world::{StoreLimits, Trouble, World};
 
-/// The step from which on the limits are lower.
-const FALL_AT: u32 = 500;
+/// Step from which the lower limits apply.
+const LOWERED_AT: u32 = 500;
 
-fn fallen(announced: bool) -> StoreLimits {
+fn lowered_limits(announced: bool) -> StoreLimits {
     StoreLimits {
         requests_per_s: 100.0,
         changes_per_s: 15.0,
         changes_per_transaction: 5,
         value_bytes: 1024,
         announced,
-        from: FALL_AT,
+        from: LOWERED_AT,
     }
 }
 
-/// A day with more machines than a value of 1 KiB holds records of.
-fn day(seed: u64, announced: bool, troubles: &[(u32, Trouble)]) -> World {
-    let mut world = World::new(seed, troubles.to_vec());
+/// A world with more machines than a value of 1 KiB can hold records of.
+fn lowered_limits_world(seed: u64, announced: bool, faults: &[(u32, Trouble)]) -> World {
+    let mut world = World::new(seed, faults.to_vec());
     (world.width, world.replicas, world.pace) = (60, 30, (30, 900));
     world.size = (200, 800.0);
     world.poll_every = 50;
-    world.store_limits = Some(fallen(announced));
+    world.store_limits = Some(lowered_limits(announced));
     world
 }
 
-/// Starts after the limits fell, once the shapes of records have followed.
-fn starts_after_the_fall(world: &mut World) -> u32 {
-    world.play(FALL_AT + 50);
+/// Counts the starts from five seconds after the limits were lowered, when the records have been
+/// split to fit.
+fn starts_after_lowering(world: &mut World) -> u32 {
+    world.play(LOWERED_AT + 50);
     let before = world.starts;
     world.run(3_000);
     assert_eq!(world.broken, Vec::<String>::new());
@@ -41,40 +42,40 @@
 #[test]
 fn announced_limits_are_kept_from_the_start() {
     for seed in 0..4 {
-        let mut world = day(seed, true, &[]);
-        let starts = starts_after_the_fall(&mut world);
+        let mut world = lowered_limits_world(seed, true, &[]);
+        let starts = starts_after_lowering(&mut world);
         assert!(starts > 200, "seed {seed}: {starts} starts");
         assert_eq!(world.met.rejections, 0, "seed {seed}");
     }
 }
 
 #[test]
-fn limits_that_fall_unannounced_are_found_and_kept() {
+fn limits_lowered_unannounced_are_detected_and_kept() {
     for seed in 0..4 {
-        let mut world = day(seed, false, &[]);
-        let starts = starts_after_the_fall(&mut world);
+        let mut world = lowered_limits_world(seed, false, &[]);
+        let starts = starts_after_lowering(&mut world);
         assert!(starts > 200, "seed {seed}: {starts} starts");
         let rejections = world.met.rejections;
-        assert!(rejections > 0, "seed {seed}: never too large before either");
-        assert!(rejections < 40, "seed {seed}: {rejections} rejected, without an end");
+        assert!(rejections > 0, "seed {seed}: no write was rejected as too large");
+        assert!(rejections < 40, "seed {seed}: {rejections} writes rejected");
     }
 }
 
-/// Leaders end around the fall: each reads what the one before stored, in whatever shape,
-/// loses no machine or start of it, and finds the limits anew.
+/// Leaders crash around the time at which the limits are lowered. Each reads what its predecessor
+/// stored, in whatever layout, loses no machine or start, and detects the limits again.
 #[test]
-fn limits_fall_amid_failovers_and_lost_answers() {
-    let troubles = [
-        (FALL_AT - 20, Trouble::AnswersLost(100)),
-        (FALL_AT - 5, at_leader(Trouble::Crash(0, 20))),
-        (FALL_AT + 60, at_leader(Trouble::Crash(0, 3))),
-        (FALL_AT + 120, Trouble::LateWrites(120)),
-        (FALL_AT + 200, Trouble::CrashAll(5)),
+fn limits_lowered_amid_failovers_and_lost_answers() {
+    let faults = [
+        (LOWERED_AT - 20, Trouble::AnswersLost(100)),
+        (LOWERED_AT - 5, at_leader(Trouble::Crash(0, 20))),
+        (LOWERED_AT + 60, at_leader(Trouble::Crash(0, 3))),
+        (LOWERED_AT + 120, Trouble::LateWrites(120)),
+        (LOWERED_AT + 200, Trouble::CrashAll(5)),
     ];
     for announced in [true, false] {
         for seed in 0..4 {
-            let mut world = day(seed, announced, &troubles);
-            let starts = starts_after_the_fall(&mut world);
+            let mut world = lowered_limits_world(seed, announced, &faults);
+            let starts = starts_after_lowering(&mut world);
             assert!(starts > 100, "seed {seed}, announced {announced}: {starts} starts");
         }
     }
--- a/crates/core/tests/cluster/upgrade.rs
+++ b/crates/core/tests/cluster/upgrade.rs
@@ -1,27 +1,28 @@
-//! The version gate through a rolling upgrade: pipelines are refused until every controller
-//! runs the new version, and taken from then on by every process, also by one that begins
-//! while another controller is down.
+//! The version gate during a rolling upgrade: pipelines are refused until every controller runs
+//! the new version, and accepted from then on by every process, also by one that is started while
+//! another controller is down.
 
 use crate::at_leader;
 use marblebarrow_core::consts::DEPENDENCIES_FORMAT;
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_rehearsal::world::{Trouble, World};
 
-/// Controllers in the world.
+/// Controllers in the simulation.
 const CONTROLLERS: usize = 3;
-/// Jobs of a pipeline; the first names none.
+/// Jobs in a pipeline; the first one names no dependencies.
 const PIPELINE: u32 = 3;
 
-/// A day that begins with the version in production everywhere; its users submit pipelines.
-fn day_of_upgrade(seed: u64, troubles: Vec<(u32, Trouble)>) -> World {
-    let mut world = World::new(seed, troubles);
+/// A world in which all controllers run the production version at first and users submit
+/// pipelines.
+fn upgrade_world(seed: u64, faults: Vec<(u32, Trouble)>) -> World {
+    let mut world = World::new(seed, faults);
     (world.width, world.pace, world.no_services) = (3, (10, 900), true);
     world.pipeline = Some(PIPELINE);
     world.begin_upgrade();
     world
 }
 
-/// Steps at which a job that names dependencies was first told accepted.
+/// Steps at which each job with dependencies was first reported as accepted.
 fn pipelines_accepted(world: &World) -> Vec<u32> {
     let number = |id: &JobId| id.as_str()["req-".len()..].parse::<u32>().expect("a number");
     let named = world.accepted_at.iter().filter(|(id, _)| number(id) % PIPELINE != 0);
@@ -32,29 +33,30 @@
     (0..CONTROLLERS).all(|n| world.dependencies_allowed(n) != Some(true))
 }
 
-/// Replaces the controllers one after the other; returns when the last has its new version.
+/// Upgrades the controllers one after the other; returns the step by which the last one runs the
+/// new version.
 fn upgrade(world: &mut World) -> u32 {
     for n in 0..CONTROLLERS {
         world.restart(n, DEPENDENCIES_FORMAT, 20);
-        assert!(no_gate_is_open(world), "before c{n} is new");
-        assert_eq!(world.format_in_store(), None, "before c{n} is new");
+        assert!(no_gate_is_open(world), "before c{n} is upgraded");
+        assert_eq!(world.format_in_store(), None, "before c{n} is upgraded");
         world.play(100 * (n as u32 + 2));
     }
     100 * (CONTROLLERS as u32 + 1)
 }
 
 #[test]
-fn a_process_that_begins_while_another_is_down_takes_pipelines_after_the_upgrade() {
+fn a_process_started_while_another_is_down_accepts_pipelines_after_the_upgrade() {
     for seed in 0..4 {
-        let mut world = day_of_upgrade(seed, Vec::new());
+        let mut world = upgrade_world(seed, Vec::new());
         world.play(100);
         let upgraded = upgrade(&mut world);
         assert_eq!(world.format_in_store(), Some(DEPENDENCIES_FORMAT), "seed {seed}");
-        let last_turn = upgraded - 100;
+        let last_upgrade_at = upgraded - 100;
         let early: Vec<u32> =
-            pipelines_accepted(&world).into_iter().filter(|at| *at < last_turn).collect();
-        assert_eq!(early, Vec::<u32>::new(), "seed {seed}: accepted before all were new");
-        // All end at once, and c1 stays away: nobody has heard it since.
+            pipelines_accepted(&world).into_iter().filter(|at| *at < last_upgrade_at).collect();
+        assert_eq!(early, Vec::<u32>::new(), "seed {seed}: accepted before all were upgraded");
+        // All controllers restart at once, and c1 stays down: no process has heard from it since.
         for n in 0..CONTROLLERS {
             world.restart(n, DEPENDENCIES_FORMAT, if n == 1 { 300 } else { 5 });
         }
@@ -70,13 +72,13 @@
     }
 }
 
-/// Without the record of a complete upgrade a process must hear all: one controller that was
-/// last heard old, or was never heard, keeps every gate shut and the record unwritten,
-/// through whatever goes wrong.
+/// Without the record of a complete upgrade, a process must have heard from all controllers. One
+/// controller that was last heard with the old version, or was never heard, keeps every gate
+/// closed and the record unwritten, whatever faults occur.
 #[test]
-fn nothing_is_recorded_and_no_pipeline_taken_while_one_controller_is_old() {
+fn no_format_is_recorded_and_no_pipeline_accepted_while_one_controller_is_old() {
     for seed in 0..6 {
-        let mut world = day_of_upgrade(
+        let mut world = upgrade_world(
             seed,
             vec![
                 (200, at_leader(Trouble::Crash(0, 5))),
@@ -100,7 +102,7 @@
             assert_eq!(world.format_in_store(), None, "seed {seed} step {}", world.elapsed());
         }
         assert_eq!(pipelines_accepted(&world), Vec::<u32>::new(), "seed {seed}");
-        // Its turn comes in the end.
+        // Finally the last controller is upgraded.
         world.restart(1, DEPENDENCIES_FORMAT, 5);
         world.play(1_000);
         assert_eq!(world.format_in_store(), Some(DEPENDENCIES_FORMAT), "seed {seed}");
@@ -109,17 +111,17 @@
     }
 }
 
-/// The record comes and stays though answers to its write are lost and old tries take effect
-/// late, and a leader that ends is followed by one that writes it.
+/// The record is written and kept although answers to its write are lost and earlier attempts take
+/// effect late; if a leader crashes before writing it, the next leader does.
 #[test]
-fn the_record_is_written_through_lost_answers_late_writes_and_a_failover() {
+fn the_format_record_is_written_despite_lost_answers_late_writes_and_a_failover() {
     for seed in 0..6 {
-        let troubles = vec![
+        let faults = vec![
             (295, Trouble::AnswersLost(200)),
             (295, Trouble::LateWrites(200)),
             (330, at_leader(Trouble::Crash(0, 20))),
         ];
-        let mut world = day_of_upgrade(seed, troubles);
+        let mut world = upgrade_world(seed, faults);
         world.play(100);
         upgrade(&mut world);
         let mut recorded = None;
@@ -133,14 +135,14 @@
         world.check_over();
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
         let late = world.met.conflicts.iter().filter(|at| **at > 1_500).count();
-        assert!(late < 10, "seed {seed}: {late} transactions refused after the troubles");
+        assert!(late < 10, "seed {seed}: {late} transactions refused after the faults");
     }
 }
 
-/// A record higher than what all were heard to run, as a later version left it, is kept.
+/// A recorded format higher than what all controllers run, left by a later version, is kept.
 #[test]
-fn the_record_never_falls() {
-    let mut world = day_of_upgrade(1, Vec::new());
+fn the_recorded_format_is_never_lowered() {
+    let mut world = upgrade_world(1, Vec::new());
     world.record_format(DEPENDENCIES_FORMAT + 1);
     for n in 0..CONTROLLERS {
         world.restart(n, DEPENDENCIES_FORMAT, n as u32);
--- a/crates/core/tests/cluster/workloads.rs
+++ b/crates/core/tests/cluster/workloads.rs
@@ -1,4 +1,4 @@
-//! Jobs of all sizes and kinds, with few troubles or none.
+//! Jobs of all sizes and kinds, with few faults or none.
 
 use crate::at_leader;
 use marblebarrow_proto::ids::JobId;
@@ -6,33 +6,36 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// A quiet run: everything is accepted, run and told, and machines go back.
+/// Without faults, every job is accepted, run and reported, and machines are returned.
 #[test]
-fn a_quiet_day_ends_with_all_work_done() {
+fn without_faults_all_work_completes() {
     let mut world = World::new(1, Vec::new());
     world.run(1_600);
     assert_eq!(world.broken, Vec::<String>::new());
     assert!(world.starts > 20, "only {} starts", world.starts);
 }
 
-/// Entries of ended tasks are cleared with other commands or in answers to reports: such an
-/// order by itself only goes to a machine that is asked whether it hears us at all.
+/// Entries of ended tasks are cleared along with other commands or in answers to heartbeats. A
+/// command that only clears entries is sent only to probe whether a machine is reachable.
 #[test]
-fn lists_are_cleared_without_orders_of_their_own() {
-    let (mut orders, mut clearing) = (0, 0);
+fn ended_entries_are_cleared_without_separate_commands() {
+    let (mut commands, mut clearing_commands) = (0, 0);
     for seed in 0..6 {
         let mut world = World::new(seed, Vec::new());
         (world.width, world.pace) = (6, (18, 900));
         world.run(1_600);
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
-        orders += world.met.orders;
-        clearing += world.met.clearing_orders;
+        commands += world.met.orders;
+        clearing_commands += world.met.clearing_orders;
     }
-    assert!(orders > 100, "only {orders} orders");
-    assert!(clearing * 20 < orders, "{clearing} of {orders} orders only clear");
+    assert!(commands > 100, "only {commands} commands");
+    assert!(
+        clearing_commands * 20 < commands,
+        "{clearing_commands} of {commands} commands only clear entries"
+    );
 }
 
-/// A machine that takes six times as long as others is found out and returned.
+/// A machine that takes six times as long as others is detected, cordoned and returned.
 #[test]
 fn a_slow_machine_gets_no_more_work() {
     let mut world = World::new(3, vec![(60, Trouble::MachineSlow(0, 1_500))]);
@@ -41,10 +44,10 @@
     assert!(world.cordons > 0);
 }
 
-/// More thin, pressing jobs than machines: a wide job that has missed its
-/// deadline already still begins, after a minute at the latest.
+/// There are more urgent narrow jobs than machines. A wide job that has already missed its
+/// deadline must still start, after about a minute at the latest (the test allows 70 s).
 #[test]
-fn a_hopeless_wide_job_begins_all_the_same() {
+fn a_wide_job_past_its_deadline_still_starts() {
     for seed in 0..4 {
         let mut world = World::new(seed, Vec::new());
         world.pace = (3, 900);
@@ -53,32 +56,35 @@
         let broken: Vec<&String> =
             world.broken.iter().filter(|b| !b.contains("never told")).collect();
         assert!(broken.is_empty(), "seed {seed}: {broken:?}");
-        let begun = world.begun.get(&JobId::new("req-000040"));
-        assert!(begun.is_some_and(|at| *at < 120 + 700), "seed {seed}: {begun:?}");
+        let started_at = world.begun.get(&JobId::new("req-000040"));
+        assert!(started_at.is_some_and(|at| *at < 120 + 700), "seed {seed}: {started_at:?}");
     }
 }
 
-/// Arrays hold all that their team may use: a service of that team takes it from
-/// them, and doesn't wait until they end by themselves.
+/// Arrays use the whole quota of their team. A service of that team preempts them and doesn't
+/// wait until they end.
 #[test]
-fn a_service_takes_its_teams_quota_from_arrays() {
+fn a_service_preempts_arrays_for_its_teams_quota() {
     for seed in 0..6 {
         let mut world = World::new(seed, Vec::new());
         world.pace = (4, 160);
         world.run(500);
         for n in (23..37).step_by(4) {
             let id = JobId::new(&format!("req-{n:06}"));
-            let known = world.accepted_at.get(&id).copied().unwrap_or(u32::MAX);
-            let begun = world.begun.get(&id).copied();
-            assert!(begun.is_some_and(|b| b < known + 100), "seed {seed} {id} {known} {begun:?}");
+            let accepted_at = world.accepted_at.get(&id).copied().unwrap_or(u32::MAX);
+            let started_at = world.begun.get(&id).copied();
+            assert!(
+                started_at.is_some_and(|b| b < accepted_at + 100),
+                "seed {seed} {id} {accepted_at} {started_at:?}"
+            );
         }
     }
 }
 
-/// A job of the largest size holds up nobody else, and its records stay within
-/// the store's limits (the stand-in checks them).
+/// A job of the largest size delays no other job, and its records stay within the store's limits,
+/// which the simulated store checks.
 #[test]
-fn the_largest_job_holds_up_no_other() {
+fn the_largest_job_delays_no_other() {
     let mut world = World::new(5, Vec::new());
     world.wide = Some((2, 100_000));
     world.run(900);
@@ -88,11 +94,10 @@
     assert!(world.begun.contains_key(&JobId::new("req-000002")));
 }
 
-/// Idle work fills all that spot machines offer, and yet other arrays begin at
-/// once, as it gives way; it runs to its end, and no ordinary machine is rented
-/// for it.
+/// Idle work uses all the capacity of spot machines. Other arrays still start promptly, because it
+/// is preempted for them; it runs to completion, and no ordinary machine is rented for it.
 #[test]
-fn idle_work_gives_way_and_takes_no_ordinary_machine() {
+fn idle_work_is_preempted_and_rents_no_ordinary_machine() {
     for seed in 0..4 {
         let mut world = World::new(seed, Vec::new());
         world.size = (12, 100.0);
@@ -102,13 +107,16 @@
         world.run(4_000);
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.ordinary, 0, "seed {seed}");
-        let begun = world.begun.get(&JobId::new("req-000003")).copied();
-        assert!(begun.is_some_and(|at| at < 80 + 2_400), "seed {seed} {begun:?}");
+        let started_at = world.begun.get(&JobId::new("req-000003")).copied();
+        assert!(started_at.is_some_and(|at| at < 80 + 2_400), "seed {seed} {started_at:?}");
         for n in 10..28 {
             let id = JobId::new(&format!("req-{n:06}"));
-            let known = world.accepted_at.get(&id).copied().unwrap_or(u32::MAX);
-            let begun = world.begun.get(&id).copied();
-            assert!(begun.is_some_and(|b| b < known + 60), "seed {seed} {id} {known} {begun:?}");
+            let accepted_at = world.accepted_at.get(&id).copied().unwrap_or(u32::MAX);
+            let started_at = world.begun.get(&id).copied();
+            assert!(
+                started_at.is_some_and(|b| b < accepted_at + 60),
+                "seed {seed} {id} {accepted_at} {started_at:?}"
+            );
         }
     }
 }
@@ -122,34 +130,34 @@
         ..ProptestConfig::default()
     })]
 
-    /// A guest's idle job of any size, the protocol's largest included, begins within
-    /// four minutes and holds up nobody, across a change of leader too.
+    /// An idle job of any size, including the largest that the protocol allows, starts within
+    /// four minutes and delays no other job, also across a change of leader.
     #[test]
-    fn a_guest_of_any_size_holds_up_nobody(
+    fn an_idle_job_of_any_size_delays_no_other(
         seed in any::<u64>(),
         number in 2u32..8,
         tasks in prop_oneof![1u32..4, 4u32..400, Just(100_000u32)],
         crash in 200u32..500,
     ) {
         let mut world = World::new(seed, vec![(crash, at_leader(Trouble::Crash(0, 40)))]);
-        // Numbers that divide by five are cancelled by their users.
+        // Users cancel the jobs whose numbers are divisible by five.
         let number = if number == 5 { 6 } else { number };
         (world.idle, world.no_services) = (Some((number, tasks)), true);
         (world.size, world.pace) = ((12, 100.0), (25, 700));
         world.run(1_600);
-        let guest = format!("req-{number:06}");
+        let idle_job = format!("req-{number:06}");
         let others: Vec<&String> =
-            world.broken.iter().filter(|b| !b.starts_with(&guest)).collect();
+            world.broken.iter().filter(|b| !b.starts_with(&idle_job)).collect();
         prop_assert!(others.is_empty(), "{:?}", others);
-        let begun = world.begun.get(&JobId::new(&guest)).copied();
-        prop_assert!(begun.is_some_and(|at| at < number * 25 + 2_400), "{:?}", begun);
+        let started_at = world.begun.get(&JobId::new(&idle_job)).copied();
+        prop_assert!(started_at.is_some_and(|at| at < number * 25 + 2_400), "{:?}", started_at);
     }
 }
 
-/// Every other job fails on every machine until its user cancels it. No sound machine
-/// is taken for faulty, nothing grows, and all other work is done in its time.
+/// Every second job fails on every machine until its user cancels it. No healthy machine is taken
+/// for faulty, the number of failed starts stays bounded, and all other work completes in time.
 #[test]
-fn mistaken_jobs_harm_nobody() {
+fn always_failing_jobs_affect_no_other() {
     for seed in 0..6 {
         let mut world = World::new(seed, Vec::new());
         (world.mistaken, world.pace) = (Some(2), (12, 500));
@@ -161,11 +169,11 @@
     }
 }
 
-/// Machines come up late, some never, or at once, before the answer that names them.
-/// The work is done, and machines that stay away are neither waited for nor rented
-/// for over and over.
+/// Machines boot late, never, or at once, even before the cloud's answer that names them. All work
+/// completes, and the controller neither waits for machines that never boot nor keeps renting
+/// replacements.
 #[test]
-fn boots_that_are_late_or_never_or_at_once() {
+fn machines_that_boot_late_never_or_at_once() {
     for seed in 0..4 {
         for (tenths, most) in [(10, 50), (0, 50), (60, 70)] {
             let mut world = World::new(seed, vec![(1, Trouble::Boots(tenths, 400))]);
@@ -178,15 +186,15 @@
     }
 }
 
-// The records go through CBOR in the real links; here as there they must survive it.
+// Real connections encode messages in CBOR, so a transaction must survive the round trip.
 #[test]
-fn values_survive_the_wire() {
+fn a_transaction_round_trips_through_cbor() {
     let txn = marblebarrow_proto::wire::Txn {
         conds: vec![marblebarrow_proto::wire::Cond { key: "k".into(), version: 3 }],
         writes: Vec::new(),
     };
-    let back: marblebarrow_proto::wire::Txn =
+    let decoded: marblebarrow_proto::wire::Txn =
         marblebarrow_proto::cbor::decode(&marblebarrow_proto::cbor::encode(&txn))
             .expect("round trip");
-    assert_eq!(back, txn);
+    assert_eq!(decoded, txn);
 }
