--- a/crates/rehearsal/src/world/cascades.rs
+++ b/crates/rehearsal/src/world/cascades.rs
@@ -1,32 +1,33 @@
-//! A large cascade: many jobs that need one other, which its user cancels at a set time.
+//! A large cascade: many jobs depend on one job, which its user cancels at a set time.
 
 use super::*;
 
-/// One job, the root, and many that need it, directly or through others, in pipelines. The
-/// root's second task runs for good if [`World::gaps`] are long, until it is cancelled.
+/// A root job and many jobs that depend on it, directly or through others, in pipelines. The root's
+/// second task runs until the root is cancelled, provided [`World::gap_s`] is long and
+/// [`World::gaps`] is set.
 #[derive(Clone, Copy, Debug)]
 pub struct CascadePlan {
-    /// Number of the root; those that follow it have the numbers after it.
+    /// Number of the root job. The jobs that depend on it have the numbers after it.
     pub first: u32,
-    /// How many jobs follow it.
+    /// Number of jobs that depend on the root.
     pub followers: u32,
-    /// Jobs in each pipeline: its first names the root, each other the one before it.
+    /// Jobs in each pipeline. The first depends on the root, each other on the one before it.
     pub depth: u32,
-    /// When users begin to submit them, in steps.
+    /// The step at which users begin to submit the jobs.
     pub submit_from: u32,
-    /// Jobs that users begin to submit in each step.
+    /// Jobs submitted in each step.
     pub per_step: u32,
-    /// When the root's user wants it cancelled, in steps.
+    /// The step from which the root's user asks for its cancellation.
     pub cancel_at: u32,
 }
 
 impl CascadePlan {
-    /// Whether that is the number of the root or of a job that follows it.
+    /// Whether a job number belongs to the root or to a job that depends on it.
     pub(super) fn includes(&self, number: u32) -> bool {
         (self.first..=self.first + self.followers).contains(&number)
     }
 
-    /// The number of the job that this one names, if it is in the cascade and not its root.
+    /// The number of the job that this one depends on, if it is in the cascade and not the root.
     fn names(&self, number: u32) -> Option<u32> {
         if !self.includes(number) || number == self.first {
             return None;
@@ -36,22 +37,22 @@
     }
 }
 
-/// How long after the root's user was told did the users of the jobs after it learn that
-/// these are aborted, seconds.
+/// Delays between the answer that told the root's user of its cancellation and those that told the
+/// users of the dependent jobs, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct CascadeTimes {
-    /// How many jobs.
+    /// Number of dependent jobs whose users were told.
     pub jobs: usize,
-    /// Half of them, by then.
+    /// Median delay.
     pub median_s: f64,
-    /// 99 of 100, by then.
+    /// 99th percentile of the delays.
     pub p99_s: f64,
-    /// All, by then.
+    /// The longest delay.
     pub max_s: f64,
 }
 
 impl World {
-    /// When the users of the cascade's jobs were told, if any was.
+    /// The delays of the cascade, if the root's user and at least one other was told.
     pub fn cascade_times(&self) -> Option<CascadeTimes> {
         let root = JobId::new(&format!("req-{:06}", self.first_number + self.cascade?.first));
         let (Stage::Cancelled, from) = self.told.get(&root)? else { return None };
@@ -64,22 +65,23 @@
         Some(CascadeTimes { jobs, median_s: quantile(0.5), p99_s: quantile(0.99), max_s })
     }
 
-    /// Jobs of the cascade that were accepted.
+    /// Number of jobs of the cascade that were accepted.
     pub fn cascade_accepted(&self) -> usize {
         let part = |id: &&JobId| self.cascade.is_some_and(|c| c.includes(number_of(id)));
         self.accepted.iter().filter(part).count()
     }
 
-    /// Cascade lists in the store.
+    /// Number of cascade lists in the store.
     pub fn cascade_lists(&self) -> usize {
         self.kv.keys().filter(|key| key.starts_with("w/cascade/")).count()
     }
 
-    /// Final states in the store.
+    /// Number of final states of jobs in the store.
     pub fn ends(&self) -> usize {
         self.kv.keys().filter(|key| key.starts_with("end/")).count()
     }
 
+    /// Submits the jobs of the cascade that are due in this step.
     pub(super) fn submit_cascade(&mut self) {
         let Some(plan) = self.cascade else { return };
         let Some(past) = self.step.checked_sub(plan.submit_from) else { return };
@@ -99,12 +101,14 @@
         }
     }
 
-    /// Whether the user of a job of the cascade wants it cancelled; `None`: of another job.
+    /// Whether the user of a job of the cascade wants it cancelled. `None` for a job outside the
+    /// cascade.
     pub(super) fn cascade_cancel(&self, number: u32) -> Option<bool> {
         let plan = self.cascade.filter(|plan| plan.includes(number))?;
         Some(number == plan.first && self.step >= plan.cancel_at)
     }
 
+    /// Records when the user of a dependent job was told of its cancellation.
     pub(super) fn note_cascade_told(&mut self, id: &JobId) {
         let follower = |c: CascadePlan| number_of(id) != c.first && c.includes(number_of(id));
         if self.cascade.is_some_and(follower) {
--- a/crates/rehearsal/src/world/cells.rs
+++ b/crates/rehearsal/src/world/cells.rs
@@ -1,42 +1,43 @@
-//! What other cells see of this one, and bring to it.
+//! The interface of this cell to other cells: requests, answers, and state that checks across cells
+//! read.
 
 use super::*;
 use marblebarrow_proto::records::{SPECS, SpecRecord, end_key};
 
 impl World {
-    /// Another cell's request reaches a controller.
+    /// Delivers a request of another cell to a controller.
     pub fn take_cell_request(&mut self, node: usize, call: u64, request: CellRequest) {
-        let asked = Asked::Cell(call);
-        self.ask(node, asked, |to| Event::CellRequest(to, Box::new(request)));
+        let requester = Requester::Cell(call);
+        self.ask(node, requester, |to| Event::CellRequest(to, Box::new(request)));
     }
 
-    /// Another cell's answer, or that there is none, reaches the process that asked.
+    /// Delivers another cell's answer, or the error instead of one, to the process that asked.
     pub fn take_cell_answer(&mut self, call: &OutgoingCall, answer: CellAnswer) {
         self.event(call.node, call.boot, Event::CellAnswer(call.op, answer));
     }
 
-    /// A task completed in another cell.
+    /// Records that a task completed in another cell.
     pub fn finished_elsewhere(&mut self, task: &TaskId) {
         self.finished.insert(task.clone());
     }
 
-    /// Jobs submitted here.
+    /// Specs of the jobs submitted in this cell.
     pub fn submitted(&self) -> &BTreeMap<JobId, JobSpec> {
         &self.specs
     }
 
-    /// Jobs accepted here.
+    /// Jobs accepted in this cell.
     pub fn accepted_jobs(&self) -> &BTreeSet<JobId> {
         &self.accepted
     }
 
-    /// The stage that a job's user was last told, and since when.
+    /// The stage that a job's user was last told, and the step since which.
     pub fn last_told(&self, job: &JobId) -> Option<(Stage, u32)> {
         self.told.get(job).copied()
     }
 
-    /// Jobs whose users were told so long ago that they are cancelled that nothing of them
-    /// may be left.
+    /// Jobs whose users were told of the cancellation so long ago that no task may be left on any
+    /// machine.
     pub fn surely_cancelled(&self) -> impl Iterator<Item = &JobId> {
         let bound = CANCEL_S + self.beat.1 - LEASE_S;
         self.told
@@ -47,14 +48,14 @@
             .map(|(id, _)| id)
     }
 
-    /// Whether a machine here holds a task of the job that hasn't exited.
+    /// Whether a live machine of this cell holds a task of the job that hasn't exited.
     pub fn holds(&self, job: &JobId) -> bool {
         let on =
             |(task, run): (&TaskId, &Running)| task.job == *job && run.state != TaskState::Exited;
         self.machines.values().any(|w| !w.dead && w.tasks.iter().any(on))
     }
 
-    /// Jobs recorded here as accepted from other cells.
+    /// Jobs recorded in this cell as accepted from other cells.
     pub fn inbound(&self) -> impl Iterator<Item = JobId> + '_ {
         let prefix = marblebarrow_proto::transfer::INBOUND;
         self.kv
@@ -63,7 +64,7 @@
             .filter_map(move |(key, _)| key.strip_prefix(prefix).map(JobId::new))
     }
 
-    /// Jobs whose records say that they are offered and not that they are accepted.
+    /// Jobs whose records say that they are offered to another cell but not yet accepted.
     pub fn in_doubt(&self) -> Vec<JobId> {
         let specs = self.kv.range(SPECS.to_owned()..);
         let records = specs.take_while(|(key, _)| key.starts_with(SPECS));
@@ -74,27 +75,28 @@
             .collect()
     }
 
-    /// Whether the store holds the end of a job.
+    /// Whether the store holds the final state of a job.
     pub fn has_end(&self, job: &JobId) -> bool {
         self.kv.contains_key(&end_key(job))
     }
 
-    /// Keys under a prefix.
+    /// Number of keys under a prefix.
     pub fn keys_under(&self, prefix: &str) -> usize {
         self.kv.keys().filter(|key| key.starts_with(prefix)).count()
     }
 
-    /// How often a key under a prefix was put.
+    /// Number of puts of keys under a prefix.
     pub fn puts_under(&self, prefix: &str) -> usize {
         self.puts.iter().filter(|(key, _)| key.starts_with(prefix)).map(|(_, count)| count).sum()
     }
 
-    /// Marks when the last trouble ends, other cells' and links' included.
+    /// Sets the earliest step at which all faults have ended, including those of other cells and of
+    /// links.
     pub fn calm_after(&mut self, step: u32) {
-        self.calm_from = self.calm_from.max(step);
+        self.faults_over_from = self.faults_over_from.max(step);
     }
 
-    /// The controller that leads, if one does.
+    /// Index of the leading controller, if there is one.
     pub fn leading(&self) -> Option<usize> {
         (0..NODES).find(|&n| self.leads(n))
     }
--- a/crates/rehearsal/src/world/checks.rs
+++ b/crates/rehearsal/src/world/checks.rs
@@ -1,10 +1,10 @@
-//! The rules, as the world watches over them.
+//! The safety rules, checked against the records of the simulated workers, store and users.
 
 use super::*;
 
 impl World {
-    /// `too_early`: a task starts only once every job that its job needs is done, all
-    /// of their tasks completed.
+    /// Rule `too_early`: a task starts only once every dependency of its job is done, with all of
+    /// its tasks completed.
     pub(super) fn check_dependencies_done(&mut self, task: &TaskId, spec: &JobSpec) {
         for dependency in &spec.dependencies {
             let Some(needed) = self.specs.get(dependency) else { continue };
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Checks that all work was done.
+    /// Checks at the end of a run that all work was done.
     pub fn check_over(&mut self) {
         self.check_served();
         if self.broken.is_empty() {
@@ -32,10 +32,11 @@
         }
     }
 
-    /// Once all troubles have been over for 90 s, no service waits while its team is
-    /// under its limit and there is room, or could be. (Arrays must be over by then.)
+    /// Once all faults have been over for 90 s, no service waits while its team is below its limit
+    /// and a machine has room or could be rented. Arrays must be over by then, which `check_over`
+    /// checks.
     pub(super) fn check_served(&mut self) {
-        if self.step < self.calm_from + 900 {
+        if self.step < self.faults_over_from + 900 {
             return;
         }
         let on = |w: &Worker, id: &JobId| {
@@ -61,17 +62,19 @@
         self.broken.extend(waiting);
     }
 
-    /// Once all troubles are over, no accepted job goes unanswered for long.
+    /// Rule `forgotten`: once all faults are over, no accepted job goes unanswered for longer than
+    /// `MAX_UNANSWERED_STEPS`.
     pub(super) fn check_known(&mut self) {
         for id in &self.accepted {
-            let last = self.heard_of.get(id).copied().unwrap_or(0).max(self.calm_from);
-            if self.step > last + SILENCE {
+            let last = self.last_answer_at.get(id).copied().unwrap_or(0).max(self.faults_over_from);
+            if self.step > last + MAX_UNANSWERED_STEPS {
                 self.broken.push(format!("forgotten: {id} unanswered since step {last}"));
             }
         }
     }
 
-    /// As another begins to lead, the heartbeats kept for it arrive, everywhere.
+    /// When a new leader takes over, delivers the heartbeats that were kept back to every
+    /// controller.
     pub(super) fn check_leader(&mut self) {
         let terms = self.hosts.iter().filter_map(|h| h.node.as_ref()?.authority());
         let last = terms.map(|(term, _)| term).max().unwrap_or(0);
@@ -85,14 +88,16 @@
             self.met.changes_at_limit += u32::from(used as f64 >= self.size.1 - 1.0);
         }
         self.last_term = last;
-        for (heartbeat, sent) in std::mem::take(&mut self.kept) {
+        for (heartbeat, sent) in std::mem::take(&mut self.kept_heartbeats) {
             self.met.kept += 1;
             for node in 0..NODES {
-                self.after(0, Late::Heartbeat { node, heartbeat: heartbeat.clone(), sent });
+                self.after(0, Delivery::Heartbeat { node, heartbeat: heartbeat.clone(), sent });
             }
         }
     }
 
+    /// Counts a confirmed cancellation of a job that has running tasks, and whether one of them is
+    /// on an unreachable machine.
     pub(super) fn note_cancelled(&mut self, by: usize, id: &JobId) {
         let runs = |w: &Worker| {
             !w.dead && w.tasks.iter().any(|(t, r)| t.job == *id && r.state == TaskState::Running)
@@ -101,15 +106,17 @@
         if self.machines.values().any(runs) {
             self.met.cancelled.push((step, by));
         }
-        let zone = if step < self.apart.2 { self.apart.0 } else { "" };
-        let apart = |w: &Worker| {
-            step < w.cut_until.max(w.hung_until).max(w.mute_until).max(w.deaf_until)
+        let zone = if step < self.partition.2 { self.partition.0 } else { "" };
+        let unreachable = |w: &Worker| {
+            step < w.cut_until.max(w.hung_until).max(w.outbound_cut_until).max(w.inbound_cut_until)
                 || w.zone == zone
         };
-        let on_one = self.machines.values().any(|w| runs(w) && apart(w));
+        let on_one = self.machines.values().any(|w| runs(w) && unreachable(w));
         self.met.cancelled_apart += u32::from(on_one);
     }
 
+    /// Rule `ran_cancelled`: no machine holds a task of a job whose user was told of the
+    /// cancellation longer ago than tasks may take to stop.
     pub(super) fn check_cancelled(&mut self) {
         for (id, (stage, at)) in &self.told {
             if *stage != Stage::Cancelled
--- a/crates/rehearsal/src/world/clock.rs
+++ b/crates/rehearsal/src/world/clock.rs
@@ -1,43 +1,45 @@
-//! Simulated time: the loop over steps, and messages that come later.
+//! Simulated time: the main loop over steps, and delayed delivery of messages.
 
 use super::*;
 
 impl World {
+    /// Simulated time, in seconds.
     pub(super) fn now(&self) -> f64 {
         f64::from(self.step) * STEP
     }
 
-    pub(super) fn after(&mut self, least: u32, late: Late) {
+    /// Schedules a delivery after `least` steps plus a random delay of at most one step.
+    pub(super) fn after(&mut self, least: u32, delivery: Delivery) {
         let at = self.step + least + self.rng.random_range(0..2);
-        self.late.push((at, late));
+        self.deliveries.push((at, delivery));
     }
 
-    /// Runs so many steps, then checks that all work was done.
+    /// Runs up to the given step, then checks that all work was done.
     pub fn run(&mut self, steps: u32) {
         self.play(steps);
         self.check_over();
     }
 
-    /// Runs so many steps.
+    /// Runs up to the given step, or until a rule is violated.
     pub fn play(&mut self, steps: u32) {
         while self.step < steps && self.broken.is_empty() {
             self.advance(steps);
         }
     }
 
-    /// One step of a run of so many.
+    /// Advances by one step, in a run that ends at step `steps`.
     pub fn advance(&mut self, steps: u32) {
         self.step += 1;
         if self.step == 1 && !self.upgrading {
             self.record_format(FORMAT);
         }
-        self.trouble();
+        self.begin_due_faults();
         self.users(steps);
-        self.expire();
+        self.expire_leases();
         self.deliver();
-        self.work();
+        self.step_workers();
         for i in 0..NODES {
-            self.change_leadership(i);
+            self.step_controller(i);
         }
         self.check_known();
         self.check_leader();
--- a/crates/rehearsal/src/world/cloud.rs
+++ b/crates/rehearsal/src/world/cloud.rs
@@ -1,17 +1,18 @@
-//! Stand-in of the cloud.
+//! Simulated cloud that rents machines out.
 
 use super::*;
 
-/// Boot time of a machine, seconds, for each tenth of the usual boot.
+/// Boot time of a machine for each tenth of the usual boot, in seconds.
 const BOOT_S_PER_TENTH: f64 = 0.3;
-/// The usual boot, in tenths.
+/// The usual boot time, in tenths.
 const USUAL_BOOT_TENTHS: u32 = 10;
-/// While boots are slow, one machine in so many never comes up.
+/// While boots are slow, one in this many machines never comes up.
 const NEVER_UP_ONE_IN: u32 = 3;
-/// Boot time of such a machine, seconds.
-const NEVER_S: f64 = 1e9;
+/// Boot time that stands for never, in seconds.
+const NEVER_UP_BOOT_S: f64 = 1e9;
 
 impl World {
+    /// Executes a request to the cloud.
     pub(super) fn cloud(&mut self, req: &CloudRequest) -> CloudResult {
         if self.step < self.cloud_down_until {
             return CloudResult::Refused;
@@ -44,7 +45,7 @@
         MachineList { machines: self.machines.iter().map(listed).collect(), more: false }
     }
 
-    /// Rents machines; a repeated request gets the same answer and rents nothing.
+    /// Rents machines. A repeated request returns the same machines and rents no others.
     fn rent(&mut self, rent: &Rent) -> CloudResult {
         if let Some(names) = self.rents.get(&rent.request) {
             return CloudResult::Rented(names.clone());
@@ -60,7 +61,7 @@
         CloudResult::Rented(names)
     }
 
-    /// How many of the machines asked for there are.
+    /// How many of the requested machines the cloud provides.
     fn machines_granted(&self, asked: u32) -> u32 {
         let left = self.size.0.saturating_sub(self.machines.len()) as u32;
         if asked <= left {
@@ -72,12 +73,13 @@
         }
     }
 
-    /// Adds a machine that boots; its name.
+    /// Adds a booting machine and returns its name.
     fn boot_machine(&mut self, rent: &Rent) -> MachineId {
         let tenths = if self.step < self.boots.1 { self.boots.0 } else { USUAL_BOOT_TENTHS };
         self.next_machine += 1;
-        let never = tenths > USUAL_BOOT_TENTHS && self.next_machine.is_multiple_of(NEVER_UP_ONE_IN);
-        let boot_s = if never { NEVER_S } else { BOOT_S_PER_TENTH * f64::from(tenths) };
+        let never_up =
+            tenths > USUAL_BOOT_TENTHS && self.next_machine.is_multiple_of(NEVER_UP_ONE_IN);
+        let boot_s = if never_up { NEVER_UP_BOOT_S } else { BOOT_S_PER_TENTH * f64::from(tenths) };
         let id = MachineId::new(&format!("n-{:04}", self.next_machine));
         self.machines.insert(id.clone(), Worker::booting(rent, self.now() + boot_s));
         id
@@ -101,7 +103,7 @@
 }
 
 impl Worker {
-    /// The worker of a machine that is up, and begins its first epoch, at this time.
+    /// The worker of a machine that comes up, in its first agent epoch, at `up_at`.
     fn booting(rent: &Rent, up_at: f64) -> Self {
         Self {
             kind: rent.kind.clone(),
@@ -110,8 +112,8 @@
             up_at,
             dead: false,
             cut_until: 0,
-            deaf_until: 0,
-            mute_until: 0,
+            inbound_cut_until: 0,
+            outbound_cut_until: 0,
             hung_until: 0,
             slow_until: 0,
             agent_epoch: 1,
@@ -119,8 +121,8 @@
             fencing_token: 0,
             leased_from: up_at,
             next_heartbeat: up_at,
-            at: 0,
-            waiting: None,
+            controller: 0,
+            awaiting_since: None,
             trace: LeaseTrace::default(),
             tasks: BTreeMap::new(),
         }
--- a/crates/rehearsal/src/world/controllers.rs
+++ b/crates/rehearsal/src/world/controllers.rs
@@ -1,16 +1,17 @@
-//! Processes of controllers: their start, ticks and watches, and the events that reach them.
+//! Controller processes: their starts, ticks and watches, and the delivery of events to them.
 
 use super::*;
 use marblebarrow_proto::records::WATCHED;
 
-/// Late answers of the store are late by less than this, which is less than the links wait.
+/// Upper bound of the delay of late answers of the store, in steps. It is below the timeout of
+/// store requests.
 const ANSWER_LATE_MAX_STEPS: u32 = 10;
-/// A watch without news is answered after so many seconds.
+/// A watch without changes is answered after this time, in seconds.
 const WATCH_BLOCK_S: f64 = 2.5;
-/// Time of day at the start of the simulation, milliseconds since 1970.
+/// Wall-clock time at the start of the simulation, in milliseconds since 1970.
 const TIME_OF_DAY_START_MS: u64 = 1_000_000;
 
-/// The name of a controller by its index.
+/// The name of the controller with this index.
 pub(super) fn controller_name(n: usize) -> NodeId {
     NodeId::new(&format!("c{n}"))
 }
@@ -20,39 +21,45 @@
 }
 
 impl World {
-    /// Gives a request to a controller, and notes who asked.
-    pub(super) fn ask(&mut self, n: usize, asked: Asked, event: impl FnOnce(ReplyTo) -> Event) {
+    /// Delivers a request to a controller and records the requester.
+    pub(super) fn ask(
+        &mut self,
+        n: usize,
+        requester: Requester,
+        event: impl FnOnce(ReplyTo) -> Event,
+    ) {
         if self.hosts[n].node.is_none() {
             return;
         }
         self.next_reply += 1;
         let to = ReplyTo(self.next_reply);
-        self.asked.insert((n, to), asked);
+        self.requesters.insert((n, to), requester);
         self.handle(n, event(to));
     }
 
-    /// Gives an event to a controller; one that is frozen gets it afterwards.
+    /// Delivers an event to a controller, or once it is no longer frozen.
     pub(super) fn handle(&mut self, n: usize, event: Event) {
         let frozen = self.hosts[n].frozen_until;
         if self.step < frozen {
-            let boot = self.hosts[n].born;
-            return self.late.push((frozen, Late::Event { node: n, boot, event }));
+            let boot = self.hosts[n].started_at;
+            return self.deliveries.push((frozen, Delivery::Event { node: n, boot, event }));
         }
         if matches!(event, Event::Direct(..)) {
-            self.flying[n] -= 1;
+            self.directs_in_flight[n] -= 1;
         }
         let now = self.now();
         let host = &mut self.hosts[n];
         if let Some(node) = &mut host.node {
-            node.handle(now - host.born, time_of_day_ms(now), event);
+            node.handle(now - host.started_at, time_of_day_ms(now), event);
         }
-        self.act(n);
+        self.run_actions(n);
     }
 
-    /// One step of a controller: it is started if it is down, and ticks.
-    pub(super) fn change_leadership(&mut self, n: usize) {
+    /// Advances a controller by one step: starts it if its restart is due, then serves its watch
+    /// and ticks it.
+    pub(super) fn step_controller(&mut self, n: usize) {
         if self.hosts[n].node.is_none() {
-            if self.step < self.hosts[n].back_at {
+            if self.step < self.hosts[n].restart_at {
                 return;
             }
             self.start_controller(n);
@@ -64,9 +71,9 @@
         let now = self.now();
         let host = &mut self.hosts[n];
         if let Some(node) = &mut host.node {
-            node.tick(now - host.born, time_of_day_ms(now));
+            node.tick(now - host.started_at, time_of_day_ms(now));
         }
-        self.act(n);
+        self.run_actions(n);
     }
 
     /// Starts a new process of a controller.
@@ -74,21 +81,21 @@
         let boot = self.rng.random::<u64>() >> 1;
         let mut node = Node::new(self.facts(n), boot, 0.0);
         if !self.upgrading {
-            upgrade::tell_versions(&mut node, n);
+            upgrade::announce_peer_versions(&mut node, n);
         }
         let now = self.now();
         let host = &mut self.hosts[n];
         host.node = Some(node);
-        host.born = now;
+        host.started_at = now;
         host.synced = false;
         host.frozen_until = 0;
     }
 
-    /// Answers a controller's watch, if the store serves it in this step.
+    /// Answers a controller's watch, unless the store doesn't serve it in this step.
     pub(super) fn watch(&mut self, n: usize) {
         let host = &self.hosts[n];
-        let now = self.now() - host.born;
-        // In an outage watches stay open and bring nothing.
+        let now = self.now() - host.started_at;
+        // During an outage watches stay open and return nothing.
         if self.store_refuses(n)
             || self.step < host.watch_stuck_until
             || self.rng.random_range(0..3) == 0
@@ -102,7 +109,7 @@
         }
     }
 
-    /// Answers a controller's first watch with all that is watched.
+    /// Answers a controller's first watch with a snapshot of all watched keys.
     fn send_snapshot(&mut self, n: usize, now: f64) {
         let items = self
             .kv
@@ -122,7 +129,8 @@
         self.handle(n, Event::Watch(news));
     }
 
-    /// Answers a controller's watch, if there is news or it has been open for long enough.
+    /// Answers a controller's watch if there are changes, or if it has been open for
+    /// `WATCH_BLOCK_S`.
     fn send_changes(&mut self, n: usize, now: f64) {
         let after = self.hosts[n].watched;
         let first = self.history.partition_point(|(revision, ..)| *revision <= after);
@@ -146,39 +154,39 @@
         self.handle(n, Event::Watch(WatchNews { sent, revision: self.revision, content }));
     }
 
-    /// Whether the store refuses a controller now.
+    /// Whether the store refuses requests of a controller in this step.
     pub(super) fn store_refuses(&self, n: usize) -> bool {
-        self.step < self.store_down_until || self.step < self.hosts[n].refused_until
+        self.step < self.store_down_until || self.step < self.hosts[n].store_refused_until
     }
 
-    /// Delivers everything that is due by now.
+    /// Delivers everything that is due.
     pub(super) fn deliver(&mut self) {
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= self.step);
-        self.late = rest;
-        for (_, late) in due {
-            self.deliver_one(late);
+            std::mem::take(&mut self.deliveries).into_iter().partition(|(at, _)| *at <= self.step);
+        self.deliveries = rest;
+        for (_, delivery) in due {
+            self.deliver_one(delivery);
         }
     }
 
-    fn deliver_one(&mut self, late: Late) {
-        match late {
-            Late::Store { node, boot, op, req, answer } => {
+    fn deliver_one(&mut self, delivery: Delivery) {
+        match delivery {
+            Delivery::Store { node, boot, op, req, answer } => {
                 let result =
                     if self.store_refuses(node) { StoreResult::Refused } else { self.store(&req) };
                 if answer {
                     self.answer_store_request(node, boot, Event::Store(op, result));
                 }
             }
-            Late::Event { node, boot, event } => self.event(node, boot, event),
-            Late::Direct(direct) => self.deliver_direct(direct),
-            Late::Heartbeat { node, heartbeat, sent } => {
+            Delivery::Event { node, boot, event } => self.event(node, boot, event),
+            Delivery::Direct(direct) => self.deliver_direct(direct),
+            Delivery::Heartbeat { node, heartbeat, sent } => {
                 self.deliver_heartbeat(node, heartbeat, sent)
             }
-            Late::HeartbeatAnswer { machine, agent_epoch, sent, answer } => {
+            Delivery::HeartbeatAnswer { machine, agent_epoch, sent, answer } => {
                 self.heartbeat_answered(&machine, agent_epoch, sent, answer);
             }
-            Late::Cloud { node, boot, op, req, answer } => {
+            Delivery::Cloud { node, boot, op, req, answer } => {
                 let result = self.cloud(&req);
                 if answer {
                     self.event(node, boot, Event::Cloud(op, result));
@@ -190,7 +198,7 @@
     fn answer_store_request(&mut self, node: usize, boot: f64, event: Event) {
         if self.step < self.answers_late_until {
             let at = self.step + self.rng.random_range(1..ANSWER_LATE_MAX_STEPS);
-            self.late.push((at, Late::Event { node, boot, event }));
+            self.deliveries.push((at, Delivery::Event { node, boot, event }));
         } else {
             self.event(node, boot, event);
         }
@@ -198,18 +206,18 @@
 
     fn deliver_heartbeat(&mut self, node: usize, heartbeat: Heartbeat, sent: f64) {
         let (machine, agent_epoch) = (heartbeat.machine.clone(), heartbeat.agent_epoch);
-        if self.step < self.hosts[node].cut_until || self.parted(node, &machine) {
+        if self.step < self.hosts[node].cut_until || self.is_partitioned(node, &machine) {
             return;
         }
-        self.ask(node, Asked::Heartbeat { machine, agent_epoch, sent }, |to| {
+        self.ask(node, Requester::Heartbeat { machine, agent_epoch, sent }, |to| {
             Event::Heartbeat(to, Box::new(heartbeat))
         });
     }
 
-    /// Gives an event to the process that it is for.
+    /// Delivers an event to the controller process that it is addressed to.
     pub(super) fn event(&mut self, node: usize, boot: f64, event: Event) {
-        // Answers to a process that has died go nowhere.
-        if self.hosts[node].node.is_some() && self.hosts[node].born == boot {
+        // Answers to a process that has ended are dropped.
+        if self.hosts[node].node.is_some() && self.hosts[node].started_at == boot {
             self.handle(node, event);
         }
     }
--- a/crates/rehearsal/src/world/direct.rs
+++ b/crates/rehearsal/src/world/direct.rs
@@ -1,19 +1,20 @@
-//! Direct commands on their way to workers, and their answers.
+//! Delivery of direct commands to workers, and of the answers.
 
 use super::*;
 
-/// Steps after which a sender gives up waiting for the answer to a direct command.
+/// Timeout of a direct command, in steps.
 pub(super) const DIRECT_TIMEOUT_STEPS: u32 = 15;
-/// One direct command in so many goes unanswered, whatever else happens.
+/// One in this many direct commands gets no answer, independent of other faults.
 const LOST_ONE_IN: u32 = 25;
-/// Such a command is carried out within so many steps.
+/// Upper bound of the delay after which such a command is executed, in steps.
 const LATE_USUAL_MAX_STEPS: u32 = 120;
 
-/// Jobs whose start is held are called off within so many steps, if they are.
+/// Upper bound of the delay after which users cancel a job whose start command is delayed, in
+/// steps.
 const CANCEL_WITHIN_STEPS: u32 = 20;
 
 impl World {
-    /// A controller sends direct commands.
+    /// Sends direct commands of a controller to a machine.
     pub(super) fn send_direct(
         &mut self,
         node: usize,
@@ -26,71 +27,75 @@
         self.met.orders += u32::from(!cmd.commands.is_empty());
         self.met.clearing_orders +=
             u32::from(!cmd.commands.is_empty() && cmd.commands.iter().all(clears));
-        self.flying[node] += 1;
-        self.directs = self.directs.max(self.flying[node]);
-        let passage = self.passage(node, &machine);
-        self.call_off_held(passage, &cmd);
-        let answer = passage == Passage::Answered;
+        self.directs_in_flight[node] += 1;
+        self.directs = self.directs.max(self.directs_in_flight[node]);
+        let direct_outcome = self.direct_outcome(node, &machine);
+        self.cancel_held_starts(direct_outcome, &cmd);
+        let answer = direct_outcome == DirectOutcome::Answered;
         if !answer {
             let event = Event::Direct(op, DirectResult::Unknown);
-            self.after(DIRECT_TIMEOUT_STEPS, Late::Event { node, boot, event });
+            self.after(DIRECT_TIMEOUT_STEPS, Delivery::Event { node, boot, event });
         }
-        let delay = match passage {
-            Passage::Answered | Passage::AnswerLate => 0,
-            Passage::Late { least, most } => self.rng.random_range(least..most),
+        let delay = match direct_outcome {
+            DirectOutcome::Answered | DirectOutcome::AnswerLate => 0,
+            DirectOutcome::Late { least, most } => self.rng.random_range(least..most),
         };
-        self.met.late_answers += u32::from(passage == Passage::AnswerLate);
-        self.after(delay, Late::Direct(DirectOnWay { node, boot, op, machine, cmd, answer }));
+        self.met.late_answers += u32::from(direct_outcome == DirectOutcome::AnswerLate);
+        self.after(
+            delay,
+            Delivery::Direct(DirectInFlight { node, boot, op, machine, cmd, answer }),
+        );
     }
 
-    /// Users call off jobs whose start is held, if they are to.
-    fn call_off_held(&mut self, passage: Passage, cmd: &DirectCommands) {
+    /// Schedules the cancellation of jobs whose start command is delayed, if the active fault asks
+    /// for it.
+    fn cancel_held_starts(&mut self, direct_outcome: DirectOutcome, cmd: &DirectCommands) {
         let wanted = self.held.is_some_and(|(held, until)| held.called_off && self.step < until);
-        if !wanted || !matches!(passage, Passage::Late { .. }) {
+        if !wanted || !matches!(direct_outcome, DirectOutcome::Late { .. }) {
             return;
         }
         for command in &cmd.commands {
             let Command::Start { task, .. } = command else { continue };
             let Some(task) = TaskId::parse(task) else { continue };
             let at = self.step + self.rng.random_range(0..CANCEL_WITHIN_STEPS);
-            self.call_off_at.push((at, task.job));
+            self.cancels_due.push((at, task.job));
         }
     }
 
-    fn passage(&mut self, node: usize, machine: &MachineId) -> Passage {
+    /// Decides how a direct command to a machine is delivered.
+    fn direct_outcome(&mut self, node: usize, machine: &MachineId) -> DirectOutcome {
         let cut = self.step < self.hosts[node].cut_until
-            || self.parted(node, machine)
-            || self
-                .machines
-                .get(machine)
-                .is_none_or(|w| w.dead || self.step < w.cut_until || self.step < w.deaf_until);
+            || self.is_partitioned(node, machine)
+            || self.machines.get(machine).is_none_or(|w| {
+                w.dead || self.step < w.cut_until || self.step < w.inbound_cut_until
+            });
         if let Some((held, _)) = self.held.filter(|(_, until)| self.step < *until && !cut) {
             match self.rng.random_range(0..held.one_in) {
-                0 => return Passage::Late { least: held.least, most: held.most },
-                1 => return Passage::AnswerLate,
+                0 => return DirectOutcome::Late { least: held.least, most: held.most },
+                1 => return DirectOutcome::AnswerLate,
                 _ => {}
             }
         }
         if !cut && self.rng.random_range(0..LOST_ONE_IN) != 0 {
-            return Passage::Answered;
+            return DirectOutcome::Answered;
         }
-        Passage::Late { least: 0, most: LATE_USUAL_MAX_STEPS }
+        DirectOutcome::Late { least: 0, most: LATE_USUAL_MAX_STEPS }
     }
 
-    /// Direct commands arrive at their machine.
-    pub(super) fn deliver_direct(&mut self, direct: DirectOnWay) {
-        let DirectOnWay { node, boot, op, machine, cmd, answer } = direct;
-        // A cut holds packets back: they come when it ends.
+    /// Executes direct commands that arrive at their machine.
+    pub(super) fn deliver_direct(&mut self, direct: DirectInFlight) {
+        let DirectInFlight { node, boot, op, machine, cmd, answer } = direct;
+        // Commands to an unreachable machine are delivered when it is reachable again.
         let until = self.machines.get(&machine).map_or(0, Worker::unreachable_until);
         if until > self.step {
             self.met.held_orders += 1;
             if answer {
-                // The link gives up waiting.
+                // The sender times out.
                 let event = Event::Direct(op, DirectResult::Unknown);
-                self.after(DIRECT_TIMEOUT_STEPS, Late::Event { node, boot, event });
+                self.after(DIRECT_TIMEOUT_STEPS, Delivery::Event { node, boot, event });
             }
-            let direct = DirectOnWay { node, boot, op, machine, cmd, answer: false };
-            return self.late.push((until, Late::Direct(direct)));
+            let direct = DirectInFlight { node, boot, op, machine, cmd, answer: false };
+            return self.deliveries.push((until, Delivery::Direct(direct)));
         }
         if !answer {
             self.note_late_commands(&machine, &cmd);
@@ -102,6 +107,8 @@
         }
     }
 
+    /// Counts commands that arrive after their sender timed out, and those that start tasks of a
+    /// job cancelled too long ago.
     fn note_late_commands(&mut self, machine: &MachineId, cmd: &DirectCommands) {
         self.met.late_commands += 1;
         if self.machines.get(machine).is_none_or(|w| w.dead || w.agent_epoch != cmd.agent_epoch) {
@@ -109,14 +116,14 @@
         }
         let past = |command: &&Command| {
             let Command::Start { task, .. } = command else { return false };
-            TaskId::parse(task).is_some_and(|task| self.past_cancellation(&task.job))
+            TaskId::parse(task).is_some_and(|task| self.after_cancellation_deadline(&task.job))
         };
         let starts = cmd.commands.iter().filter(past).count();
         self.met.starts_past_cancellation += starts as u32;
     }
 
     /// Whether a job was cancelled so long ago that none of its tasks may be on a machine.
-    pub(super) fn past_cancellation(&self, job: &JobId) -> bool {
+    pub(super) fn after_cancellation_deadline(&self, job: &JobId) -> bool {
         let Some((Stage::Cancelled, at)) = self.told.get(job) else { return false };
         f64::from(self.step - at) * STEP > CANCEL_S + self.beat.1 - LEASE_S
     }
--- a/crates/rehearsal/src/world/late_acceptance.rs
+++ b/crates/rehearsal/src/world/late_acceptance.rs
@@ -1,17 +1,18 @@
-//! A submission whose dependency was cancelled between the check that it was accepted and the
-//! write that accepts the submission: no controller saw both.
+//! A job accepted although its dependency was cancelled: the cancellation fell between the check
+//! that the dependency is accepted and the write that accepts the job, so that no controller saw
+//! both.
 
 use super::*;
 use marblebarrow_proto::records::{EndRecord, SpecRecord, end_key, spec_key};
 
-/// Number of the job that was cancelled, far beyond those of the users' jobs.
+/// Number of the cancelled job, far above those of the users' jobs.
 const CANCELLED_NUMBER: u32 = 90_001;
-/// Number of the job that names it.
+/// Number of the job that depends on it.
 const DEPENDENT_NUMBER: u32 = 90_002;
 
 impl World {
-    /// Puts into the store what such a race leaves: a job cancelled and over, of which there
-    /// is a final state alone, and one accepted as queued that names it. Returns the latter.
+    /// Writes the state that this race leaves into the store: the cancelled job, of which only the
+    /// final state remains, and a queued job that depends on it. Returns the queued job.
     pub fn accept_after_cancellation(&mut self) -> JobId {
         let id = |number: u32| JobId::new(&format!("req-{:06}", self.first_number + number));
         let (cancelled, dependent) = (id(CANCELLED_NUMBER), id(DEPENDENT_NUMBER));
@@ -30,12 +31,12 @@
         self.cancels.insert(cancelled, self.step);
         self.accepted.insert(dependent.clone());
         self.accepted_at.insert(dependent.clone(), self.step);
-        self.heard_of.insert(dependent.clone(), self.step);
+        self.last_answer_at.insert(dependent.clone(), self.step);
         self.specs.insert(dependent.clone(), spec);
         dependent
     }
 
-    /// What a job's user was last told, if anything, and since when.
+    /// The stage that a job's user was last told, if any, and the step since which.
     pub fn told(&self, id: &JobId) -> Option<(Stage, u32)> {
         self.told.get(id).cloned()
     }
--- a/crates/rehearsal/src/world/lease_trace.rs
+++ b/crates/rehearsal/src/world/lease_trace.rs
@@ -1,47 +1,47 @@
-//! The way of each worker between two renewals of its lease: which controllers it tried, for
-//! how long, and what they said. Kept so that a lease that ran out can be explained.
+//! Trace of the heartbeats of each worker since its last lease renewal: which controllers it tried,
+//! for how long, and with which outcome. It explains leases that expire.
 
 use std::fmt;
 
-/// What came of a heartbeat that did not renew the lease.
+/// Outcome of a heartbeat that did not renew the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// No answer yet.
+    /// No answer has arrived yet.
     Pending,
-    /// No answer in time.
+    /// No answer arrived before the timeout.
     TimedOut,
-    /// The controller named another, or nobody.
+    /// The controller redirected the worker to another one, or knew no leader.
     Redirected,
-    /// The controller refused it.
+    /// The controller refused the heartbeat.
     Refused,
-    /// The answer came with an old fencing token and was dropped.
+    /// The answer carried an old fencing token and was dropped.
     StaleToken,
 }
 
 /// A heartbeat that did not renew the lease.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatAttempt {
-    /// Index of the controller that was tried.
+    /// Index of the controller that the heartbeat was sent to.
     pub controller: usize,
-    /// When it was sent, seconds.
+    /// When the heartbeat was sent, in seconds.
     pub sent_s: f64,
-    /// When its outcome was known, seconds; until then, when it was sent.
+    /// When the outcome was known, in seconds. Equal to `sent_s` until then.
     pub ended_s: f64,
-    /// What came of it.
+    /// The outcome.
     pub outcome: HeartbeatOutcome,
 }
 
-/// Attempts since the last renewal; bounded, as a worker out of reach tries for ever.
+/// Largest number of attempts kept, since a worker that reaches no controller retries without end.
 const ATTEMPTS_KEPT: usize = 32;
 
-/// What a worker tried since its lease was last renewed.
+/// Heartbeats of a worker since its lease was last renewed.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTrace {
     attempts: Vec<HeartbeatAttempt>,
 }
 
 impl LeaseTrace {
-    /// A heartbeat is sent.
+    /// Records that a heartbeat was sent.
     pub(super) fn sent(&mut self, controller: usize, now: f64) {
         if self.attempts.len() == ATTEMPTS_KEPT {
             self.attempts.remove(0);
@@ -54,39 +54,39 @@
         });
     }
 
-    /// The heartbeat under way did not renew the lease.
+    /// Records that the heartbeat in flight did not renew the lease.
     pub(super) fn failed(&mut self, now: f64, outcome: HeartbeatOutcome) {
         if let Some(attempt) = self.attempts.last_mut() {
             (attempt.ended_s, attempt.outcome) = (now, outcome);
         }
     }
 
-    /// The lease was renewed.
+    /// Clears the trace, as the lease was renewed.
     pub(super) fn renewed(&mut self) {
         self.attempts.clear();
     }
 }
 
-/// A lease that ran out while its worker held tasks.
+/// A lease that expired while its worker held tasks.
 #[derive(Clone, Debug)]
 pub struct LeaseLapse {
-    /// The machine.
+    /// Name of the machine.
     pub machine: String,
-    /// When the last heartbeat was sent whose answer renewed the lease, seconds.
+    /// When the last heartbeat that renewed the lease was sent, in seconds.
     pub renewed_s: f64,
-    /// When the lease ended, seconds.
+    /// When the lease expired, in seconds.
     pub ended_s: f64,
-    /// What the worker tried in between.
+    /// Heartbeats sent in between.
     pub trace: LeaseTrace,
 }
 
 impl LeaseLapse {
-    /// The attempts, oldest first.
+    /// The attempts that did not renew the lease, oldest first.
     pub fn attempts(&self) -> &[HeartbeatAttempt] {
         &self.trace.attempts
     }
 
-    /// Heartbeats in a row, from the first on, that no controller answered in time.
+    /// Number of consecutive attempts, from the first on, that no controller answered in time.
     pub fn timeouts_in_a_row(&self) -> usize {
         let silent = |attempt: &&HeartbeatAttempt| {
             matches!(attempt.outcome, HeartbeatOutcome::TimedOut | HeartbeatOutcome::Pending)
--- a/crates/rehearsal/src/world/members.rs
+++ b/crates/rehearsal/src/world/members.rs
@@ -1,25 +1,32 @@
-//! What the stand-ins know of each controller, worker and task.
+//! State of the simulated controllers' hosts, workers and tasks.
 
 use super::*;
 
-/// A controller and its connections. Fields that end in `_until` are steps up to which
-/// something fails there.
+/// A controller host and its connections. Fields that end in `_until` are steps up to which a fault
+/// lasts.
 pub(super) struct Host {
+    /// The running process, or `None` while it is down.
     pub(super) node: Option<Node>,
-    pub(super) born: f64,
-    pub(super) back_at: u32,
+    /// When the process started, in seconds. Identifies the process.
+    pub(super) started_at: f64,
+    /// The step at which a process is started again.
+    pub(super) restart_at: u32,
+    /// Whether the watch has delivered its first snapshot.
     pub(super) synced: bool,
+    /// The revision up to which the watch has delivered changes.
     pub(super) watched: u64,
-    /// When the watch that is open was sent, by its own clock.
+    /// When the open watch was sent, by the controller's own clock.
     pub(super) watch_sent: f64,
     pub(super) watch_stuck_until: u32,
-    /// The revision it named when it last asked for pledges.
+    /// The revision that the controller named in its last request for pledges.
     pub(super) asked_revision: u64,
-    pub(super) refused_until: u32,
+    /// The store refuses its requests.
+    pub(super) store_refused_until: u32,
     pub(super) cut_until: u32,
-    pub(super) alone_until: u32,
+    /// No messages to or from other controllers.
+    pub(super) peers_cut_until: u32,
     pub(super) frozen_until: u32,
-    /// The format that its processes announce.
+    /// The format version that its processes announce.
     pub(super) format: u32,
 }
 
@@ -32,8 +39,8 @@
     pub(super) ends: f64,
 }
 
-/// A machine and its worker. Fields that end in `_until` are steps up to which something
-/// fails there; other times are seconds.
+/// A machine and its worker. Fields that end in `_until` are steps up to which a fault lasts. Other
+/// times are in seconds.
 pub(super) struct Worker {
     pub(super) kind: String,
     pub(super) zone: String,
@@ -41,18 +48,25 @@
     pub(super) up_at: f64,
     pub(super) dead: bool,
     pub(super) cut_until: u32,
-    pub(super) deaf_until: u32,
-    pub(super) mute_until: u32,
+    /// Messages from controllers do not arrive.
+    pub(super) inbound_cut_until: u32,
+    /// Heartbeats reach no controller.
+    pub(super) outbound_cut_until: u32,
+    /// The worker process is suspended.
     pub(super) hung_until: u32,
+    /// Tasks take longer.
     pub(super) slow_until: u32,
     pub(super) agent_epoch: u64,
     pub(super) seq: u64,
     pub(super) fencing_token: u64,
+    /// When the last heartbeat that renewed the lease was sent.
     pub(super) leased_from: f64,
     pub(super) next_heartbeat: f64,
-    pub(super) at: usize,
-    pub(super) waiting: Option<f64>,
-    /// What it tried since its lease was last renewed.
+    /// Index of the controller that heartbeats are sent to.
+    pub(super) controller: usize,
+    /// When the heartbeat that awaits its answer was sent.
+    pub(super) awaiting_since: Option<f64>,
+    /// Heartbeats since the last lease renewal.
     pub(super) trace: LeaseTrace,
     pub(super) tasks: BTreeMap<TaskId, Running>,
 }
--- a/crates/rehearsal/src/world/messages.rs
+++ b/crates/rehearsal/src/world/messages.rs
@@ -1,21 +1,21 @@
-//! Messages on their way, and who waits for an answer.
+//! Messages in flight, and the requesters that wait for answers.
 
 use super::*;
 
-/// A direct command on its way.
-pub(super) struct DirectOnWay {
+/// Direct commands in flight.
+pub(super) struct DirectInFlight {
     pub(super) node: usize,
     pub(super) boot: f64,
     pub(super) op: OpId,
     pub(super) machine: MachineId,
     pub(super) cmd: DirectCommands,
-    /// Whether its sender still waits for the answer.
+    /// Whether the sender still waits for the answer.
     pub(super) answer: bool,
 }
 
-/// Something that happens at a later step.
-pub(super) enum Late {
-    /// A store request takes effect, and its answer comes unless lost.
+/// A delivery that happens at a later step.
+pub(super) enum Delivery {
+    /// A store request takes effect, and is answered unless the answer is lost.
     Store {
         node: usize,
         boot: f64,
@@ -28,7 +28,7 @@
         boot: f64,
         event: Event,
     },
-    Direct(DirectOnWay),
+    Direct(DirectInFlight),
     Heartbeat {
         node: usize,
         heartbeat: Heartbeat,
@@ -49,8 +49,8 @@
     },
 }
 
-/// Who waits for an answer of a controller.
-pub(super) enum Asked {
+/// The requester that waits for a controller's answer.
+pub(super) enum Requester {
     Heartbeat {
         machine: MachineId,
         agent_epoch: u64,
@@ -61,37 +61,38 @@
         what: char,
         asked: u32,
     },
-    /// Another cell, by the number of its call.
+    /// Another cell, identified by the number of its call.
     Cell(u64),
 }
 
-/// What becomes of a direct command on its way.
+/// How a direct command is delivered.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Passage {
-    /// It arrives, and its answer does.
+pub(super) enum DirectOutcome {
+    /// The command and its answer both arrive.
     Answered,
-    /// Its sender gives it up; it arrives so many steps later, at least and fewer than.
+    /// The command arrives after at least `least` and fewer than `most` steps, and its sender times
+    /// out before.
     Late { least: u32, most: u32 },
-    /// It arrives at once; its answer comes after its sender has given it up.
+    /// The command arrives at once, and its answer after the sender has timed out.
     AnswerLate,
 }
 
 /// A request to another cell.
 #[derive(Clone, Debug)]
 pub struct OutgoingCall {
-    /// The controller that asks.
+    /// Index of the controller that sends the request.
     pub node: usize,
-    /// Its process.
+    /// When its process started, which identifies the process.
     pub boot: f64,
-    /// When it asked, in steps.
+    /// The step at which the request was sent.
     pub at: u32,
-    /// Its name for the request.
+    /// The controller's identifier of the operation.
     pub op: OpId,
-    /// The cell asked.
+    /// The cell that the request is sent to.
     pub cell: CellName,
-    /// What it asks.
+    /// The request itself.
     pub request: CellRequest,
 }
 
-/// What a cell answered to another's call.
+/// The answer to a call from another cell, or the error.
 pub type CellAnswer = Result<Box<CellReply>, CellError>;
--- a/crates/rehearsal/src/world/met.rs
+++ b/crates/rehearsal/src/world/met.rs
@@ -1,68 +1,71 @@
-//! Counts of what came about in a run.
+//! Counts of events in a run.
 
 use super::LeaseLapse;
 
-/// What came about, so that a test can tell whether its troubles met.
+/// Counts by which a test checks that the faults of a run took effect.
 #[derive(Debug, Default)]
 pub struct Met {
-    /// Cancellations confirmed while a task of the job ran: when, and by whom.
+    /// Cancellations confirmed while a task of the job ran: the step, and the controller that
+    /// confirmed.
     pub cancelled: Vec<(u32, usize)>,
-    /// Of those, with a task on a machine that was cut off or hung.
+    /// Of these cancellations, those with a task on an unreachable or hung machine.
     pub cancelled_apart: u32,
-    /// Transactions without an answer that take effect seconds later.
+    /// Transactions that got no answer and took effect seconds later.
     pub late_writes: u32,
-    /// Copies of heartbeats that came again.
+    /// Duplicates of heartbeats that were sent again.
     pub copies: u32,
-    /// Orders held back by a cut, a hang or deafness, and executed after it.
+    /// Direct commands delayed because their machine was unreachable or hung, and delivered
+    /// afterwards.
     pub held_orders: u32,
-    /// Answers to heartbeats that a machine out of reach never got.
+    /// Answers to heartbeats that an unreachable machine never received.
     pub unheard: u32,
-    /// When transactions with changes were refused as a condition failed, steps.
+    /// Steps at which transactions with changes were refused because a condition failed.
     pub conflicts: Vec<u32>,
-    /// Transactions carried out whose answer was lost.
+    /// Transactions that were executed and whose answer was lost.
     pub answers_lost: u32,
-    /// Old heartbeats that reached a controller as another began to lead.
+    /// Old heartbeats that reached the controllers after a change of leader.
     pub kept: u32,
-    /// Jobs looked at closely.
+    /// Jobs about which users sent a burst of requests.
     pub looks: u32,
-    /// Jobs called off as their last task ended.
+    /// Jobs cancelled as their last task ended.
     pub cancelled_at_end: u32,
-    /// Orders carried out by machines that reach no controller.
+    /// Direct commands executed by machines whose heartbeats reach no controller.
     pub mute_orders: u32,
-    /// When another began to lead.
+    /// Steps at which a new leader took over.
     pub changes_of_leader: Vec<u32>,
-    /// Of those, while the team's tasks took all that it may use, or all but one.
+    /// Of these changes, those while the team's tasks used its whole limit, or all but one CPU.
     pub changes_at_limit: u32,
-    /// Starts executed after their job's cancellation was confirmed.
+    /// Starts executed after the cancellation of their job was confirmed.
     pub late_starts: u32,
-    /// Submissions refused as they can never run.
+    /// Submissions refused because the job can never run.
     pub odd: u32,
-    /// Direct orders with commands.
+    /// Direct messages that carried commands.
     pub orders: u32,
-    /// Of those, with nothing but entries to clear from a worker's list.
+    /// Of these messages, those that only clear entries from a worker's list of tasks.
     pub clearing_orders: u32,
-    /// When the store went down for all while it held no leader's key.
+    /// Steps at which the store went down for all controllers while it held no leader key.
     pub outages_without_leader: Vec<u32>,
-    /// Starts of jobs bound to a zone.
+    /// Starts of tasks of jobs bound to a zone.
     pub zoned_starts: u32,
-    /// Jobs with DAG dependencies that began, all the jobs they need done.
+    /// Jobs with dependencies that started after all their dependencies were done.
     pub dependents_started: u32,
-    /// Jobs told cancelled that their users did not cancel: a job they need was.
+    /// Jobs reported as cancelled that their users did not cancel, because a dependency was
+    /// cancelled.
     pub cascaded: u32,
-    /// Direct commands that arrived after their sender had given them up.
+    /// Direct commands that arrived after their sender had timed out.
     pub late_commands: u32,
-    /// Starts in such commands that arrived in the epoch they were sent to, after their
-    /// job's tasks had to be gone: nothing but the token can keep them from being carried out.
+    /// Starts in such commands that arrived in the agent epoch they were sent to, but after all
+    /// tasks of their job had to be gone. Only the fencing token can prevent their execution.
     pub starts_past_cancellation: u32,
-    /// Direct commands carried out whose answer came after their sender had given it up.
+    /// Direct commands that were executed and whose answer arrived after the sender had timed out.
     pub late_answers: u32,
-    /// Leases that ran out while their workers held tasks.
+    /// Leases that expired while their workers held tasks.
     pub lease_lapses: Vec<LeaseLapse>,
-    /// Requests that the store refused as beyond its limits.
+    /// Requests that the store refused because of its rate limits.
     pub store_refusals: u32,
-    /// Transactions larger than the store takes.
+    /// Transactions that the store rejected as too large.
     pub rejections: u32,
-    /// Polls of the cascade's jobs that were answered without their state, as the
-    /// controller's copy was behind or it was asked too much.
+    /// Polls about the cascade's jobs that were answered without a status, because the controller's
+    /// replica was behind or the controller was overloaded.
     pub cascade_unanswered: u32,
 }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -1,5 +1,6 @@
-//! One cell among stand-ins of workers, state service, cloud and users, with troubles at set
-//! times. Time runs in steps of 0.1 s; the rules are checked at each.
+//! Simulation of one cell: real controllers with simulated workers, state service, cloud and users,
+//! and faults at set times. Time advances in steps of 0.1 s, and the safety rules are checked after
+//! each step.
 
 mod actions;
 mod cascades;
@@ -44,7 +45,7 @@
 use marblebarrow_proto::job::{JobSpec, Kind, Priority};
 use marblebarrow_proto::wire::*;
 use members::{Host, Running, Worker};
-use messages::{Asked, DirectOnWay, Late, Passage};
+use messages::{Delivery, DirectInFlight, DirectOutcome, Requester};
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -55,19 +56,19 @@
 const REPORT_S: f64 = 1.0;
 const CANCEL_S: f64 = 20.0;
 const NODES: usize = 3;
-const LIMIT: f64 = 10.0;
-/// Longest that a job may go unanswered after all troubles, steps.
-const SILENCE: u32 = 300;
+const DEFAULT_TEAM_CPUS: f64 = 10.0;
+/// Longest time without an answer about an accepted job after the last fault, in steps.
+const MAX_UNANSWERED_STEPS: u32 = 300;
 
-/// Numbers of one cell's jobs.
+/// Size of the range of job numbers of one cell.
 const NUMBERS: u32 = 100_000;
 
-/// A job's number within its cell.
+/// The number of a job within its cell.
 fn number_of(id: &JobId) -> u32 {
     id.as_str()[4..].parse::<u32>().unwrap_or(0) % NUMBERS
 }
 
-/// The world.
+/// A simulated cell. Fields that end in `_until` are steps up to which a fault lasts.
 pub struct World {
     rng: StdRng,
     step: u32,
@@ -84,147 +85,155 @@
     late_writes_until: u32,
     answers_lost_until: u32,
     answers_late_until: u32,
-    keep_until: u32,
-    looks_until: u32,
-    cancel_ends_until: u32,
-    storm_until: u32,
-    /// How direct commands are held up, and until when.
+    keep_heartbeats_until: u32,
+    request_bursts_until: u32,
+    cancel_at_end_until: u32,
+    poll_storm_until: u32,
+    /// How direct commands are delayed, and until when.
     held: Option<(Held, u32)>,
-    /// Reports kept for the next leader.
-    kept: Vec<(Heartbeat, f64)>,
-    /// Jobs to be looked at closely, and since when.
-    looks: Vec<(JobId, u32)>,
-    /// Jobs that their users will want to call off, and when.
-    call_off_at: Vec<(u32, JobId)>,
-    /// Jobs that their users want to call off now.
-    called_off: BTreeSet<JobId>,
-    /// A zone and its controller that are apart from the rest, and until when.
-    apart: (&'static str, usize, u32),
-    /// The last term that was seen to lead.
+    /// Copies of heartbeats that reach every controller when the next leader takes over, and when
+    /// each was sent.
+    kept_heartbeats: Vec<(Heartbeat, f64)>,
+    /// Jobs about which users send a burst of requests, and since when.
+    request_bursts: Vec<(JobId, u32)>,
+    /// Jobs that their users will cancel, and when.
+    cancels_due: Vec<(u32, JobId)>,
+    /// Jobs that their users want cancelled now.
+    cancel_requested: BTreeSet<JobId>,
+    /// A network partition: a zone, the only controller that it can reach, and the step at which
+    /// the partition ends.
+    partition: (&'static str, usize, u32),
+    /// The highest term in which a controller was seen to lead.
     last_term: u64,
-    /// How long boots take, in tenths of the usual, and until when.
+    /// Boot time of new machines, in tenths of the usual one, and until when this holds.
     boots: (u32, u32),
-    /// Until when heartbeats are copied, and how late the copies may come.
+    /// Until when heartbeats are duplicated, and the largest delay of a duplicate, in steps.
     copies: (u32, u32),
-    /// When the last trouble ends.
-    calm_from: u32,
-    /// When each accepted job was last answered about.
-    heard_of: BTreeMap<JobId, u32>,
+    /// The step at which the last fault has ended.
+    faults_over_from: u32,
+    /// The step at which a user last got the status of each accepted job.
+    last_answer_at: BTreeMap<JobId, u32>,
     machines: BTreeMap<MachineId, Worker>,
     released: BTreeSet<MachineId>,
     rents: HashMap<String, Vec<MachineId>>,
     next_machine: u32,
-    late: Vec<(u32, Late)>,
-    asked: HashMap<(usize, ReplyTo), Asked>,
+    deliveries: Vec<(u32, Delivery)>,
+    requesters: HashMap<(usize, ReplyTo), Requester>,
     next_reply: u64,
     specs: BTreeMap<JobId, JobSpec>,
     accepted: BTreeSet<JobId>,
     told: BTreeMap<JobId, (Stage, u32)>,
     cancels: BTreeMap<JobId, u32>,
     finished: BTreeSet<TaskId>,
-    /// This cell and the others, if there are others.
+    /// Settings of this cell and of the other cells, if there are any.
     pub cells: Option<Arc<CellsSettings>>,
     /// Added to the numbers of this cell's jobs, so that no two cells share an id.
     pub first_number: u32,
-    /// Specs of jobs that other cells' users submitted.
+    /// Specs of jobs that users of other cells submitted.
     pub guest_specs: BTreeMap<JobId, JobSpec>,
-    /// What controllers logged at the `info` level.
+    /// Lines that controllers logged at the `info` level.
     pub info: Vec<String>,
-    /// What controllers logged since this was last taken, if there are other cells.
+    /// Lines that controllers logged since this was last taken. Collected only if there are other
+    /// cells.
     pub events: Vec<String>,
-    /// Jobs that are in other cells.
+    /// Jobs of this cell that other cells have accepted.
     pub elsewhere: BTreeSet<JobId>,
-    /// Tasks that completed here since these were last taken.
+    /// Tasks that completed in this cell since this was last taken.
     pub newly_finished: Vec<TaskId>,
-    /// Requests to other cells since they were last taken.
+    /// Requests to other cells since this was last taken.
     pub cell_calls: Vec<OutgoingCall>,
-    /// Answers to other cells' calls, by number, since they were last taken.
+    /// Answers to other cells' calls, with the number of each call, since this was last taken.
     pub cell_answers: Vec<(u64, CellAnswer)>,
-    /// What came about.
+    /// Counts of the run, by which tests check that faults took effect.
     pub met: Met,
-    /// Every third job is bound to a zone.
+    /// Whether every third job is bound to a zone.
     pub zoned: bool,
-    /// Every fourth job is called off a second after it was accepted.
+    /// Whether every fourth job is cancelled one second after it was accepted.
     pub quarter: bool,
-    /// Users also submit jobs that can never run.
+    /// Whether users also submit jobs that can never run.
     pub odd: bool,
-    /// What broke a rule.
+    /// Violations of the safety rules.
     pub broken: Vec<String>,
     /// Tasks started.
     pub starts: u32,
-    /// Machines that were found slow or faulty.
+    /// Machines that a controller cordoned as slow or faulty.
     pub cordons: usize,
-    /// Steps between submissions, until that step.
+    /// Steps between submissions, and the step at which submissions end.
     pub pace: (u32, u32),
-    /// The store carries out and answers every request at once, but for the troubles planned.
+    /// Whether the store executes and answers every request at once, apart from the faults of the
+    /// run.
     pub store_answers_all: bool,
-    /// Jobs submitted at once.
+    /// Jobs submitted at the same time.
     pub jobs_at_once: u32,
-    /// When a task of each job first started, steps.
+    /// The step at which the first task of each job started.
     pub begun: BTreeMap<JobId, u32>,
-    /// When each job was first told accepted, steps.
+    /// The step at which the user of each job was first told that it is accepted.
     pub accepted_at: BTreeMap<JobId, u32>,
-    /// Machines at most, and the team's limit in CPUs.
+    /// The largest number of machines, and the team's limit in CPUs.
     pub size: (usize, f64),
-    /// Report interval and lease, seconds.
+    /// Heartbeat interval and lease of workers, in seconds.
     pub beat: (f64, f64),
-    /// Replicas of a service.
+    /// Replicas of each service.
     pub replicas: u32,
-    /// Keys in a page of the store.
+    /// Keys in a page of a range read from the store.
     pub page: usize,
-    flying: [usize; NODES],
-    /// Tasks of an array at most.
+    directs_in_flight: [usize; NODES],
+    /// The largest number of tasks of an array.
     pub width: u32,
-    /// Most direct commands that were ever under way at once, from one node.
+    /// The largest number of direct commands that one controller had in flight.
     pub directs: usize,
-    /// Most changes to the store in a second.
+    /// The largest number of changes to the store within a second.
     pub changes: usize,
-    /// What the store was asked for, in all.
+    /// Totals of the changes made to the store.
     pub store_work: StoreWork,
-    changed: Vec<(u32, usize)>,
-    /// How often keys of each kind were put.
+    recent_changes: Vec<(u32, usize)>,
+    /// Number of puts by kind of key.
     puts: BTreeMap<String, usize>,
-    /// Jobs whose number divides by this fail on every machine, until cancelled.
+    /// Tasks of jobs whose number is a multiple of this fail on every machine. Users cancel these
+    /// jobs.
     pub mistaken: Option<u32>,
-    /// Tasks of a job end far apart, ...
+    /// Whether the tasks of a job end far apart, task `i` after `gap_s * i` seconds.
     pub gaps: bool,
-    /// ... each so many seconds after the one before.
+    /// Seconds between the ends of consecutive tasks of a job if `gaps` is set.
     pub gap_s: f64,
-    /// Attempts that failed.
+    /// Task attempts that failed.
     pub fails: u32,
     /// Machines rented so far.
     pub rented: u32,
-    /// No services at all.
+    /// Whether users submit no services.
     pub no_services: bool,
-    /// The cloud fills a request for more machines than it has in part, instead of refusing it.
+    /// Whether the cloud partly fills a request for more machines than it has, instead of refusing
+    /// it.
     pub rents_in_part: bool,
-    /// The first job is a service of so many tasks that its users keep; all others are arrays
-    /// of one task.
+    /// If set, the first job is a service with this many tasks that its users keep, and all other
+    /// jobs are arrays of one task.
     pub filled_by: Option<u32>,
-    /// Arrays may use spot machines.
+    /// Whether arrays may use spot machines.
     pub spot_arrays: bool,
-    /// Agent epochs that ended as their lease ran out.
+    /// Agent epochs that ended with tasks because the lease expired.
     pub lapses: u32,
-    /// The job of this number is idle work, of so many tasks that run a minute each.
+    /// Number of a low-priority job, and how many tasks it has. Each runs for a minute.
     pub idle: Option<(u32, u32)>,
-    /// Ordinary machines rented so far.
+    /// Ordinary (not spot) machines rented so far.
     pub ordinary: u32,
-    /// No services, and the job of this number is wide, with so many tasks, and
-    /// hopeless.
+    /// If set, there are no services, and the job of this number has this many tasks and a deadline
+    /// of 1 s that it can't meet.
     pub wide: Option<(u32, u32)>,
-    /// Arrays form pipelines of this many jobs: each names the ones before it in its
-    /// pipeline as DAG dependencies, and is submitted once they are accepted.
+    /// If set, arrays form pipelines of this many jobs: each names the jobs before it in its
+    /// pipeline as dependencies, and is submitted once they are accepted.
     pub pipeline: Option<u32>,
-    /// Controllers learn what the others run from their heartbeats, and the store holds no
-    /// record of it yet. Otherwise the upgrade was complete before the day began.
+    /// Whether a rolling upgrade is simulated: controllers learn the versions of the others from
+    /// heartbeats, and the store has no record of the common format yet. Otherwise the upgrade was
+    /// complete before the start.
     upgrading: bool,
-    /// Many jobs that need one, which is cancelled.
+    /// A large set of jobs that depend on one job, which is cancelled.
     pub cascade: Option<CascadePlan>,
-    /// When users of jobs after the cancelled one were told that these are, seconds.
+    /// When the users of jobs that depend on the cancelled one were told that theirs are cancelled,
+    /// in seconds.
     cascade_told: Vec<f64>,
-    /// Each user asks again after so many steps, a multiple of ten.
+    /// Steps between polls of each user, a multiple of ten.
     pub poll_every: u32,
-    /// What the state service takes, if that is limited.
+    /// Limits of the state service, if any.
     pub store_limits: Option<StoreLimits>,
-    store_room: store_limits::StoreRoom,
+    store_budget: store_limits::StoreBudget,
 }
--- a/crates/rehearsal/src/world/settings.rs
+++ b/crates/rehearsal/src/world/settings.rs
@@ -1,24 +1,24 @@
-//! The world at its start, and the settings that its controllers get.
+//! Initial state of a simulated cell, and the settings of its controllers.
 
 use super::*;
 
 impl World {
-    /// A cell that has just begun, with what will go wrong and when, in steps.
+    /// Creates a cell from a seed and its faults, each with the step at which it begins.
     pub fn new(seed: u64, mut troubles: Vec<(u32, Trouble)>) -> Self {
         troubles.sort_by_key(|t| t.0);
-        let calm_from = troubles.iter().map(|(at, t)| at + t.steps()).max().unwrap_or(0);
+        let faults_over_from = troubles.iter().map(|(at, t)| at + t.steps()).max().unwrap_or(0);
         let host = |i: usize| Host {
             node: None,
-            born: 0.0,
-            back_at: i as u32,
+            started_at: 0.0,
+            restart_at: i as u32,
             synced: false,
             watched: 0,
             watch_sent: 0.0,
             watch_stuck_until: 0,
             asked_revision: 0,
-            refused_until: 0,
+            store_refused_until: 0,
             cut_until: 0,
-            alone_until: 0,
+            peers_cut_until: 0,
             frozen_until: 0,
             format: FORMAT,
         };
@@ -38,31 +38,31 @@
             late_writes_until: 0,
             answers_lost_until: 0,
             answers_late_until: 0,
-            keep_until: 0,
-            looks_until: 0,
-            cancel_ends_until: 0,
+            keep_heartbeats_until: 0,
+            request_bursts_until: 0,
+            cancel_at_end_until: 0,
             held: None,
-            kept: Vec::new(),
-            looks: Vec::new(),
-            call_off_at: Vec::new(),
-            called_off: BTreeSet::new(),
+            kept_heartbeats: Vec::new(),
+            request_bursts: Vec::new(),
+            cancels_due: Vec::new(),
+            cancel_requested: BTreeSet::new(),
             last_term: 0,
-            apart: ("", 0, 0),
+            partition: ("", 0, 0),
             quarter: false,
             odd: false,
             met: Met::default(),
             zoned: false,
-            storm_until: 0,
+            poll_storm_until: 0,
             boots: (10, 0),
             copies: (0, 0),
-            calm_from,
-            heard_of: BTreeMap::new(),
+            faults_over_from,
+            last_answer_at: BTreeMap::new(),
             machines: BTreeMap::new(),
             released: BTreeSet::new(),
             rents: HashMap::new(),
             next_machine: 0,
-            late: Vec::new(),
-            asked: HashMap::new(),
+            deliveries: Vec::new(),
+            requesters: HashMap::new(),
             next_reply: 0,
             specs: BTreeMap::new(),
             accepted: BTreeSet::new(),
@@ -93,7 +93,7 @@
             cascade_told: Vec::new(),
             poll_every: 10,
             store_limits: None,
-            store_room: store_limits::StoreRoom::default(),
+            store_budget: store_limits::StoreBudget::default(),
             lapses: 0,
             mistaken: None,
             gaps: false,
@@ -106,21 +106,22 @@
             rents_in_part: false,
             idle: None,
             ordinary: 0,
-            size: (12, LIMIT),
+            size: (12, DEFAULT_TEAM_CPUS),
             beat: (REPORT_S, LEASE_S),
             replicas: 1,
-            // So that paging is tried.
+            // Small enough that reads of ranges span several pages.
             page: 3,
-            flying: [0; NODES],
+            directs_in_flight: [0; NODES],
             width: 6,
             directs: 0,
             changes: 0,
             store_work: StoreWork::default(),
-            changed: Vec::new(),
+            recent_changes: Vec::new(),
             puts: BTreeMap::new(),
         }
     }
 
+    /// The settings that a controller is started with.
     pub(super) fn facts(&self, i: usize) -> Facts {
         let limit = self.size.1;
         let limits = self.limits_in_settings();
--- a/crates/rehearsal/src/world/store.rs
+++ b/crates/rehearsal/src/world/store.rs
@@ -1,9 +1,10 @@
-//! Stand-in of the state service.
+//! Simulated state service: keys, leases and transactions.
 
 use super::*;
 
-/// A key without the part that names one job or machine: all to its last slash but one part.
-fn kind_of(key: &str) -> String {
+/// The kind of a key: its prefix without the part that names one job or machine, such as `w/spec/`
+/// or `end/`.
+fn key_kind(key: &str) -> String {
     let mut parts = key.splitn(3, '/');
     let first = parts.next().unwrap_or_default();
     match (first, parts.next()) {
@@ -12,7 +13,7 @@
     }
 }
 
-/// What the store was asked for.
+/// Totals of the changes made to the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreWork {
     /// Keys put or deleted.
@@ -26,6 +27,7 @@
 }
 
 impl StoreWork {
+    /// Adds the changes of a transaction to the totals.
     pub(super) fn add(&mut self, txn: &Txn) {
         let mut total = 0;
         for write in &txn.writes {
@@ -42,10 +44,11 @@
 }
 
 impl World {
-    pub(super) fn expire(&mut self) {
+    /// Ends the leases that have expired.
+    pub(super) fn expire_leases(&mut self) {
         let now = self.now();
         if self.step < self.store_down_until {
-            // Once an outage ends, every lease has its full time again.
+            // During an outage no lease expires: each has its full time to live when it ends.
             for (ttl, until) in self.leases.values_mut() {
                 *until = now + *ttl;
             }
@@ -58,6 +61,7 @@
         }
     }
 
+    /// Ends a lease and deletes the keys bound to it.
     pub(super) fn end_lease(&mut self, g: u64) {
         self.leases.remove(&g);
         let keys: Vec<String> =
@@ -69,6 +73,7 @@
         }
     }
 
+    /// Executes a request to the store.
     pub(super) fn store(&mut self, req: &StoreRequest) -> StoreResult {
         let now = self.now();
         if !self.within_limits(req) {
@@ -88,10 +93,10 @@
                     }
                     return StoreResult::Conflict(failed);
                 }
-                let bad = txn.writes.iter().any(
+                let has_unknown_lease = txn.writes.iter().any(
                     |w| matches!(w, Write::Put { lease: Some(g), .. } if !self.leases.contains_key(g)),
                 );
-                if bad {
+                if has_unknown_lease {
                     return StoreResult::Rejected;
                 }
                 if self.too_large(txn) {
@@ -109,15 +114,15 @@
                     self.store_work.add(txn);
                     self.revision += 1;
                     let second = self.step.saturating_sub(10);
-                    self.changed.retain(|(at, _)| *at > second);
-                    self.changed.push((self.step, txn.writes.len()));
-                    let changes = self.changed.iter().map(|(_, n)| n).sum();
+                    self.recent_changes.retain(|(at, _)| *at > second);
+                    self.recent_changes.push((self.step, txn.writes.len()));
+                    let changes = self.recent_changes.iter().map(|(_, n)| n).sum();
                     self.changes = self.changes.max(changes);
                 }
                 for w in &txn.writes {
                     match w {
                         Write::Put { key, value, lease } => {
-                            *self.puts.entry(kind_of(key)).or_default() += 1;
+                            *self.puts.entry(key_kind(key)).or_default() += 1;
                             self.kv.insert(key.clone(), (value.clone(), self.revision, *lease));
                             self.history.push((self.revision, key.clone(), Some(value.clone())));
                         }
--- a/crates/rehearsal/src/world/store_limits.rs
+++ b/crates/rehearsal/src/world/store_limits.rs
@@ -1,26 +1,26 @@
-//! The limits of the stand-in of the state service, if a day sets some.
+//! Rate and size limits of the simulated state service, if a run sets any.
 
 use super::*;
 
-/// What the state service takes; see the protocol page. Both rates allow bursts of one
-/// second's worth.
+/// Limits of the state service. Both rates allow bursts of one second's worth.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Requests a second, watches not counted.
+    /// Requests per second, watches not counted.
     pub requests_per_s: f64,
-    /// Puts and deletes a second, of failed transactions too.
+    /// Puts and deletes per second, those of failed transactions included.
     pub changes_per_s: f64,
-    /// Puts and deletes in a transaction; four times as many conditions.
+    /// Puts and deletes in a transaction. It may have four times as many conditions.
     pub changes_per_transaction: usize,
-    /// Bytes of a value as JSON.
+    /// Bytes of a value encoded as JSON.
     pub value_bytes: usize,
-    /// Whether the controllers' settings announce these limits. If not, they come upon them.
+    /// Whether the controllers' settings name these limits. If not, controllers notice them only by
+    /// refused requests.
     pub announced: bool,
-    /// The step from which on they are in force.
+    /// The step from which the limits apply.
     pub from: u32,
 }
 
-/// What settings name that announce nothing else.
+/// Limits in the controllers' settings when a run announces no others.
 const WIDE_LIMITS: StoreLimits = StoreLimits {
     requests_per_s: 200.0,
     changes_per_s: 60.0,
@@ -30,15 +30,16 @@
     from: 0,
 };
 
-/// What is left of the limits.
+/// Token buckets of the rate limits.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct StoreRoom {
+pub(super) struct StoreBudget {
     requests: f64,
     changes: f64,
-    at: f64,
+    refilled_at: f64,
 }
 
 impl World {
+    /// The limits, once the step from which they apply is reached.
     fn limits_in_force(&self) -> Option<StoreLimits> {
         self.store_limits.filter(|limits| self.step >= limits.from)
     }
@@ -48,29 +49,29 @@
         self.store_limits.filter(|limits| limits.announced).unwrap_or(WIDE_LIMITS)
     }
 
-    /// Whether a request is within the limits; if so, it is counted.
+    /// Whether a request is within the rate limits. If so, it is charged.
     pub(super) fn within_limits(&mut self, request: &StoreRequest) -> bool {
         let Some(limits) = self.limits_in_force() else { return true };
-        let (now, room) = (self.now(), &mut self.store_room);
-        let past = now - room.at;
+        let (now, budget) = (self.now(), &mut self.store_budget);
+        let past = now - budget.refilled_at;
         let refill = |left: f64, rate: f64| (left + past * rate).min(rate);
-        room.requests = refill(room.requests, limits.requests_per_s);
-        room.changes = refill(room.changes, limits.changes_per_s);
-        room.at = now;
+        budget.requests = refill(budget.requests, limits.requests_per_s);
+        budget.changes = refill(budget.changes, limits.changes_per_s);
+        budget.refilled_at = now;
         let changes = match request {
             StoreRequest::Commit(txn) => txn.writes.len() as f64,
             _ => 0.0,
         };
-        if room.requests < 1.0 || room.changes < changes {
+        if budget.requests < 1.0 || budget.changes < changes {
             self.met.store_refusals += 1;
             return false;
         }
-        room.requests -= 1.0;
-        room.changes -= changes;
+        budget.requests -= 1.0;
+        budget.changes -= changes;
         true
     }
 
-    /// Whether a transaction is larger than the state service takes.
+    /// Whether a transaction exceeds the size limits of the state service.
     pub(super) fn too_large(&self, txn: &Txn) -> bool {
         let Some(limits) = self.limits_in_force() else { return false };
         let values = txn.writes.iter().map(|write| match write {
@@ -83,5 +84,5 @@
     }
 }
 
-/// Conditions that a transaction may have for each change it may have.
+/// Conditions allowed in a transaction for each change allowed.
 const CONDITIONS_PER_CHANGE: usize = 4;
--- a/crates/rehearsal/src/world/tasks.rs
+++ b/crates/rehearsal/src/world/tasks.rs
@@ -1,18 +1,18 @@
-//! Tasks on workers: the execution of commands, and the rules that each start must keep.
+//! Tasks on workers: execution of commands, and the safety rules checked at each start.
 
 use super::*;
 
-/// Tasks that a machine has room for.
+/// Tasks that fit on a machine.
 const TASKS_PER_MACHINE: usize = 4;
-/// How much longer tasks take on a slow machine.
+/// Factor by which tasks run longer on a slow machine.
 const SLOW_FACTOR: f64 = 6.0;
-/// Run time of a task of low priority, seconds.
+/// Run time of a low-priority task, in seconds.
 const LOW_PRIORITY_RUN_S: f64 = 60.0;
-/// Run time of a task of a job that fails everywhere, seconds.
-const MISTAKEN_RUN_S: f64 = 0.5;
+/// Run time of a task of a job that fails on every machine, in seconds.
+const FAILING_TASK_RUN_S: f64 = 0.5;
 
 impl Worker {
-    /// Why a worker refuses to start a task, if it does.
+    /// The reason why the worker refuses to start a task, if it does.
     fn refusal(&self, task: &TaskId) -> Option<Why> {
         if self.tasks.contains_key(task) {
             Some(Why::Busy)
@@ -25,7 +25,7 @@
 }
 
 impl World {
-    /// Executes commands, in their order.
+    /// Executes commands in order.
     pub(super) fn execute(&mut self, id: &MachineId, commands: &[Command]) {
         for command in commands {
             match command {
@@ -36,6 +36,7 @@
         }
     }
 
+    /// Stops a running attempt of a task.
     fn stop(&mut self, id: &MachineId, name: &str, attempt: Attempt) {
         let now = self.now();
         let Some(w) = self.machines.get_mut(id) else { return };
@@ -44,10 +45,11 @@
         if run.attempt == attempt && run.state != TaskState::Exited {
             run.state = TaskState::Exited;
             run.why = Some(Why::Stopped);
-            w.tell_soon(now);
+            w.report_soon(now);
         }
     }
 
+    /// Removes an attempt from the worker's list of tasks.
     fn forget(&mut self, id: &MachineId, name: &str, attempt: Attempt) {
         let Some(w) = self.machines.get_mut(id) else { return };
         let Some(task) = TaskId::parse(name) else { return };
@@ -79,13 +81,14 @@
         let ends = self.end_of_run(id, &task, &spec);
         let state = if why.is_some() { TaskState::Exited } else { TaskState::Running };
         if let Some(w) = self.machines.get_mut(id) {
-            w.tell_soon(now);
+            w.report_soon(now);
             if why != Some(Why::Busy) {
                 w.tasks.insert(task, Running { attempt, state, why, ends });
             }
         }
     }
 
+    /// Counts a start, and records the first one of its job.
     fn count_start(&mut self, task: &TaskId, spec: &JobSpec) {
         self.starts += 1;
         let first = !self.begun.contains_key(&task.job);
@@ -94,7 +97,7 @@
         self.met.zoned_starts += u32::from(spec.zone.is_some());
     }
 
-    /// The rules of a start: `ran_twice`, `wrong_place`, `quota` and `ran_cancelled`.
+    /// Checks the rules of a start: `ran_twice`, `wrong_place`, `quota` and `ran_cancelled`.
     fn check_start(&mut self, id: &MachineId, task: &TaskId, spec: &JobSpec) {
         let Some(w) = self.machines.get(id) else { return };
         let holds =
@@ -112,13 +115,13 @@
         }
         if matches!(self.told.get(&task.job), Some((Stage::Cancelled, _))) {
             self.met.late_starts += 1;
-            if self.past_cancellation(&task.job) {
+            if self.after_cancellation_deadline(&task.job) {
                 self.broken.push(format!("ran_cancelled: {task} starts on {id}"));
             }
         }
     }
 
-    /// When a task that starts now will end by itself.
+    /// The time at which a task that starts now ends by itself.
     fn end_of_run(&mut self, id: &MachineId, task: &TaskId, spec: &JobSpec) -> f64 {
         let now = self.now();
         let slow = self.machines.get(id).is_some_and(|w| self.step < w.slow_until);
@@ -130,7 +133,7 @@
         };
         let run = run * if slow { SLOW_FACTOR } else { 1.0 };
         match spec.kind {
-            _ if self.mistaken(&task.job) => now + MISTAKEN_RUN_S,
+            _ if self.mistaken(&task.job) => now + FAILING_TASK_RUN_S,
             Kind::Service => f64::INFINITY,
             _ if self.finished.contains(task) => now,
             _ => now + run,
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/troubles.rs
@@ -1,101 +1,108 @@
-//! What goes wrong, and how it begins.
+//! Faults within a cell, and how each takes effect.
 
 use super::direct::DIRECT_TIMEOUT_STEPS;
 use super::*;
 
-/// Something that goes wrong; lengths in steps.
+/// A fault within a cell. Durations are in steps, controllers are named by index, and machines by
+/// their position among those that exist.
 #[derive(Clone, Debug)]
 pub enum Trouble {
-    /// A controller ends, and is started again after so long.
+    /// A controller crashes, and is restarted after this time.
     Crash(usize, u32),
-    /// All controllers end, and are started again after so long.
+    /// All controllers crash, and are restarted after this time.
     CrashAll(u32),
-    /// Meant for whichever controller leads by then.
+    /// A fault aimed at the controller that leads when the fault begins. The index within it is
+    /// ignored.
     AtLeader(Box<Trouble>),
-    /// A controller stands still while its clocks run on; then it goes on with
-    /// all that waited for it.
+    /// A controller is suspended while its clocks advance, then handles all events that arrived
+    /// meanwhile.
     Freeze(usize, u32),
-    /// The state service is down for all.
+    /// The state service is down for all controllers.
     StoreDown(u32),
-    /// The state service refuses one controller.
+    /// The state service refuses the requests of one controller.
     StoreRefuses(usize, u32),
-    /// No worker reaches a controller, nor it them.
+    /// A controller and the workers can't reach each other.
     WorkersCut(usize, u32),
-    /// A machine is cut off; what is sent to it comes when the cut ends.
+    /// A machine is unreachable. Its heartbeats and the commands to it are delivered when the cut
+    /// ends, answers to heartbeats are lost.
     MachineCut(usize, u32),
-    /// All machines of a zone are cut off.
+    /// All machines of a zone are unreachable.
     ZoneCut(&'static str, u32),
-    /// Its heartbeats arrive; answers and commands don't reach it.
+    /// One-way partition of a machine: its heartbeats arrive, but answers and commands don't reach
+    /// it.
     MachineDeaf(usize, u32),
-    /// A machine is gone, with all on it.
+    /// A machine and its tasks are lost.
     MachineDies(usize),
-    /// Its worker is back at once, empty and counting from the beginning.
+    /// A worker restarts at once with empty state, and counts its agent epochs from the beginning.
     MachineReborn(usize),
-    /// The cloud answers nobody.
+    /// The cloud refuses all requests.
     CloudDown(u32),
-    /// Neither store nor peers, but workers and users.
+    /// A controller reaches neither the store nor its peers, but workers and users.
     Isolated(usize, u32),
-    /// Copies of all heartbeats come again, up to so much later.
+    /// All heartbeats are duplicated, and the copies arrive up to this much later.
     LateCopies(u32),
     /// The state service takes up to two seconds for each answer.
     StoreSlow(u32),
-    /// Controllers don't reach each other.
+    /// Controllers can't reach each other.
     PeersRefuse(u32),
-    /// A third of all transactions get no answer, and take effect 2 to 12 s later,
-    /// after newer ones.
+    /// A third of all transactions get no answer, and take effect 2 to 12 s later, after newer
+    /// ones.
     LateWrites(u32),
-    /// Machines rented take so many tenths of the usual boot, and every third of them
-    /// never comes up if it is more than that.
+    /// Machines rented take this many tenths of the usual boot time. If it is longer than usual,
+    /// every third machine never comes up.
     Boots(u32, u32),
-    /// Users ask eight times as often.
+    /// Users poll about every job in each step instead of once a second.
     PollStorm(u32),
-    /// Tasks on it take six times as long.
+    /// Tasks on a machine take six times as long.
     MachineSlow(usize, u32),
-    /// A controller's watch brings nothing, while the store serves it otherwise.
+    /// A controller's watch returns nothing, while the store serves its other requests.
     WatchStuck(usize, u32),
-    /// Users call off so many jobs that run, at once.
+    /// Users cancel this many running jobs at once.
     CancelNow(usize),
-    /// A third of all transactions are carried out at once, and only the answer is lost.
+    /// A third of all transactions are executed at once, and only their answers are lost.
     AnswersLost(u32),
-    /// Transactions are carried out at once, and their answers come up to a second later,
-    /// after the watch.
+    /// Transactions are executed at once, and their answers arrive up to a second later, after the
+    /// watch has shown the changes.
     AnswersLate(u32),
-    /// Copies of a third of all heartbeats are kept, and reach every controller as soon
-    /// as another leads.
+    /// Copies of a third of all heartbeats are kept, and reach every controller as soon as the
+    /// leader changes.
     KeptHeartbeats(u32),
-    /// Users ask every controller at once, and repeat what they asked, right after a job
-    /// was accepted, ended or cancelled.
+    /// Right after a job was accepted, ended or cancelled, users poll every controller at once and
+    /// repeat their earlier requests.
     CloseLooks(u32),
-    /// Half of the jobs that end are called off at that moment.
+    /// Half of the jobs that end are cancelled at that moment.
     CancelAtEnd(u32),
-    /// It reaches no controller; direct orders reach it.
+    /// One-way partition of a machine: its heartbeats reach no controller, but direct commands
+    /// reach it.
     MachineMute(usize, u32),
-    /// None of the machines reaches a controller; direct orders reach them.
+    /// One-way partition of all machines: no heartbeat reaches a controller, but direct commands
+    /// arrive.
     AllMute(u32),
-    /// A zone's machines reach this controller alone, and it reaches them alone.
+    /// A network partition: the machines of a zone and one controller reach only each other.
     ZoneApart(&'static str, usize, u32),
-    /// It does nothing at all, and then goes on with what waited for it.
+    /// A machine is suspended, then handles what arrived meanwhile.
     MachineHangs(usize, u32),
-    /// Single direct commands are held up on their way, and answers to others, while all
-    /// else to and from their machines flows.
+    /// Some direct commands are delayed, and the answers to others, while all other messages to and
+    /// from their machines arrive.
     HeldCommands(Held, u32),
 }
 
-/// How direct commands are held up.
+/// How direct commands are delayed.
 #[derive(Clone, Copy, Debug)]
 pub struct Held {
-    /// Of so many commands one is held up; and of the others' answers as many.
+    /// One in this many commands is delayed, and the answer to another one in this many.
     pub one_in: u32,
-    /// At least so many steps ...
+    /// Smallest delay, in steps.
     pub least: u32,
-    /// ... and fewer than so many.
+    /// Upper bound of the delay, in steps, exclusive.
     pub most: u32,
-    /// Whether users call off jobs whose start is held, within two seconds of its sending.
+    /// Whether users cancel jobs whose start command is delayed, within two seconds after it was
+    /// sent.
     pub called_off: bool,
 }
 
 impl Trouble {
-    /// How long it lasts.
+    /// Duration of the fault, in steps.
     pub fn steps(&self) -> u32 {
         match self {
             Self::Crash(_, s)
@@ -134,7 +141,7 @@
 }
 
 impl Trouble {
-    /// The same fault at the controller given, if it is one of controllers.
+    /// The same fault at the given controller, if it affects a single controller.
     fn at_controller(self, n: usize) -> Self {
         match self {
             Self::Crash(_, s) => Self::Crash(n, s),
@@ -151,13 +158,14 @@
 
 impl World {
     /// Begins the faults that are due.
-    pub(super) fn trouble(&mut self) {
+    pub(super) fn begin_due_faults(&mut self) {
         while self.troubles.first().is_some_and(|(at, _)| *at <= self.step) {
             let (_, trouble) = self.troubles.remove(0);
             self.begin(trouble);
         }
     }
 
+    /// Applies a fault from this step on.
     fn begin(&mut self, trouble: Trouble) {
         let step = self.step;
         match trouble {
@@ -174,7 +182,7 @@
                 }
                 self.store_down_until = step + s;
             }
-            Trouble::StoreRefuses(n, s) => self.hosts[n].refused_until = step + s,
+            Trouble::StoreRefuses(n, s) => self.hosts[n].store_refused_until = step + s,
             Trouble::WorkersCut(n, s) => self.hosts[n].cut_until = step + s,
             Trouble::CloudDown(s) => self.cloud_down_until = step + s,
             Trouble::MachineCut(m, s) => self.at_machine(m, |w| w.cut_until = step + s),
@@ -184,7 +192,7 @@
             }
             Trouble::Isolated(n, s) => self.isolate(n, s),
             Trouble::PeersRefuse(s) => {
-                self.hosts.iter_mut().for_each(|h| h.alone_until = step + s);
+                self.hosts.iter_mut().for_each(|h| h.peers_cut_until = step + s);
             }
             Trouble::StoreSlow(s) => self.store_slow_until = step + s,
             Trouble::MachineSlow(m, s) => self.at_machine(m, |w| w.slow_until = step + s),
@@ -192,28 +200,28 @@
             Trouble::CancelNow(most) => {
                 let running = self.running_jobs();
                 let open = |id: &JobId| !self.cancels.contains_key(id);
-                self.called_off.extend(running.into_iter().filter(open).take(most));
+                self.cancel_requested.extend(running.into_iter().filter(open).take(most));
             }
             Trouble::AnswersLost(s) => self.answers_lost_until = step + s,
             Trouble::AnswersLate(s) => self.answers_late_until = step + s,
-            Trouble::KeptHeartbeats(s) => self.keep_until = step + s,
-            Trouble::CloseLooks(s) => self.looks_until = step + s,
-            Trouble::CancelAtEnd(s) => self.cancel_ends_until = step + s,
-            Trouble::MachineMute(m, s) => self.at_machine(m, |w| w.mute_until = step + s),
+            Trouble::KeptHeartbeats(s) => self.keep_heartbeats_until = step + s,
+            Trouble::CloseLooks(s) => self.request_bursts_until = step + s,
+            Trouble::CancelAtEnd(s) => self.cancel_at_end_until = step + s,
+            Trouble::MachineMute(m, s) => self.at_machine(m, |w| w.outbound_cut_until = step + s),
             Trouble::AllMute(s) => {
-                self.machines.values_mut().for_each(|w| w.mute_until = step + s);
+                self.machines.values_mut().for_each(|w| w.outbound_cut_until = step + s);
             }
             Trouble::ZoneApart(zone, n, s) => {
-                self.apart = (zone, n, step + s);
+                self.partition = (zone, n, step + s);
                 self.isolate(n, s);
             }
             Trouble::MachineHangs(m, s) => self.at_machine(m, |w| w.hung_until = step + s),
             Trouble::HeldCommands(held, s) => self.held = Some((held, step + s)),
             Trouble::LateWrites(s) => self.late_writes_until = step + s,
             Trouble::Boots(tenths, s) => self.boots = (tenths, step + s),
-            Trouble::PollStorm(s) => self.storm_until = step + s,
+            Trouble::PollStorm(s) => self.poll_storm_until = step + s,
             Trouble::LateCopies(s) => self.copies = (step + s, s),
-            Trouble::MachineDeaf(m, s) => self.at_machine(m, |w| w.deaf_until = step + s),
+            Trouble::MachineDeaf(m, s) => self.at_machine(m, |w| w.inbound_cut_until = step + s),
             Trouble::MachineReborn(m) => self.restart_worker(m),
             Trouble::MachineDies(m) => self.at_machine(m, |w| {
                 w.dead = true;
@@ -222,64 +230,67 @@
         }
     }
 
-    /// Changes a machine by its place among those that exist, if there is one.
+    /// Changes the machine at a position among those that exist, if there is one.
     fn at_machine(&mut self, place: usize, change: impl FnOnce(&mut Worker)) {
         if let Some(worker) = self.machines.values_mut().nth(place) {
             change(worker);
         }
     }
 
-    /// A controller reaches neither the store nor its peers.
+    /// Cuts a controller off from the store and its peers.
     fn isolate(&mut self, n: usize, steps: u32) {
-        self.hosts[n].refused_until = self.step + steps;
-        self.hosts[n].alone_until = self.step + steps;
+        self.hosts[n].store_refused_until = self.step + steps;
+        self.hosts[n].peers_cut_until = self.step + steps;
     }
 
-    /// A worker is back at once, empty and counting from the beginning.
+    /// Restarts a worker with empty state, which counts its agent epochs from the beginning.
     ///
-    /// Not while cut off: an order held back for its former self would match its epoch and
-    /// token, and nothing in the protocol could tell (see docs/questions.md).
+    /// An unreachable worker is not restarted: a command delayed for the process before the restart
+    /// would match the agent epoch and fencing token of the new one, and nothing in the protocol
+    /// could tell them apart (see docs/questions.md).
     fn restart_worker(&mut self, place: usize) {
         let (now, step) = (self.now(), self.step);
-        let up = |w: &Worker| !w.dead && now >= w.up_at && step >= w.cut_until.max(w.deaf_until);
+        let up =
+            |w: &Worker| !w.dead && now >= w.up_at && step >= w.cut_until.max(w.inbound_cut_until);
         let machine = self.machines.iter_mut().nth(place).filter(|(_, w)| up(w));
         let Some((id, worker)) = machine else { return };
         worker.tasks.clear();
         (worker.agent_epoch, worker.seq, worker.fencing_token) = (1, 0, 0);
         worker.leased_from = now;
         worker.next_heartbeat = now;
-        worker.waiting = None;
+        worker.awaiting_since = None;
         let id = id.clone();
         self.break_connections(&id);
     }
 
-    /// Connections to a worker break, and who sent over them learns no more than that.
+    /// Breaks the connections to a worker. The senders of commands in flight learn only that the
+    /// outcome is unknown.
     fn break_connections(&mut self, machine: &MachineId) {
-        for (at, late) in &mut self.late {
-            let Late::Direct(direct) = late else { continue };
+        for (at, delivery) in &mut self.deliveries {
+            let Delivery::Direct(direct) = delivery else { continue };
             if direct.machine != *machine {
                 continue;
             }
             if direct.answer {
                 let event = Event::Direct(direct.op, DirectResult::Unknown);
                 let (node, boot) = (direct.node, direct.boot);
-                *late = Late::Event { node, boot, event };
+                *delivery = Delivery::Event { node, boot, event };
                 *at = self.step + DIRECT_TIMEOUT_STEPS;
             } else {
-                // Its sender is told already.
+                // The sender has been told of the unknown outcome already.
                 direct.machine = MachineId::new("gone");
             }
         }
     }
 
-    /// Whether a zone that is apart lies between a controller and a machine.
-    pub(super) fn parted(&self, n: usize, machine: &MachineId) -> bool {
-        let (zone, host, until) = self.apart;
+    /// Whether a network partition separates a controller from a machine.
+    pub(super) fn is_partitioned(&self, n: usize, machine: &MachineId) -> bool {
+        let (zone, host, until) = self.partition;
         let inside = self.machines.get(machine).is_some_and(|w| w.zone == zone);
         self.step < until && inside != (n == host)
     }
 
-    /// Jobs with a task on a live machine.
+    /// Accepted jobs with a running task on a live machine.
     pub(super) fn running_jobs(&self) -> BTreeSet<JobId> {
         let live = self.machines.values().filter(|w| !w.dead);
         let running = |w: &Worker| {
@@ -289,16 +300,18 @@
         live.flat_map(running).filter(|id| self.accepted.contains(id)).collect()
     }
 
-    // One that stands still or was cut off may still think so: the last to win leads.
+    /// Whether a controller leads. One that was suspended or cut off may still believe that it does,
+    /// so the leader is the one with the highest term.
     pub(super) fn leads(&self, n: usize) -> bool {
         let term = |h: &Host| h.node.as_ref().and_then(|n| n.authority()).map(|a| a.0);
         let last = self.hosts.iter().filter_map(term).max();
         last.is_some() && term(&self.hosts[n]) == last
     }
 
+    /// Ends a controller process, to be restarted after this many steps.
     pub(super) fn crash(&mut self, n: usize, steps: u32) {
         self.hosts[n].node = None;
-        self.flying[n] = 0;
-        self.hosts[n].back_at = self.step + steps;
+        self.directs_in_flight[n] = 0;
+        self.hosts[n].restart_at = self.step + steps;
     }
 }
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/world/users.rs
@@ -1,10 +1,11 @@
-//! Users: what they ask, and what they are told.
+//! Simulated users: their requests, and the checks of the answers they get.
 
 use super::*;
 
 impl World {
+    /// The spec of job number `n`.
     pub(super) fn spec(&mut self, n: u32) -> JobSpec {
-        let mut spec = self.usual_spec(n);
+        let mut spec = self.default_spec(n);
         if let Some(replicas) = self.filled_by {
             let fills = n == 0;
             spec.kind = if fills { Kind::Service } else { Kind::Array };
@@ -16,8 +17,9 @@
         spec
     }
 
-    fn usual_spec(&mut self, n: u32) -> JobSpec {
-        // Many replicas: every other job is a service, and none is cancelled.
+    /// The spec of job number `n` unless `filled_by` is set.
+    fn default_spec(&mut self, n: u32) -> JobSpec {
+        // With several replicas every other job is a service, and none is cancelled.
         let turn = if self.replicas > 1 { n % 2 == 1 } else { n % 4 == 3 };
         let service = turn && self.wide.is_none() && !self.no_services;
         JobSpec {
@@ -45,8 +47,8 @@
         }
     }
 
-    /// In a pipeline, a job names the jobs before it in the same pipeline, unless one of
-    /// them is a service (services are never named).
+    /// In a pipeline, a job depends on the jobs before it in the same pipeline, except services,
+    /// which can't be dependencies.
     fn dependencies_of(&self, n: u32, service: bool) -> Vec<JobId> {
         let Some(length) = self.pipeline.filter(|_| !service) else { return Vec::new() };
         let first = n - n % length.max(1);
@@ -54,18 +56,18 @@
         (first..n).map(id).filter(|dependency| !self.service_spec(dependency)).collect()
     }
 
+    /// Whether a job is a service, or not known.
     fn service_spec(&self, id: &JobId) -> bool {
         self.specs.get(id).is_none_or(|spec| spec.kind == Kind::Service)
     }
 
-    /// Whether the jobs that a job names were all accepted: users submit a job of a
-    /// pipeline only then.
+    /// Whether all dependencies of a job were accepted. Users submit a job of a pipeline only then.
     fn may_submit(&self, spec: &JobSpec) -> bool {
         spec.dependencies.iter().all(|dependency| self.accepted.contains(dependency))
     }
 
-    /// When some job that this one needs, directly or through others, was told
-    /// cancelled, the earliest such step.
+    /// The earliest step at which the user of a direct or transitive dependency of this job was
+    /// told of its cancellation.
     pub(super) fn cancelled_upstream(&self, id: &JobId) -> Option<u32> {
         let mut stack = vec![id.clone()];
         let mut seen = BTreeSet::new();
@@ -85,7 +87,8 @@
         earliest
     }
 
-    /// Whether the job or one it needs was cancelled by its user.
+    /// Whether the user of this job, or of a direct or transitive dependency, asked for its
+    /// cancellation.
     fn cancel_asked_upstream(&self, id: &JobId) -> bool {
         if self.cancels.contains_key(id) {
             return true;
@@ -94,8 +97,8 @@
         spec.is_some_and(|s| s.dependencies.iter().any(|d| self.cancel_asked_upstream(d)))
     }
 
-    /// The user of job number `n` is about to submit it.
-    fn plan_job(&mut self, n: u32) {
+    /// Adds job number `n` to those that users submit.
+    fn submit_job(&mut self, n: u32) {
         let mut spec = self.spec(n);
         if let Some((_, tasks)) = self.wide.filter(|(wide, _)| *wide == n) {
             spec.kind = Kind::Array;
@@ -112,25 +115,26 @@
         self.specs.insert(spec.id.clone(), spec);
     }
 
+    /// One step of all users: submissions, cancellations and polls that are due.
     pub(super) fn users(&mut self, steps: u32) {
         let (every, until) = self.pace;
         if self.step % every == 5 % every && self.step < until {
             let first = self.step / every * self.jobs_at_once;
-            (first..first + self.jobs_at_once).for_each(|n| self.plan_job(n));
+            (first..first + self.jobs_at_once).for_each(|n| self.submit_job(n));
         }
         self.submit_cascade();
-        self.look_closely();
-        let storm = self.step < self.storm_until;
+        self.send_request_bursts();
+        let storm = self.step < self.poll_storm_until;
         if !self.step.is_multiple_of(10) && !storm {
             return;
         }
         for (id, spec) in self.specs.clone() {
             let n = self.rng.random_range(0..NODES);
             let over = matches!(self.told.get(&id), Some((Stage::Done | Stage::Cancelled, _)));
-            // Services, and one array in five, are cancelled some time.
+            // Services, and one array in five, are cancelled at some time.
             let number = number_of(&id);
             let planned = self.cascade_cancel(number);
-            let cancel = self.called_off.contains(&id)
+            let cancel = self.cancel_requested.contains(&id)
                 || planned == Some(true)
                 || planned.is_none()
                     && (spec.kind == Kind::Service
@@ -155,28 +159,33 @@
             } else {
                 ('p', UserRequest::Poll(id.clone()))
             };
-            self.ask(n, Asked::User { job: id, what, asked: self.step }, |to| Event::User(to, req));
+            self.ask(n, Requester::User { job: id, what, asked: self.step }, |to| {
+                Event::User(to, req)
+            });
         }
     }
 
-    /// Whether the user of a job asks in this second.
+    /// Whether the user of a job polls in this second.
     fn polls_now(&self, number: u32) -> bool {
         (self.step / 10 + number).is_multiple_of((self.poll_every / 10).max(1))
     }
 
-    // Every controller is asked within one step and the next, and told again what
-    // the user has told one already; those who call off repeat it until answered.
-    pub(super) fn look_closely(&mut self) {
+    /// Sends the bursts of requests: in the two steps after an answer that starts a burst, the user
+    /// polls every controller, repeats the submission, and repeats the cancellation if there was
+    /// one. Also sends cancellations that are due, until they are answered.
+    pub(super) fn send_request_bursts(&mut self) {
         let step = self.step;
-        self.looks.retain(|(_, since)| step <= since + 2);
-        for (id, _) in self.looks.clone() {
+        self.request_bursts.retain(|(_, since)| step <= since + 2);
+        for (id, _) in self.request_bursts.clone() {
             for n in 0..NODES {
-                let asked = |what| Asked::User { job: id.clone(), what, asked: step };
-                self.ask(n, asked('p'), |to| Event::User(to, UserRequest::Poll(id.clone())));
+                let requester = |what| Requester::User { job: id.clone(), what, asked: step };
+                self.ask(n, requester('p'), |to| Event::User(to, UserRequest::Poll(id.clone())));
                 let spec = Box::new(self.specs[&id].clone());
-                self.ask(n, asked('s'), |to| Event::User(to, UserRequest::Submit(spec)));
+                self.ask(n, requester('s'), |to| Event::User(to, UserRequest::Submit(spec)));
                 if self.cancels.contains_key(&id) {
-                    self.ask(n, asked('c'), |to| Event::User(to, UserRequest::Cancel(id.clone())));
+                    self.ask(n, requester('c'), |to| {
+                        Event::User(to, UserRequest::Cancel(id.clone()))
+                    });
                 }
             }
         }
@@ -184,27 +193,28 @@
             let number = number_of;
             let due = |(id, at): &(&JobId, &u32)| number(id).is_multiple_of(4) && step == *at + 10;
             let due = self.accepted_at.iter().filter(due).map(|(id, _)| id.clone());
-            self.called_off.extend(due);
+            self.cancel_requested.extend(due);
         }
         let due = |(at, _): &mut (u32, JobId)| *at <= step;
-        let due: Vec<(u32, JobId)> = self.call_off_at.extract_if(.., due).collect();
-        self.called_off.extend(due.into_iter().map(|(_, id)| id));
+        let due: Vec<(u32, JobId)> = self.cancels_due.extract_if(.., due).collect();
+        self.cancel_requested.extend(due.into_iter().map(|(_, id)| id));
         if self.odd && step.is_multiple_of(40) {
-            self.submit_odd();
+            self.submit_impossible_job();
         }
         let over =
             |id: &JobId| matches!(self.told.get(id), Some((Stage::Done | Stage::Cancelled, _)));
-        let open: Vec<JobId> = self.called_off.iter().filter(|id| !over(id)).cloned().collect();
+        let open: Vec<JobId> =
+            self.cancel_requested.iter().filter(|id| !over(id)).cloned().collect();
         for id in open {
             self.cancels.entry(id.clone()).or_insert(step);
             let n = self.rng.random_range(0..NODES);
-            let asked = Asked::User { job: id.clone(), what: 'c', asked: step };
-            self.ask(n, asked, |to| Event::User(to, UserRequest::Cancel(id)));
+            let requester = Requester::User { job: id.clone(), what: 'c', asked: step };
+            self.ask(n, requester, |to| Event::User(to, UserRequest::Cancel(id)));
         }
     }
 
-    // Jobs that fit no machine, no team or no zone, or ask for more than the limit.
-    pub(super) fn submit_odd(&mut self) {
+    /// Submits a job that fits no machine, team or zone, or needs more than the team's limit.
+    pub(super) fn submit_impossible_job(&mut self) {
         let mut spec = self.spec(3);
         spec.id = JobId::new(&format!("odd-{:06}", self.step));
         match self.rng.random_range(0..4) {
@@ -214,16 +224,19 @@
             _ => (spec.kind, spec.tasks) = (Kind::Service, self.size.1 as u32 + 1),
         }
         let n = self.rng.random_range(0..NODES);
-        let asked = Asked::User { job: spec.id.clone(), what: 's', asked: self.step };
-        self.ask(n, asked, |to| Event::User(to, UserRequest::Submit(Box::new(spec))));
+        let requester = Requester::User { job: spec.id.clone(), what: 's', asked: self.step };
+        self.ask(n, requester, |to| Event::User(to, UserRequest::Submit(Box::new(spec))));
     }
 
+    /// Whether the tasks of a job fail on every machine.
     pub(super) fn mistaken(&self, id: &JobId) -> bool {
         let number = number_of(id);
         self.mistaken.is_some_and(|k| number.is_multiple_of(k))
     }
 
-    pub(super) fn user_told(
+    /// Handles a controller's answer to a user, and checks it against earlier answers and the
+    /// records.
+    pub(super) fn handle_user_answer(
         &mut self,
         by: usize,
         id: &JobId,
@@ -245,7 +258,7 @@
                     self.accepted.insert(id.clone());
                     self.accepted_at.entry(id.clone()).or_insert(self.step);
                 }
-                self.heard_of.insert(id.clone(), self.step);
+                self.last_answer_at.insert(id.clone(), self.step);
                 let final_before = known
                     .filter(|(s, at)| matches!(s, Stage::Done | Stage::Cancelled) && *at < asked);
                 if let Some((stage, _)) = final_before
@@ -273,9 +286,9 @@
                 let over = |s: &Stage| matches!(s, Stage::Done | Stage::Cancelled);
                 let news = self.told.get(id).is_none_or(|(s, _)| over(&status.stage) && !over(s));
                 if news {
-                    if self.step < self.looks_until {
+                    if self.step < self.request_bursts_until {
                         self.met.looks += 1;
-                        self.looks.push((id.clone(), self.step));
+                        self.request_bursts.push((id.clone(), self.step));
                     }
                     if status.stage == Stage::Cancelled {
                         self.note_cancelled(by, id);
--- a/crates/rehearsal/src/world/views.rs
+++ b/crates/rehearsal/src/world/views.rs
@@ -1,9 +1,9 @@
-//! What tests read of machines and services.
+//! State of machines and services that tests read.
 
 use super::*;
 
 impl World {
-    /// Replicas that run, on machines that live.
+    /// Running replicas of services on live machines.
     pub fn serving(&self) -> usize {
         let spec = |t: &TaskId| self.specs.get(&t.job).or_else(|| self.guest_specs.get(&t.job));
         let service = |t: &&TaskId| spec(t).is_some_and(|s| s.kind == Kind::Service);
@@ -15,17 +15,17 @@
         .sum()
     }
 
-    /// Machines that were returned, or are to be, so far.
+    /// Number of machines released so far.
     pub fn returned(&self) -> usize {
         self.released.len()
     }
 
-    /// Machines that are up.
+    /// Number of machines that were not lost.
     pub fn up(&self) -> usize {
         self.machines.values().filter(|w| !w.dead).count()
     }
 
-    /// The step that was played last.
+    /// The step that was simulated last.
     pub fn step(&self) -> u32 {
         self.step
     }
--- a/crates/rehearsal/src/world/workers.rs
+++ b/crates/rehearsal/src/world/workers.rs
@@ -1,43 +1,43 @@
-//! Stand-ins of workers: leases, ends of tasks, heartbeats and their answers.
+//! Simulated workers: leases, ends of tasks, heartbeats and their answers.
 
 use super::*;
 
-/// Wait of a worker for the answer to a heartbeat, seconds.
+/// Timeout of a heartbeat, in seconds.
 const HEARTBEAT_TIMEOUT_S: f64 = 4.0;
-/// Pause before a worker tries the next controller, seconds.
+/// Backoff before a worker tries the next controller, in seconds.
 const NEXT_CONTROLLER_S: f64 = 1.0;
-/// Pause between a change on a machine and the heartbeat that tells of it, seconds.
+/// Delay between a change on a machine and the heartbeat that reports it, in seconds.
 const CHANGE_PAUSE_S: f64 = 0.5;
-/// While heartbeats are kept for the next leader, one in so many is.
+/// While heartbeats are kept back for the next leader, one in this many is copied.
 const KEPT_ONE_IN: u32 = 3;
-/// While jobs are cancelled at their end, one in so many is.
+/// While jobs are cancelled at their end, one in this many is.
 const CANCELLED_AT_END_ONE_IN: u32 = 2;
 
 impl Worker {
-    /// Tasks that take room.
+    /// Number of tasks that haven't exited.
     pub(super) fn live_tasks(&self) -> usize {
         self.tasks.values().filter(|run| run.state != TaskState::Exited).count()
     }
 
-    /// Until when, in steps, messages don't reach it.
+    /// The step up to which messages don't reach the worker.
     pub(super) fn unreachable_until(&self) -> u32 {
-        self.cut_until.max(self.deaf_until).max(self.hung_until)
+        self.cut_until.max(self.inbound_cut_until).max(self.hung_until)
     }
 
-    /// Something changed: the next heartbeat comes soon.
-    pub(super) fn tell_soon(&mut self, now: f64) {
+    /// Advances the next heartbeat to report a change.
+    pub(super) fn report_soon(&mut self, now: f64) {
         self.next_heartbeat = self.next_heartbeat.min(now + CHANGE_PAUSE_S);
     }
 
-    /// Turns to the next controller, after a pause.
+    /// Switches to the next controller, after a backoff.
     fn try_next_controller(&mut self, now: f64) {
-        self.at = (self.at + 1) % NODES;
+        self.controller = (self.controller + 1) % NODES;
         self.next_heartbeat = now + NEXT_CONTROLLER_S;
     }
 }
 
 impl World {
-    /// A worker's next heartbeat.
+    /// Creates the next heartbeat of a worker.
     pub(super) fn heartbeat_of(&mut self, id: &MachineId) -> Option<Heartbeat> {
         let w = self.machines.get_mut(id)?;
         w.seq += 1;
@@ -64,23 +64,23 @@
         })
     }
 
-    /// One step of all workers.
-    pub(super) fn work(&mut self) {
+    /// One step of all workers, and the check of cancelled jobs.
+    pub(super) fn step_workers(&mut self) {
         let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in ids {
-            self.work_on(&id);
+            self.step_worker(&id);
         }
         self.check_cancelled();
     }
 
-    /// One step of a worker: its lease, ends of tasks, heartbeats.
-    fn work_on(&mut self, id: &MachineId) {
+    /// One step of a worker: expiry of its lease, ends of tasks, heartbeat.
+    fn step_worker(&mut self, id: &MachineId) {
         let now = self.now();
         let Some(w) = self.machines.get_mut(id) else { return };
         if w.dead || now < w.up_at {
             return;
         }
-        // One that hangs does this as it goes on, before anything else.
+        // A suspended worker does this when it resumes, before anything else.
         if now - w.leased_from > self.beat.1 {
             if !w.tasks.is_empty() {
                 self.lapses += 1;
@@ -104,6 +104,7 @@
         self.send_heartbeat_if_due(id, now);
     }
 
+    /// Ends the tasks of a worker that are due.
     fn end_tasks(&mut self, id: &MachineId, now: f64) {
         let Some(w) = self.machines.get(id) else { return };
         let due =
@@ -112,7 +113,7 @@
         for task in ended {
             let why = self.end_task(&task);
             let Some(w) = self.machines.get_mut(id) else { return };
-            w.tell_soon(now);
+            w.report_soon(now);
             if let Some(run) = w.tasks.get_mut(&task) {
                 run.state = TaskState::Exited;
                 run.why = Some(why);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A task ends: how, and what follows for its job.
+    /// Ends a task, and returns its outcome. May schedule a cancellation of its job.
     fn end_task(&mut self, task: &TaskId) -> Why {
         let number = number_of(&task.job);
         if self.mistaken.is_some_and(|divisor| number.is_multiple_of(divisor)) {
@@ -130,16 +131,16 @@
         self.finished.insert(task.clone());
         self.newly_finished.push(task.clone());
         if self.all_finished(&task.job)
-            && self.step < self.cancel_ends_until
+            && self.step < self.cancel_at_end_until
             && self.rng.random_range(0..CANCELLED_AT_END_ONE_IN) == 0
         {
             self.met.cancelled_at_end += 1;
-            self.called_off.insert(task.job.clone());
+            self.cancel_requested.insert(task.job.clone());
         }
         Why::Done
     }
 
-    /// Whether all tasks of a job that was submitted here are finished.
+    /// Whether all tasks of a job that was submitted in this cell are finished.
     fn all_finished(&self, job: &JobId) -> bool {
         self.specs.get(job).is_some_and(|spec| {
             let finished = |index| self.finished.contains(&TaskId { job: job.clone(), index });
@@ -147,46 +148,47 @@
         })
     }
 
+    /// Sends a heartbeat if one is due and none awaits its answer.
     fn send_heartbeat_if_due(&mut self, id: &MachineId, now: f64) {
         let Some(w) = self.machines.get_mut(id) else { return };
-        if w.waiting.is_some_and(|sent| now - sent > HEARTBEAT_TIMEOUT_S) {
-            w.waiting = None;
+        if w.awaiting_since.is_some_and(|sent| now - sent > HEARTBEAT_TIMEOUT_S) {
+            w.awaiting_since = None;
             w.trace.failed(now, HeartbeatOutcome::TimedOut);
             w.try_next_controller(now);
         }
-        if w.waiting.is_some() || now < w.next_heartbeat {
+        if w.awaiting_since.is_some() || now < w.next_heartbeat {
             return;
         }
-        w.waiting = Some(now);
+        w.awaiting_since = Some(now);
         w.next_heartbeat = now + self.beat.0;
-        w.trace.sent(w.at, now);
-        let (node, cut) = (w.at, w.cut_until);
-        let mute = self.step < w.mute_until;
+        w.trace.sent(w.controller, now);
+        let (node, cut) = (w.controller, w.cut_until);
+        let mute = self.step < w.outbound_cut_until;
         let Some(heartbeat) = self.heartbeat_of(id).filter(|_| !mute) else { return };
-        if self.step < self.keep_until && self.rng.random_range(0..KEPT_ONE_IN) == 0 {
-            self.kept.push((heartbeat.clone(), now));
+        if self.step < self.keep_heartbeats_until && self.rng.random_range(0..KEPT_ONE_IN) == 0 {
+            self.kept_heartbeats.push((heartbeat.clone(), now));
         }
         if self.step < self.copies.0 {
             self.send_late_copy(node, heartbeat.clone(), now);
         }
-        let late = Late::Heartbeat { node, heartbeat, sent: now };
-        // Held back by a cut, and delivered when it ends.
+        let delivery = Delivery::Heartbeat { node, heartbeat, sent: now };
+        // Delivered when the cut ends.
         if cut > self.step {
-            self.late.push((cut, late));
+            self.deliveries.push((cut, delivery));
         } else {
-            self.after(0, late);
+            self.after(0, delivery);
         }
     }
 
-    /// A copy of a heartbeat comes later, to any controller.
+    /// Sends a duplicate of a heartbeat later, to any controller.
     fn send_late_copy(&mut self, node: usize, heartbeat: Heartbeat, sent: f64) {
         let node = (node + self.step as usize) % NODES;
         let delay = self.rng.random_range(1..self.copies.1.max(2));
         self.met.copies += 1;
-        self.late.push((self.step + delay, Late::Heartbeat { node, heartbeat, sent }));
+        self.deliveries.push((self.step + delay, Delivery::Heartbeat { node, heartbeat, sent }));
     }
 
-    /// The answer to a heartbeat arrives at its worker.
+    /// Handles the answer to a heartbeat at its worker.
     pub(super) fn heartbeat_answered(
         &mut self,
         id: &MachineId,
@@ -198,10 +200,10 @@
         let Some(w) = self.machines.get_mut(id) else { return };
         let unreachable = self.step < w.unreachable_until();
         self.met.unheard += u32::from(unreachable);
-        if w.dead || w.waiting != Some(sent) || w.agent_epoch != agent_epoch || unreachable {
+        if w.dead || w.awaiting_since != Some(sent) || w.agent_epoch != agent_epoch || unreachable {
             return;
         }
-        w.waiting = None;
+        w.awaiting_since = None;
         match answer {
             Answer::Heartbeat(a) => {
                 if a.fencing_token < w.fencing_token {
@@ -209,7 +211,7 @@
                     return;
                 }
                 if a.fencing_token > w.fencing_token {
-                    w.tell_soon(now);
+                    w.report_soon(now);
                 }
                 w.fencing_token = a.fencing_token;
                 w.leased_from = sent;
@@ -219,7 +221,7 @@
             Answer::Elsewhere(node) => {
                 w.trace.failed(now, HeartbeatOutcome::Redirected);
                 let named = node.and_then(|n| n.as_str()[1..].parse().ok());
-                w.at = named.unwrap_or((w.at + 1) % NODES);
+                w.controller = named.unwrap_or((w.controller + 1) % NODES);
                 w.next_heartbeat = now + CHANGE_PAUSE_S;
             }
             _ => {
@@ -229,19 +231,19 @@
         }
     }
 
-    /// Direct commands arrive at a worker. None if there is no worker that could answer.
+    /// Executes direct commands at a worker. `None` if there is no worker that could answer.
     pub(super) fn direct(&mut self, id: &MachineId, cmd: &DirectCommands) -> Option<DirectResult> {
         let now = self.now();
         let w = self.machines.get_mut(id)?;
         if w.dead || now < w.up_at {
             return None;
         }
-        let good = cmd.fencing_token >= w.fencing_token && cmd.agent_epoch == w.agent_epoch;
-        if good {
-            self.met.mute_orders += u32::from(self.step < w.mute_until);
+        let is_current = cmd.fencing_token >= w.fencing_token && cmd.agent_epoch == w.agent_epoch;
+        if is_current {
+            self.met.mute_orders += u32::from(self.step < w.outbound_cut_until);
             w.fencing_token = cmd.fencing_token;
             self.execute(id, &cmd.commands);
         }
-        Some(DirectResult::Heartbeat(good, Box::new(self.heartbeat_of(id)?)))
+        Some(DirectResult::Heartbeat(is_current, Box::new(self.heartbeat_of(id)?)))
     }
 }
