--- a/crates/rehearsal/src/fleet_of_cells/checks.rs
+++ b/crates/rehearsal/src/fleet_of_cells/checks.rs
@@ -1,6 +1,7 @@
-//! The rules that hold across cells, checked after each step from the workers' and the
-//! stores' own records: at most one move for each job, no job back at its home, none run in
-//! two cells, and none on a machine once its user knows for long that it is cancelled.
+//! The safety rules across cells, checked after each step against the records of the workers and
+//! the stores: a job moves at most once, never back to its home cell, runs in no two cells, and
+//! holds no machine in another cell once its cancellation was confirmed to its user long enough
+//! ago.
 
 use crate::fleet_of_cells::FleetOfCells;
 use crate::world::World;
@@ -17,7 +18,8 @@
         self.mark_moved_jobs();
     }
 
-    /// No job is accepted by two other cells, nor by its home.
+    /// Rules `moved twice` and `came back`: no job is accepted by two other cells, or by its home
+    /// cell.
     fn check_moves(&mut self) {
         for (cell, world) in self.cells.iter().enumerate() {
             for job in world.inbound() {
@@ -33,6 +35,7 @@
         }
     }
 
+    /// Updates the counts of moves, refusals and cancellations.
     fn count_moves(&mut self) {
         self.met.moved = self.accepted_by.len() as u64;
         let count = |prefix| self.cells.iter().map(|cell| cell.puts_under(prefix)).sum::<usize>();
@@ -40,7 +43,8 @@
         self.met.cancels_wanted = count(CANCEL_WANTED) as u64;
     }
 
-    /// No job ever begins in two cells, and one that is surely cancelled is nowhere.
+    /// Rules `ran_twice` and `ran_cancelled`: no job starts in two cells, and no other cell holds a
+    /// job whose cancellation was confirmed long enough ago.
     fn check_runs(&mut self) {
         for cell in 0..self.cells.len() {
             for other in (0..self.cells.len()).filter(|other| *other != cell) {
@@ -56,7 +60,7 @@
         }
     }
 
-    /// Tells each home which of its jobs are in other cells, for its own checks.
+    /// Marks each job accepted by another cell in its home cell, whose own checks depend on it.
     fn mark_moved_jobs(&mut self) {
         for (job, by) in &self.accepted_by {
             for (cell, world) in self.cells.iter_mut().enumerate() {
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Collects the violations that the cells found themselves.
+    /// Collects the violations that the cells found.
     pub(super) fn collect_broken(&mut self) {
         for (cell, world) in self.cells.iter_mut().enumerate() {
             let broken = std::mem::take(&mut world.broken);
@@ -75,7 +79,7 @@
         }
     }
 
-    /// Measures for how long each job is offered to a cell that hasn't answered.
+    /// Measures how long each job is in doubt: offered to a cell that hasn't answered.
     pub(super) fn measure_doubt(&mut self) {
         let now: BTreeSet<JobId> = self.cells.iter().flat_map(World::in_doubt).collect();
         for job in &now {
--- a/crates/rehearsal/src/fleet_of_cells/digest.rs
+++ b/crates/rehearsal/src/fleet_of_cells/digest.rs
@@ -1,6 +1,7 @@
-//! A digest of a run, for comparing two runs.
+//! Digest of a run, to compare two runs.
 
-/// FNV-1a over whole words: the same on every machine and in every version of the library.
+/// FNV-1a over whole words, which gives the same value on every machine and with every version of
+/// the standard library.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Digest(u64);
 
--- a/crates/rehearsal/src/fleet_of_cells/ends.rs
+++ b/crates/rehearsal/src/fleet_of_cells/ends.rs
@@ -1,30 +1,31 @@
-//! When the ends of jobs that moved became durable where they ran, and when at their homes.
+//! When the final states of moved jobs became durable in the cells that ran them, and in their home
+//! cells.
 
 use crate::fleet_of_cells::FleetOfCells;
 use marblebarrow_proto::ids::JobId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The end of a job that moved, in steps.
+/// The final state of a job that moved. Times are in steps.
 #[derive(Clone, Copy, Debug)]
 pub struct MovedEnd {
-    /// The cell that ran it.
+    /// Index of the cell that ran the job.
     pub target: usize,
-    /// When its end was durable there.
+    /// When the final state became durable in that cell.
     pub at_target: u32,
-    /// When it was durable at home, if it is.
+    /// When the final state became durable in the home cell, if it is.
     pub at_home: Option<u32>,
 }
 
-/// The ends of all jobs that moved.
+/// The final states of all jobs that moved.
 #[derive(Debug, Default)]
 pub(super) struct MovedEnds {
     ends: BTreeMap<JobId, MovedEnd>,
-    /// Jobs that moved and whose end isn't durable at home yet.
+    /// Moved jobs whose final state isn't durable in the home cell yet.
     open: BTreeSet<JobId>,
 }
 
 impl MovedEnds {
-    /// A job was accepted by another cell.
+    /// Records that a job was accepted by another cell.
     pub(super) fn moved(&mut self, job: &JobId) {
         if !self.ends.contains_key(job) {
             self.open.insert(job.clone());
@@ -33,13 +34,13 @@
 }
 
 impl FleetOfCells {
-    /// The ends of a cell's own jobs that moved, by job.
+    /// The final states of a cell's own jobs that moved, by job.
     pub fn moved_ends(&self, home: usize) -> impl Iterator<Item = (&JobId, &MovedEnd)> {
         let submitted = self.cells[home].submitted();
         self.moved_ends.ends.iter().filter(|(job, _)| submitted.contains_key(*job))
     }
 
-    /// Notes the ends that became durable in this step.
+    /// Records the final states that became durable in this step.
     pub(super) fn note_ends(&mut self) {
         let (cells, step) = (&self.cells, self.step);
         let MovedEnds { ends, open } = &mut self.moved_ends;
--- a/crates/rehearsal/src/fleet_of_cells/messages.rs
+++ b/crates/rehearsal/src/fleet_of_cells/messages.rs
@@ -1,4 +1,4 @@
-//! Requests and answers on their way between the cells and the links.
+//! Transport of requests and answers between the cells and the links.
 
 use crate::fleet_of_cells::FleetOfCells;
 use crate::fleet_of_cells::links::Packet;
@@ -6,11 +6,11 @@
 use crate::world::CellAnswer;
 use marblebarrow_cells::message::CellError;
 
-/// Controllers of a cell.
+/// Number of controllers of a cell.
 const CONTROLLERS: usize = 3;
 
 impl FleetOfCells {
-    /// Hands the messages that the cells made in this step to the links.
+    /// Passes the messages that the cells sent in this step to the links.
     pub(super) fn send_messages(&mut self) {
         for from in 0..self.cells.len() {
             self.send_requests(from);
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Hands the messages that have arrived to their cells.
+    /// Delivers the messages that have arrived to their cells.
     pub(super) fn deliver_messages(&mut self) {
         for packet in self.links.take_arrived(self.step) {
             match packet {
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Gives a caller its answer, unless it had one already.
+    /// Gives a caller its answer, unless it has had one.
     fn answer(&mut self, call: u64, answer: CellAnswer) {
         let Some(call) = self.links.end_call(call) else { return };
         self.cells[call.from].take_cell_answer(&call.outgoing, answer);
     }
 
-    /// Tells callers that waited too long that there is no answer.
+    /// Ends calls that timed out with an error.
     pub(super) fn time_out_calls(&mut self) {
         for call in self.links.timed_out(self.step) {
             self.answer(call, Err(CellError::NoAnswer));
--- a/crates/rehearsal/src/fleet_of_cells/mod.rs
+++ b/crates/rehearsal/src/fleet_of_cells/mod.rs
@@ -1,7 +1,7 @@
-//! Several cells in one simulated time, with faulty links between them.
+//! Simulation of several cells in the same simulated time, with faulty links between them.
 //!
-//! A [`Plan`] says how large the cells are, how often jobs are submitted and which faults
-//! occur; [`FleetOfCells`] plays it step by step and checks the rules that hold across cells.
+//! A [`Plan`] sets the sizes of the cells, the rate of submissions and the faults. [`FleetOfCells`]
+//! runs it step by step and checks the rules that hold across cells.
 
 mod checks;
 mod digest;
@@ -23,35 +23,35 @@
 use marblebarrow_proto::wire::Stage;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Events kept, to be shown with a rule that was broken.
+/// Number of most recent log lines that are kept, to be shown with a violation.
 const EVENTS_KEPT: usize = 60;
 
 /// Simulated cells and the links between them.
 pub struct FleetOfCells {
     /// The cells, by index.
     pub cells: Vec<World>,
-    /// What was counted so far.
+    /// Counts so far.
     pub met: Met,
-    /// Violations of the rules that were found.
+    /// Violations of the safety rules.
     pub broken: Vec<String>,
     digest: Digest,
     step: u32,
     links: Links,
-    /// Faults that haven't begun yet, and the step at which each begins.
+    /// Faults that haven't begun, and the step at which each begins.
     troubles: Vec<(u32, CellTrouble)>,
-    /// The cells that ever accepted a job from its home.
+    /// For each moved job, the cells that accepted it from its home cell.
     accepted_by: BTreeMap<JobId, BTreeSet<usize>>,
     moved_ends: MovedEnds,
-    /// How many job descriptions the cells shared last.
+    /// Number of job specs that were shared between the cells last.
     specs_shared: usize,
-    /// Since when jobs are offered to a cell that hasn't answered, steps.
+    /// The step since which each job in doubt is offered to a cell that hasn't answered.
     in_doubt: BTreeMap<JobId, u32>,
     times_in_doubt: Vec<u32>,
     events: VecDeque<String>,
 }
 
 impl FleetOfCells {
-    /// The cells of a plan, at their start.
+    /// Creates the cells of a plan.
     pub fn new(plan: &Plan) -> Self {
         let mut plan = plan.clone();
         plan.troubles.sort_by_key(|(at, _)| *at);
@@ -72,13 +72,13 @@
         }
     }
 
-    /// Steps in which a plan's work and faults surely end.
+    /// Number of steps within which the work and the faults of a plan end.
     pub fn steps_of(plan: &Plan) -> u32 {
         plan.steps()
     }
 
-    /// Runs up to this step, then checks that all work was done. Ends early when a rule is
-    /// broken.
+    /// Runs up to the given step, then checks that all work was done. Stops early when a rule is
+    /// violated.
     pub fn run(&mut self, steps: u32) {
         while self.step < steps && self.broken.is_empty() {
             self.advance(steps);
@@ -89,22 +89,22 @@
         }
     }
 
-    /// A number that two runs share only if everything logged and counted was the same.
+    /// Digest of everything logged and counted: equal only for equal runs.
     pub fn digest(&self) -> u64 {
         self.digest.value()
     }
 
-    /// How long each transfer that is settled was in doubt, in steps.
+    /// How long each settled transfer was in doubt, in steps.
     pub fn times_in_doubt(&self) -> Vec<u32> {
         self.times_in_doubt.clone()
     }
 
-    /// The last events before now.
+    /// The last log lines of all cells.
     pub fn last_events(&self) -> Vec<String> {
         self.events.iter().cloned().collect()
     }
 
-    /// How many jobs of a cell were told done, told cancelled, and accepted in all.
+    /// Counts of the accepted jobs of a cell, and of those reported done and cancelled.
     pub fn ends(&self, cell: usize) -> Ends {
         let world = &self.cells[cell];
         let mut ends = Ends::default();
@@ -119,7 +119,8 @@
         ends
     }
 
-    /// Steps from acceptance to the first start of each job of a cell that began, anywhere.
+    /// Steps from acceptance to the first start, in any cell, of each job of a cell that has
+    /// started.
     pub fn waits(&self, cell: usize) -> Vec<u32> {
         let accepted = &self.cells[cell].accepted_at;
         let begun = |job| self.cells.iter().find_map(|world| world.begun.get(job));
@@ -129,6 +130,7 @@
             .collect()
     }
 
+    /// One step of all cells and links, with the checks.
     fn advance(&mut self, steps: u32) {
         self.step += 1;
         self.begin_cuts();
@@ -147,6 +149,7 @@
         self.record_step();
     }
 
+    /// Begins the cuts of links that are due. The cells begin their own faults.
     fn begin_cuts(&mut self) {
         let step = self.step;
         for (_, trouble) in self.troubles.extract_if(.., |(at, _)| *at <= step) {
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Workers everywhere can fetch every job's description.
+    /// Makes the specs of all jobs known in every cell, as workers can fetch them from anywhere.
     fn share_descriptions(&mut self) {
         let known: usize = self.cells.iter().map(|cell| cell.submitted().len()).sum();
         if known == self.specs_shared {
@@ -169,7 +172,7 @@
         }
     }
 
-    /// What is finished in one cell is so for all.
+    /// Makes tasks that finished in one cell known in all others.
     fn share_finished_tasks(&mut self) {
         for cell in 0..self.cells.len() {
             let finished = std::mem::take(&mut self.cells[cell].newly_finished);
@@ -180,8 +183,7 @@
         }
     }
 
-    /// Adds this step to the digest: all that controllers logged, starts, store changes and
-    /// messages.
+    /// Adds this step to the digest: all log lines, starts, store changes and messages.
     fn record_step(&mut self) {
         let digest = &mut self.digest;
         for (cell, world) in self.cells.iter_mut().enumerate() {
@@ -197,7 +199,7 @@
             digest.add(world.store_work.bytes as u64);
         }
         digest.add(self.met.messages);
-        digest.add(self.links.packets_under_way() as u64);
+        digest.add(self.links.packets_in_flight() as u64);
         digest.add(self.accepted_by.len() as u64);
     }
 }
--- a/crates/rehearsal/src/fleet_of_cells/outcome.rs
+++ b/crates/rehearsal/src/fleet_of_cells/outcome.rs
@@ -1,33 +1,33 @@
-//! What a run counts: traffic and moves between cells, and what users were told.
+//! Counts of a run: messages and moves between cells, and final answers to users.
 
-/// Counts over all cells. Tests use them to tell that the faults of a plan took effect.
+/// Counts over all cells, by which tests check that the faults of a plan took effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Met {
     /// Messages between cells.
     pub messages: u64,
-    /// Those that were lost.
+    /// Messages lost.
     pub lost: u64,
-    /// Those that came twice.
+    /// Messages duplicated.
     pub doubled: u64,
-    /// Those that came late.
+    /// Messages delayed.
     pub late: u64,
-    /// Those that a cut kept.
+    /// Messages dropped by a cut.
     pub cut: u64,
-    /// Jobs that were accepted by another cell.
+    /// Jobs accepted by another cell.
     pub moved: u64,
-    /// Offers that were refused for good.
+    /// Offers refused for good.
     pub refused: u64,
-    /// Cancellations that users wanted of jobs that might be elsewhere.
+    /// Cancellations recorded for jobs that might be in another cell.
     pub cancels_wanted: u64,
 }
 
-/// What a cell's users were told in the end.
+/// Final answers to the users of a cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ends {
     /// Jobs accepted.
     pub accepted: u32,
-    /// Told done.
+    /// Jobs reported done.
     pub done: u32,
-    /// Told cancelled.
+    /// Jobs reported cancelled.
     pub cancelled: u32,
 }
--- a/crates/rehearsal/src/fleet_of_cells/plan.rs
+++ b/crates/rehearsal/src/fleet_of_cells/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a run: sizes of the cells, load, settings and faults.
+//! The configuration of a run: sizes of the cells, load, settings and faults.
 
 use crate::fleet_of_cells::links::LATE_STEPS_MAX;
 use crate::world::{Trouble, World};
@@ -7,48 +7,48 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// The jobs of each cell have numbers from a multiple of this on.
+/// Size of the range of job numbers of each cell.
 const JOB_NUMBERS_PER_CELL: u32 = 100_000;
-/// CPUs that the team of each cell may use, so many that its quota limits nothing.
+/// CPUs that the team of each cell may use, so many that its quota never limits.
 const TEAM_CPUS_MAX: f64 = 200.0;
-/// Tasks of one CPU that a machine has room for.
+/// One-CPU tasks that fit on a machine.
 const TASKS_PER_MACHINE: u32 = 4;
-/// Steps for which the last job of a run may be open after all faults.
+/// Steps after all faults and submissions within which the last job ends.
 const SETTLING_STEPS: u32 = 1_200;
 
-/// A fault among cells; lengths in steps, cells by their index.
+/// A fault in a run of several cells. Durations are in steps, cells are named by index.
 #[derive(Clone, Debug)]
 pub enum CellTrouble {
-    /// Within a cell.
+    /// A fault within one cell.
     Within(usize, Trouble),
-    /// Nothing goes from the first cell to the second.
+    /// No message from the first cell reaches the second.
     Cut(usize, usize, u32),
-    /// A cell is gone with all its controllers.
+    /// All controllers of a cell are down.
     CellGone(usize, u32),
 }
 
-/// The configuration of a run.
+/// The configuration of a run of several cells.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Seed of all random decisions.
     pub seed: u64,
-    /// Machines at most, by cell.
+    /// The largest number of machines, by cell.
     pub machines: Vec<usize>,
-    /// Steps between submissions, by cell; 0: none.
+    /// Steps between submissions, by cell. 0 for no submissions.
     pub paces: Vec<u32>,
-    /// Until when jobs are submitted, in steps.
+    /// The step at which submissions end.
     pub until: u32,
-    /// Seconds that a job waits before it may move.
+    /// Time that a job waits before it may move, in seconds.
     pub patience_s: f64,
     /// A script that chooses among cells with room.
     pub policy: Option<String>,
-    /// Whether jobs may move at all.
+    /// Whether jobs may move to other cells.
     pub moving: bool,
     /// Whether a service fills the first cell, whose other jobs are arrays of one task.
     pub filled: bool,
-    /// Whether every fourth job is cancelled a second after it was accepted.
+    /// Whether every fourth job is cancelled one second after it was accepted.
     pub cancels: bool,
-    /// Whether links between cells neither lose nor double nor delay messages.
+    /// Whether links between cells neither lose nor duplicate nor delay messages.
     pub faultless_links: bool,
     /// The faults, and the step at which each begins.
     pub troubles: Vec<(u32, CellTrouble)>,
@@ -58,7 +58,7 @@
     /// Transfers that a cell may have in doubt with each other cell.
     pub const TRANSFERS_MAX: usize = 16;
 
-    /// Three cells, of which the first has far too few machines.
+    /// Three cells, of which the first has far too few machines for its jobs.
     pub fn one_full(seed: u64) -> Self {
         Self {
             seed,
@@ -77,13 +77,13 @@
 }
 
 impl Plan {
-    /// The cells of this plan, at their start.
+    /// Creates the cells of this plan.
     pub(super) fn cells(&self) -> Vec<World> {
-        let calm_from = self.last_fault_ends() + LATE_STEPS_MAX;
-        (0..self.machines.len()).map(|cell| self.cell(cell, calm_from)).collect()
+        let faults_over_from = self.last_fault_ends() + LATE_STEPS_MAX;
+        (0..self.machines.len()).map(|cell| self.cell(cell, faults_over_from)).collect()
     }
 
-    fn cell(&self, cell: usize, calm_from: u32) -> World {
+    fn cell(&self, cell: usize, faults_over_from: u32) -> World {
         let mut world = World::new(self.seed * 31 + cell as u64, self.troubles_within(cell));
         let pace = self.paces[cell];
         world.size = (self.machines[cell], TEAM_CPUS_MAX);
@@ -95,11 +95,11 @@
         world.spot_arrays = !self.filled;
         world.filled_by =
             (self.filled && cell == 0).then(|| self.machines[0] as u32 * TASKS_PER_MACHINE);
-        world.calm_after(calm_from);
+        world.calm_after(faults_over_from);
         world
     }
 
-    /// The faults inside one cell, in order of their begin.
+    /// The faults within one cell, in the order in which they begin.
     fn troubles_within(&self, cell: usize) -> Vec<(u32, Trouble)> {
         let within = self.troubles.iter().filter_map(|(at, trouble)| match trouble {
             CellTrouble::Within(c, inner) if *c == cell => Some((*at, inner.clone())),
@@ -126,24 +126,24 @@
         }
     }
 
-    /// Steps in which the work and the faults of this plan surely end.
+    /// Number of steps within which the work and the faults of this plan end.
     pub(super) fn steps(&self) -> u32 {
         self.last_fault_ends().max(self.until) + SETTLING_STEPS
     }
 
-    /// The step at which the last fault ends; 0 without any.
+    /// The step at which the last fault ends, or 0 without faults.
     fn last_fault_ends(&self) -> u32 {
         let ends = self.troubles.iter().map(|(at, trouble)| at + steps_of(trouble));
         ends.max().unwrap_or(0)
     }
 }
 
-/// The name of a cell by its index.
+/// The name of the cell with this index.
 pub(super) fn cell_name(cell: usize) -> CellName {
     CellName::new(&format!("cell-{cell}"))
 }
 
-/// How long a fault lasts.
+/// Duration of a fault, in steps.
 fn steps_of(trouble: &CellTrouble) -> u32 {
     match trouble {
         CellTrouble::Within(_, trouble) => trouble.steps(),
