--- a/crates/rehearsal/src/held_commands.rs
+++ b/crates/rehearsal/src/held_commands.rs
@@ -1,38 +1,40 @@
-//! Direct commands held for longer than cancelled tasks may take, while all else flows.
+//! Simulation of one cell in which some direct commands are delayed for longer than the tasks of a
+//! cancelled job may keep running, while all other messages arrive normally.
 //!
-//! Three times over: with nothing else, as leaders end, and as the state service refuses the
-//! leader and is then down for longer than cancelled tasks may take, so that no token can be
-//! raised. Jobs are called off a second after they were accepted, as they run, and as
-//! their start is held.
+//! It has three parts: without other faults, with leaders that crash, and with a state service that
+//! refuses the leader and is then down for longer than the tasks of a cancelled job may run, so
+//! that no fencing token can be raised. Users cancel jobs one second after acceptance, while they
+//! run, and while their start command is delayed.
 
 use crate::world::{Held, Trouble, World};
 use std::fmt;
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
-/// How commands are held: longer than the world's cancelled tasks may take, which is 20 s.
+/// How commands are delayed: for at least 15 s, against the 20 s in which the tasks of a cancelled
+/// job must stop, and for up to 90 s.
 pub const HELD: Held = Held { one_in: 6, least: 150, most: 900, called_off: true };
-/// How long a day lasts, steps.
+/// Length of each part, in steps.
 const STEPS: u32 = 2_200;
-/// Lines of the log that a failed rehearsal shows of each day.
+/// Log lines of each part that are shown for a failed run.
 const LINES_SHOWN: usize = 40;
 
-/// What came about.
+/// Counts over all parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeldOutcome {
     /// Tasks started.
     pub starts: u32,
-    /// Direct commands that arrived after their sender had given them up.
+    /// Direct commands that arrived after their sender had timed out.
     pub late_commands: u32,
-    /// Starts in such commands that arrived in their epoch after their job's tasks had to
-    /// be gone.
+    /// Starts in such commands that arrived in the agent epoch they were sent to, but after all
+    /// tasks of their job had to be gone.
     pub starts_past_cancellation: u32,
     /// Changes of leader.
     pub changes_of_leader: u32,
-    /// Tokens raised by leaders in office.
+    /// Fencing tokens raised by leaders during their term.
     pub fencing_tokens_raised: u32,
-    /// Machines whose heartbeats went unanswered so that their lease ran out.
+    /// Machines whose heartbeats the leader left unanswered so that their lease expired.
     pub machines_withheld: u32,
-    /// Agent epochs with tasks that ended as their lease ran out.
+    /// Agent epochs that ended with tasks because the lease expired.
     pub epochs_ended: u32,
 }
 
@@ -55,7 +57,7 @@
     }
 }
 
-/// A day on which commands are held and jobs are called off, besides other troubles.
+/// A simulated cell with delayed commands, cancelled jobs and the other faults given.
 pub fn day(seed: u64, held: Held, others: &[(u32, Trouble)]) -> World {
     let mut troubles = vec![(60, Trouble::HeldCommands(held, 600))];
     troubles.extend((150..600).step_by(90).map(|at| (at, Trouble::CancelNow(3))));
@@ -65,18 +67,19 @@
     world
 }
 
+/// Aims a fault at the controller that leads when the fault begins.
 fn at_leader(trouble: Trouble) -> Trouble {
     Trouble::AtLeader(Box::new(trouble))
 }
 
-/// Leaders end, also within a second.
+/// Crashes of leaders. Some controllers are back within a second.
 pub fn leaders_end() -> Vec<(u32, Trouble)> {
     let crash = |at, steps| (at, at_leader(Trouble::Crash(0, steps)));
     vec![crash(155, 40), crash(250, 3), crash(342, 40), crash(440, 2), crash(520, 60)]
 }
 
-/// The state service refuses the leader alone as jobs are called off, and is then down for
-/// all for longer than their tasks may take.
+/// The state service refuses the leader alone while jobs are cancelled, and is then down for all
+/// controllers for longer than the tasks of these jobs may run.
 pub fn outage() -> Vec<(u32, Trouble)> {
     let spell = |at| {
         [
@@ -88,25 +91,25 @@
     [spell(238), spell(560)].concat()
 }
 
-/// The three days of the rehearsal, with the troubles of each.
+/// The three parts of the simulation, with the additional faults of each.
 fn days() -> [(&'static str, Vec<(u32, Trouble)>); 3] {
     [("alone", Vec::new()), ("leaders-end", leaders_end()), ("outage", outage())]
 }
 
-/// How a run of the three days went.
+/// Result of a run of all three parts.
 #[derive(Clone, Debug)]
 pub struct HeldRun {
-    /// The counts over all days.
+    /// Counts over all parts.
     pub outcome: HeldOutcome,
-    /// Two runs share it only if everything logged and counted was the same.
+    /// Digest of the log lines, the starts and the violations: equal only for equal runs.
     pub digest: u64,
-    /// The last lines that the controllers logged on each day.
+    /// The last lines that the controllers logged in each part.
     pub events: Vec<String>,
-    /// Violations of the rules that were found.
+    /// Violations of the safety rules.
     pub broken: Vec<String>,
 }
 
-/// Plays the three days; the same seed and sources give the same run.
+/// Runs the three parts. The same seed and sources give the same result.
 pub fn run(seed: u64) -> HeldRun {
     let mut outcome = HeldOutcome::default();
     let mut hasher = DefaultHasher::new();
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,31 +1,33 @@
-//! The named rehearsals of `marblebarrow rehearse`, and their verdicts.
+//! The named scenarios of `marblebarrow rehearse`, and the verdicts of their runs.
 
 use crate::fleet_of_cells::{CellTrouble, Ends, FleetOfCells, Met, Plan};
 use crate::held_commands::{self, HeldOutcome};
 use crate::world::Trouble;
 use std::fmt;
 
-/// A rehearsal that can be run.
+/// A scenario that `marblebarrow rehearse` can run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// One of three cells is full: its jobs move.
+    /// One of three cells is full, and its jobs move to the others.
     FullCell,
-    /// The same as leaders of all cells end, again and again.
+    /// As `FullCell`, while the leaders of all cells crash repeatedly.
     LeadersEnd,
-    /// The same as links are cut in one direction and then the other.
+    /// As `FullCell`, while links between cells are cut in one direction and then the other.
     LinksCut,
-    /// The same as a cell that holds guests is gone for a minute.
+    /// As `FullCell`, while all controllers of a cell that runs transferred jobs are down for a
+    /// minute.
     CellGone,
-    /// The same as users cancel jobs that are on their way.
+    /// As `FullCell`, while users cancel jobs that are being transferred.
     Cancels,
-    /// The same as a state service is down, refuses one controller and loses answers.
+    /// As `FullCell`, while a state service is down, refuses one controller and loses answers.
     StoresFail,
-    /// One cell: single direct commands are held for longer than cancelled tasks may take.
+    /// One cell in which some direct commands are delayed for longer than the tasks of a cancelled
+    /// job may keep running.
     HeldCommands,
 }
 
 impl Scenario {
-    /// All of them.
+    /// All scenarios.
     pub const ALL: [Scenario; 7] = [
         Self::FullCell,
         Self::LeadersEnd,
@@ -36,7 +38,7 @@
         Self::HeldCommands,
     ];
 
-    /// Its name.
+    /// The name on the command line of `marblebarrow rehearse`.
     pub fn name(self) -> &'static str {
         match self {
             Self::FullCell => "full-cell",
@@ -49,12 +51,12 @@
         }
     }
 
-    /// The one of that name.
+    /// The scenario of this name.
     pub fn named(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|scenario| scenario.name() == name)
     }
 
-    /// What a rehearsal of several cells is made of.
+    /// The plan of a scenario of several cells.
     fn plan(self, seed: u64) -> Plan {
         let mut plan = Plan::one_full(seed);
         plan.troubles = match self {
@@ -78,14 +80,15 @@
         };
         if self == Self::Cancels {
             plan.cancels = true;
-            // Cancellations leave room: more jobs fill it.
+            // Cancelled jobs free capacity, so that jobs are submitted faster to keep the cell
+            // full.
             plan.paces[0] = 5;
             plan.patience_s = 1.0;
         }
         plan
     }
 
-    /// Runs it; the same seed and sources give the same verdict and digest.
+    /// Runs the scenario. The same seed and sources give the same verdict and digest.
     pub fn run(self, seed: u64) -> Verdict {
         match self {
             Self::HeldCommands => self.run_held_commands(seed),
@@ -115,10 +118,12 @@
     }
 }
 
+/// Aims a fault at the controller that leads when the fault begins.
 fn at_leader(trouble: Trouble) -> Trouble {
     Trouble::AtLeader(Box::new(trouble))
 }
 
+/// Crashes of the leaders of the three cells in turn, one every 4 s.
 fn leaders_end() -> Vec<(u32, CellTrouble)> {
     let ends = |step: u32| {
         let cell = (step / 40 % 3) as usize;
@@ -127,17 +132,17 @@
     (80..480).step_by(40).map(ends).collect()
 }
 
-/// What came about in a rehearsal.
+/// The counts of a run.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// Of several cells.
+    /// The counts of a scenario of several cells.
     Cells {
-        /// Between the cells.
+        /// Messages and transfers between the cells.
         met: Met,
-        /// What the users of each cell were told in the end.
+        /// Final answers to the users of each cell.
         ends: Vec<Ends>,
     },
-    /// Of one cell whose direct commands are held.
+    /// The counts of a scenario of one cell with delayed direct commands.
     HeldCommands(HeldOutcome),
 }
 
@@ -157,25 +162,25 @@
     }
 }
 
-/// How a rehearsal went.
+/// The result of one run of a scenario.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// Which.
+    /// The scenario that was run.
     pub scenario: Scenario,
-    /// What decided all that was left to luck.
+    /// Seed of all random decisions.
     pub seed: u64,
-    /// A number that tells two runs apart.
+    /// Digest of everything logged and counted, which differs between runs that differ.
     pub digest: u64,
-    /// What came about.
+    /// The counts of the run.
     pub outcome: Outcome,
-    /// The last events before the end.
+    /// The last log lines before the end of the run.
     pub events: Vec<String>,
-    /// Rules broken.
+    /// Violations of the safety rules.
     pub broken: Vec<String>,
 }
 
 impl Verdict {
-    /// Whether no rule was broken.
+    /// Whether no safety rule was violated.
     pub fn passed(&self) -> bool {
         self.broken.is_empty()
     }
--- a/crates/rehearsal/src/sweep.rs
+++ b/crates/rehearsal/src/sweep.rs
@@ -1,6 +1,6 @@
-//! Sweeps of a check over seeds. CI plays a few fixed seeds; with the variable
-//! `SWEEP_SEEDS=FROM..TO` a sweep plays those instead, on all cores, and prints what each
-//! failing seed came to:
+//! Runs a check over a range of seeds. CI uses a few fixed seeds. If the environment variable
+//! `SWEEP_SEEDS=FROM..TO` is set, a sweep runs those seeds instead, on all cores, and prints the
+//! result of each failing seed:
 //!
 //! ```text
 //! SWEEP_SEEDS=0..240 cargo test --release -p marblebarrow-core --test cluster -- \
@@ -12,26 +12,27 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// The variable that widens a sweep.
+/// Environment variable that replaces the seeds of a sweep.
 const SEEDS_VARIABLE: &str = "SWEEP_SEEDS";
 
-/// A seed, and what broke in its run.
+/// A failing seed and the description of its failure.
 struct Failure {
     seed: u64,
     text: String,
 }
 
-/// The seeds that were asked for, or the few that CI plays.
+/// The seeds from the environment variable, or the default ones.
 fn seeds(usual: &[u64]) -> Vec<u64> {
     let Ok(asked) = env::var(SEEDS_VARIABLE) else { return usual.to_vec() };
     let range = asked.split_once("..").and_then(|(from, to)| {
         let (from, to) = (from.parse::<u64>().ok()?, to.parse::<u64>().ok()?);
         Some((from..to).collect())
     });
-    range.unwrap_or_else(|| panic!("{SEEDS_VARIABLE} is FROM..TO, not {asked}"))
+    range.unwrap_or_else(|| panic!("{SEEDS_VARIABLE} must be FROM..TO, not {asked}"))
 }
 
-/// Plays all seeds on all cores, prints each failing one, and panics if there are any.
+/// Runs the check for all seeds on all cores, prints each failing seed, and panics if there are
+/// any.
 pub fn sweep(name: &str, usual: &[u64], check: impl Fn(u64) -> Result<(), String> + Sync) {
     let seeds = seeds(usual);
     let next = AtomicUsize::new(0);
