--- a/crates/rehearsal/benches/cells.rs
+++ b/crates/rehearsal/benches/cells.rs
@@ -1,26 +1,31 @@
-//! What cells gain and cost, in simulated time: waits at a full cell with moving on and off,
-//! messages and store changes for each move, and how long a cut leaves jobs in doubt.
+//! Benefit and cost of several cells, in simulated time: waits at a full cell with transfers
+//! enabled and disabled, messages and store changes per transfer, and how long jobs stay in doubt
+//! when a link is cut.
 //!
-//! `cargo bench -p marblebarrow-rehearsal --bench cells`. Nothing of it depends on the machine.
+//! Run with `cargo bench -p marblebarrow-rehearsal --bench cells`. The figures don't depend on the
+//! machine.
 
 use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, Plan};
 
-/// Runs of each kind.
+/// Runs of each configuration.
 const SEEDS: u64 = 12;
-/// Steps in a second.
+/// Steps per second.
 const STEPS: f64 = 10.0;
 
+/// Three cells of which the first is overloaded.
 fn plan(seed: u64, moving: bool) -> Plan {
     Plan { paces: vec![6, 60, 60], moving, ..Plan::one_full(seed) }
 }
 
-fn seconds(steps: &mut [u32], share: f64) -> f64 {
+/// A quantile of durations in steps, in seconds.
+fn quantile_s(steps: &mut [u32], share: f64) -> f64 {
     steps.sort_unstable();
     let index = ((steps.len() - 1) as f64 * share) as usize;
     f64::from(steps[index]) / STEPS
 }
 
-fn compare() {
+/// Prints waits, messages and store changes with transfers disabled and enabled.
+fn print_transfer_costs() {
     for moving in [false, true] {
         let (mut waits, mut accepted) = (Vec::new(), 0);
         let (mut moved, mut refused, mut messages, mut changes, mut bytes) = (0, 0, 0, 0, 0);
@@ -42,16 +47,16 @@
              moved={moved} refused={refused} messages={messages} store changes={changes} \
              bytes={bytes}",
             waits.len(),
-            seconds(&mut waits, 0.5),
-            seconds(&mut waits, 0.9),
-            seconds(&mut waits, 1.0),
+            quantile_s(&mut waits, 0.5),
+            quantile_s(&mut waits, 0.9),
+            quantile_s(&mut waits, 1.0),
         );
     }
 }
 
-/// For how long jobs at the full cell were in doubt, with and without a cut of so many steps
-/// in one direction.
-fn doubt(cut: u32) {
+/// Prints how long jobs of the full cell were in doubt, when two links are cut in one direction
+/// each for this many steps, or not at all for 0.
+fn print_times_in_doubt(cut: u32) {
     let mut ages = Vec::new();
     for seed in 0..SEEDS {
         let mut plan = plan(seed, true);
@@ -68,14 +73,14 @@
         "cut={} s: in doubt {} times, p50={:.1} p90={:.1} max={:.1} s",
         f64::from(cut) / STEPS,
         ages.len(),
-        seconds(&mut ages, 0.5),
-        seconds(&mut ages, 0.9),
-        seconds(&mut ages, 1.0),
+        quantile_s(&mut ages, 0.5),
+        quantile_s(&mut ages, 0.9),
+        quantile_s(&mut ages, 1.0),
     );
 }
 
 fn main() {
-    compare();
-    doubt(0);
-    doubt(200);
+    print_transfer_costs();
+    print_times_in_doubt(0);
+    print_times_in_doubt(200);
 }
--- a/crates/rehearsal/tests/cells.rs
+++ b/crates/rehearsal/tests/cells.rs
@@ -1,5 +1,5 @@
-//! Three cells in simulated time, over links that lose, double and delay messages. The rules
-//! are checked at each step: one owner, at most one move, no job run in two cells, one final
+//! Simulations of two or three cells over links that lose, duplicate and delay messages. The safety
+//! rules are checked at each step: one owner, at most one move, no job run in two cells, one final
 //! state, and no answer older than one given before.
 
 use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, Plan};
@@ -8,6 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// Runs a plan to its end, and asserts that no rule was violated.
 fn run(plan: &Plan) -> FleetOfCells {
     let mut fleet = FleetOfCells::new(plan);
     fleet.run(FleetOfCells::steps_of(plan));
@@ -15,6 +16,7 @@
     fleet
 }
 
+/// Aims a fault at the controller that leads when the fault begins.
 fn at_leader(trouble: Trouble) -> Trouble {
     Trouble::AtLeader(Box::new(trouble))
 }
@@ -32,17 +34,18 @@
     }
 }
 
-/// A failing run can be repeated event for event: the digest covers all that was logged.
+/// A failing run must be repeatable event for event. The digest covers all log lines.
 #[test]
-fn a_run_repeats_and_another_seed_differs() {
+fn same_seed_repeats_a_run_and_another_seed_differs() {
     let digest = |seed| Scenario::LeadersEnd.run(seed).digest;
     assert_eq!(digest(3), digest(3));
     assert_ne!(digest(3), digest(4));
 }
 
-/// Two cells are full, and each thinks at times that the other has room.
+/// Both cells are full, and at times each has a report that the other has room. No job may bounce
+/// between them.
 #[test]
-fn cells_that_are_both_full_pass_nothing_back_and_forth() {
+fn jobs_do_not_bounce_between_two_full_cells() {
     let mut refused = 0;
     let mut moved = 0;
     for seed in 0..8 {
@@ -59,10 +62,10 @@
     assert!(refused >= 30 && moved >= 45, "{refused} refused, {moved} moved");
 }
 
-/// Two full cells offer all they have to a small third one, which fills as jobs land: those
-/// that it accepted wait there.
+/// Two full cells offer all their jobs to a small third one, which becomes full as jobs arrive. The
+/// jobs that it accepted must wait there.
 #[test]
-fn a_cell_that_fills_as_jobs_land_keeps_them() {
+fn a_cell_that_becomes_full_keeps_accepted_jobs() {
     let (mut moved, mut refused) = (0, 0);
     for seed in 0..8 {
         let plan = Plan {
@@ -78,11 +81,11 @@
     assert!(moved >= 170 && refused >= 100, "{moved} moved, {refused} refused");
 }
 
-/// A cell without any machine gets jobs faster than the others take them, so that they are
-/// refused again and again. (After six refusals a job was never offered again, and waited for
-/// ever: 15 of these 1,000 jobs.)
+/// A cell without machines gets jobs faster than the others can take them, so that its offers are
+/// refused many times. Guards against a fault in which a job was never offered again after six
+/// refusals and waited forever: 15 of these 1,000 jobs.
 #[test]
-fn jobs_refused_often_leave_a_cell_that_stays_full() {
+fn jobs_refused_many_times_still_leave_a_full_cell() {
     let mut refused = 0;
     for seed in 0..10 {
         let plan = Plan {
@@ -101,7 +104,7 @@
 
 /// Users cancel jobs before, while and after they are offered and accepted.
 #[test]
-fn cancellations_meet_transfers_in_every_state() {
+fn jobs_are_cancelled_in_every_state_of_a_transfer() {
     let (mut wanted, mut cancelled) = (0, 0);
     for seed in 0..8 {
         let plan = Plan {
@@ -118,8 +121,8 @@
     assert!(wanted >= 25 && cancelled >= 120, "{wanted} wanted, {cancelled} cancelled");
 }
 
-/// Leaders on both sides end again and again, so that some end lies between any two steps of
-/// a transfer.
+/// Leaders of all cells crash repeatedly, so that some crash falls between any two steps of a
+/// transfer.
 #[test]
 fn leaders_change_between_the_steps_of_transfers() {
     let mut moved = 0;
@@ -139,10 +142,10 @@
     assert!(moved >= 25, "{moved} moved");
 }
 
-/// A leader stands still while its successor settles transfers, and goes on with what it
-/// held in its hands.
+/// A leader is suspended while its successor settles transfers, then resumes with the actions that
+/// it had pending.
 #[test]
-fn a_leader_of_an_older_term_changes_nothing() {
+fn a_resumed_leader_of_an_older_term_changes_nothing() {
     let mut moved = 0;
     for seed in 0..8 {
         let freeze = |at, cell| (at, CellTrouble::Within(cell, at_leader(Trouble::Freeze(0, 70))));
@@ -156,16 +159,16 @@
     assert!(moved >= 45, "{moved} moved");
 }
 
-/// All controllers of a cell end and are back within a fraction of a second, as others offer
-/// and ask.
+/// All controllers of a cell crash and are back within a fraction of a second, while other cells
+/// offer jobs and ask for results.
 #[test]
-fn a_cell_that_starts_anew_goes_on_from_its_records() {
+fn a_restarted_cell_continues_from_its_records() {
     let mut moved = 0;
     for seed in 0..8 {
-        let anew = |at, cell| (at, CellTrouble::CellGone(cell, 3));
+        let restart_all = |at, cell| (at, CellTrouble::CellGone(cell, 3));
         let plan = Plan {
             patience_s: 1.0,
-            troubles: (0..9).map(|n| anew(80 + n * 40, n as usize % 3)).collect(),
+            troubles: (0..9).map(|n| restart_all(80 + n * 40, n as usize % 3)).collect(),
             ..Plan::one_full(seed)
         };
         moved += run(&plan).met.moved;
@@ -173,10 +176,10 @@
     assert!(moved >= 45, "{moved} moved");
 }
 
-/// The watch shows what a leader wrote before its answer is there. (A guest that had been
-/// placed by then was taken for a new one and started again.)
+/// The watch shows a leader's write before the answer to its transaction arrives. Guards against a
+/// fault in which a guest that had been placed by then was taken for a new one and started again.
 #[test]
-fn the_watch_comes_before_the_answers_of_the_store() {
+fn watch_events_before_store_answers_start_no_guest_twice() {
     let mut moved = 0;
     for seed in 0..8 {
         let late = |cell| (50, CellTrouble::Within(cell, Trouble::AnswersLate(500)));
@@ -187,14 +190,15 @@
     assert!(moved >= 45, "{moved} moved");
 }
 
-/// Without the file for cells nothing moves, and nothing is asked of anybody.
+/// Without settings for other cells no job moves, and no message is sent.
 #[test]
-fn without_cells_jobs_stay() {
+fn without_settings_for_cells_no_job_moves() {
     let plan = Plan { moving: false, ..Plan::one_full(1) };
     let fleet = run(&plan);
     assert_eq!((fleet.met.moved, fleet.met.messages), (0, 0));
 }
 
+/// Any fault of a run of three cells, and the step at which it begins.
 fn trouble() -> impl Strategy<Value = (u32, CellTrouble)> {
     let within = prop_oneof![
         (1u32..60).prop_map(|s| at_leader(Trouble::Crash(0, s))),
@@ -230,7 +234,7 @@
     })]
 
     #[test]
-    fn rules_hold_across_cells_under_troubles(
+    fn rules_hold_across_cells_under_generated_faults(
         seed in 0u64..1_000_000,
         machines in proptest::collection::vec(2usize..10, 3),
         paces in proptest::collection::vec(8u32..60, 3),
@@ -253,10 +257,10 @@
     }
 }
 
-/// A job that names others stays where they are: another cell knows nothing of them, and
-/// would start it before they are done, or wait for good.
+/// A job with dependencies must stay in the cell of its dependencies: another cell has no record of
+/// them, and would start the job before they are done, or never.
 #[test]
-fn jobs_that_name_others_never_move() {
+fn jobs_with_dependencies_never_move() {
     let mut moved = 0;
     for seed in 0..4 {
         let plan = Plan { patience_s: 1.0, ..Plan::one_full(seed) };
--- a/crates/rehearsal/tests/cells_ends.rs
+++ b/crates/rehearsal/tests/cells_ends.rs
@@ -1,20 +1,21 @@
-//! Sweeps over seeds of when a home knows the ends of its jobs that moved. The aim: within three
-//! exchange intervals of being durable in the target, while links are up and leaders live, so
-//! far as the home's state service takes the changes.
+//! Sweeps over seeds of the time until a home cell knows the final states of its jobs that moved.
+//! The aim: within three exchange intervals after the state is durable in the target, while links
+//! are up and leaders live, as far as the write rate of the home cell's state service allows.
 
 use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, MovedEnd, Plan};
 use marblebarrow_rehearsal::sweep::sweep;
 use marblebarrow_rehearsal::world::{StoreLimits, Trouble};
 
-/// Three exchange intervals of a second, in steps.
+/// Three exchange intervals of 1 s, in steps.
 const THREE_INTERVALS_STEPS: u32 = 30;
-/// Steps in a second.
+/// Steps per second.
 const STEPS_PER_S: u32 = 10;
-/// Changes that an end takes at home: the end, its acknowledgement, and the job's record.
+/// Changes that a final state takes in the home cell: the state, its acknowledgement, and the job's
+/// record.
 const CHANGES_PER_END: f64 = 3.0;
-/// Changes a second that the home's state service takes.
+/// Changes per second that the home cell's state service allows.
 const STORE_CHANGES_PER_S: f64 = 200.0;
-/// The part of them that a leader has for certain, whatever users change.
+/// Share of this rate that a leader has in any case, whatever users change.
 const LEADER_SHARE: f64 = 0.6;
 
 const STORE: StoreLimits = StoreLimits {
@@ -26,7 +27,8 @@
     from: 0,
 };
 
-/// A thousand jobs, fifty a second, come to a cell that a service fills; two others have room.
+/// 1,000 jobs, 50 per second, are submitted to a cell that a service fills. Two other cells have
+/// room.
 fn thousand_jobs(seed: u64) -> Plan {
     Plan {
         machines: vec![2, 12, 12],
@@ -39,7 +41,7 @@
     }
 }
 
-/// Plays a plan of which the home is given so many jobs a second.
+/// Runs a plan in which this many jobs per second are submitted to the home cell.
 fn play(plan: &Plan, jobs_per_s: u32) -> Result<FleetOfCells, String> {
     let mut fleet = FleetOfCells::new(plan);
     fleet.cells[0].jobs_at_once = jobs_per_s;
@@ -51,7 +53,8 @@
     if fleet.broken.is_empty() { Ok(fleet) } else { Err(format!("{:?}", fleet.broken)) }
 }
 
-/// Steps within which an end is to be known at home: those ahead of it are written first.
+/// Steps within which a final state must be known in the home cell, including the time to write
+/// those ahead of it.
 fn known_within(ends: &[MovedEnd], end: &MovedEnd) -> u32 {
     let ahead = ends.iter().filter(|other| {
         other.at_target <= end.at_target && other.at_home.is_none_or(|at| at > end.at_target)
@@ -61,7 +64,8 @@
     THREE_INTERVALS_STEPS + (writing_s * f64::from(STEPS_PER_S)).ceil() as u32
 }
 
-/// Fails if an end was known at home later than it should, or than so many steps beyond that.
+/// Fails if a final state became known in the home cell more than `beyond` steps later than
+/// `known_within` allows.
 fn check_ends(fleet: &FleetOfCells, beyond: u32) -> Result<(), String> {
     let ends: Vec<MovedEnd> = fleet.moved_ends(0).map(|(_, end)| *end).collect();
     let lag = |end: &MovedEnd| end.at_home.map_or(u32::MAX, |at| at - end.at_target);
@@ -73,9 +77,10 @@
     }
 }
 
-/// What happened: a home wrote the ends that an exchange told only so far as its budget of that
-/// moment went, and forgot the rest until it asked again. Ends waited for half a minute, and
-/// those of a cell that was cut off then were not known before the link was mended.
+/// Guards against a home cell that wrote the final states of an exchange only up to its write
+/// budget of that moment, and dropped the rest until it asked again. Final states then waited for
+/// half a minute, and those of a cell that was cut off meanwhile stayed unknown until the link was
+/// restored.
 #[test]
 fn sweep_ends_are_known_at_home_within_three_intervals() {
     sweep("ends_known", &[0, 1], |seed| {
@@ -84,53 +89,53 @@
     });
 }
 
-/// Step at which a link is cut: transfers are under way, and ends come.
+/// Step at which a link is cut: transfers are in flight, and final states arrive.
 const CUT_AT: u32 = 120;
-/// Steps for which it is cut: all that went to the target ends meanwhile.
+/// Duration of the cut, in steps: all jobs that went to the target end meanwhile.
 const CUT_STEPS: u32 = 400;
-/// Controllers of a cell.
+/// Number of controllers of a cell.
 const CONTROLLERS: u32 = 3;
-/// A call over a link that is cut fails after so many steps.
+/// Timeout of a call over a link that is cut, in steps.
 const CALL_TIMEOUT_STEPS: u32 = 20;
 
-/// What happened: with the link from the home to a target cut, the home could not ask, and its
-/// users were told `running` of jobs that were over there for as long as the cut lasted, though the
-/// target could call the home all the time.
+/// Guards against a home cell that learns final states only by asking. With the link from the home
+/// cell to a target cut, its users were told `running` about jobs that were over in the target for
+/// as long as the cut lasted, although the target could call the home cell all the time.
 #[test]
-fn sweep_ends_are_told_to_a_home_that_cannot_ask() {
+fn sweep_targets_report_ends_to_a_home_that_cannot_ask() {
     sweep("home_cannot_ask", &[0, 1], |seed| {
         let cut = (CUT_AT, CellTrouble::Cut(0, 2, CUT_STEPS));
         let fleet = play(&Plan { troubles: vec![cut], ..thousand_jobs(seed) }, 50)?;
-        // Answers to what the target tells are cut off as well: each call takes as long as it
-        // may, and the three controllers of the home are tried in turn.
+        // The answers to the target's calls are cut off too, so each call takes its full timeout,
+        // and the three controllers of the home cell are tried in turn.
         check_ends(&fleet, CONTROLLERS * CALL_TIMEOUT_STEPS)
     });
 }
 
-/// With nothing coming from a target, its ends can't be known; they are soon after the cut, and
-/// no rule breaks. The same where both directions are cut.
+/// While no message from a target arrives, its final states can't be known. They must be known soon
+/// after the cut, and no rule may be violated. Half of the seeds cut both directions.
 #[test]
-fn sweep_ends_of_a_silent_cell_are_known_soon_after_its_cut() {
+fn sweep_ends_of_an_unreachable_cell_are_known_soon_after_its_cut() {
     sweep("silent_cell_ends", &[0, 1], |seed| {
         let from_target = (CUT_AT, CellTrouble::Cut(2, 0, CUT_STEPS));
         let to_target = (CUT_AT, CellTrouble::Cut(0, 2, CUT_STEPS));
         let troubles = if seed % 2 == 0 { vec![from_target, to_target] } else { vec![from_target] };
         let fleet = play(&Plan { troubles, ..thousand_jobs(seed) }, 50)?;
-        let mended = CUT_AT + CUT_STEPS;
+        let restored = CUT_AT + CUT_STEPS;
         let ends: Vec<MovedEnd> = fleet.moved_ends(0).map(|(_, end)| *end).collect();
         let ends: Vec<MovedEnd> = ends
             .into_iter()
             .map(|end| {
-                // Also those that were to be known by an exchange within the cut.
-                let unknown = (CUT_AT - THREE_INTERVALS_STEPS)..mended;
+                // Includes those that an exchange within the cut would have made known.
+                let unknown = (CUT_AT - THREE_INTERVALS_STEPS)..restored;
                 let known = end.at_home.is_some_and(|at| at <= CUT_AT);
                 let cut_off = end.target == 2 && unknown.contains(&end.at_target) && !known;
-                let at_target = if cut_off { mended } else { end.at_target };
+                let at_target = if cut_off { restored } else { end.at_target };
                 MovedEnd { at_target, ..end }
             })
             .collect();
-        // Calls that began within the cut fail first, and offers in doubt are made again after
-        // up to eight seconds.
+        // Calls that began within the cut fail first, and offers in doubt are repeated after up to
+        // 8 s.
         let beyond = CALL_TIMEOUT_STEPS + OFFER_RETRY_MOST_STEPS;
         let lag =
             |end: &MovedEnd| end.at_home.map_or(u32::MAX, |at| at.saturating_sub(end.at_target));
@@ -139,16 +144,17 @@
     });
 }
 
-/// The longest pause between two offers of a job whose target didn't answer, steps.
+/// The longest backoff between two offers of a job whose target didn't answer, in steps.
 const OFFER_RETRY_MOST_STEPS: u32 = 80;
 
-/// A leader is replaced, its lease and the loading included, within so many steps.
+/// Upper bound of the steps of a failover, including the lease and the loading of records.
 const FAILOVER_STEPS: u32 = 200;
 
-/// Ends are told, asked about and recorded while leaders on either side end or stand still, links
-/// lose, double and delay messages, and the target's store is slow: no rule breaks, and no end is forgotten.
+/// Final states are sent, requested and recorded while leaders on either side crash or are
+/// suspended, links lose, duplicate and delay messages, and the target's store is slow. No rule may
+/// be violated, and no final state may be lost.
 #[test]
-fn sweep_ends_survive_leaders_and_links() {
+fn sweep_ends_survive_failovers_and_faulty_links() {
     sweep("ends_and_leaders", &[0, 1, 2, 3], |seed| {
         let at_leader = |trouble| Trouble::AtLeader(Box::new(trouble));
         let fault = match seed % 4 {
--- a/crates/rehearsal/tests/cells_moments.rs
+++ b/crates/rehearsal/tests/cells_moments.rs
@@ -1,25 +1,27 @@
-//! Sweeps of a full home cell whose leaders end or stand still at any step of a transfer: each
-//! job that another cell has room for begins soon, and each end is known at home.
+//! Sweeps over seeds in which leaders of a full home cell, or of a target, crash or are suspended
+//! at any step of a transfer. Each job that another cell has room for must start soon, and each
+//! final state must become known in the home cell.
 
 use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, Plan};
 use marblebarrow_rehearsal::sweep::sweep;
 use marblebarrow_rehearsal::world::Trouble;
 
-/// A job that no fault concerns begins within so many steps: its home's patience, and some
-/// twenty seconds for refusals, boots and fetches.
+/// Steps within which a job starts that no fault affects: the time before its home cell offers it,
+/// and about 20 s for refusals, boots and image fetches.
 const BEGINS_WITHIN_STEPS: u32 = 250;
-/// A failover and a worker's lease take no longer than so many steps.
+/// Upper bound of the steps of a failover and a worker's lease together.
 const FAILOVER_STEPS: u32 = 200;
-/// Longest time for which a leader stands still, steps: 15 s.
+/// Longest suspension of a leader, in steps: 15 s.
 const FREEZE_MOST_STEPS: u32 = 150;
-/// Report interval and lease of workers whose leases run out while a leader is replaced, seconds.
+/// Heartbeat interval and lease of workers, in seconds. The leases are short enough to expire while
+/// a leader is replaced.
 const SHORT_LEASES: (f64, f64) = (1.0, 4.0);
-/// The first step at which a fault begins: transfers are under way.
+/// The first step at which a fault begins, when transfers are in flight.
 const FIRST_FAULT: u32 = 100;
-/// Steps over which the faults of the seeds are spread.
+/// Steps over which the faults of different seeds are spread.
 const FAULTS_SPREAD: u32 = 250;
 
-/// A service fills the home cell; two others have room for all that comes to it.
+/// A service fills the home cell. Two other cells have room for all of its other jobs.
 fn home_filled(seed: u64, troubles: Vec<(u32, CellTrouble)>) -> Plan {
     Plan {
         machines: vec![2, 12, 12],
@@ -32,23 +34,23 @@
     }
 }
 
-/// Faults of the home or of a target, by seed.
+/// Faults of the home cell or of a target, by seed.
 fn faults(seed: u64) -> Vec<(u32, CellTrouble)> {
     let at = FIRST_FAULT + (seed as u32 * 37) % FAULTS_SPREAD;
     let freeze = 10 + (seed as u32 * 11) % (FREEZE_MOST_STEPS - 10);
     let at_leader = |trouble| Trouble::AtLeader(Box::new(trouble));
     let home = |trouble| CellTrouble::Within(0, trouble);
     match seed % 6 {
-        // Two kills within a second.
+        // Two crashes within a second.
         0 => vec![
             (at, home(at_leader(Trouble::Crash(0, 100)))),
             (at + 7, home(at_leader(Trouble::Crash(0, 100)))),
         ],
-        // A controller that comes back at once.
+        // A controller that is restarted at once.
         1 => vec![(at, home(at_leader(Trouble::Crash(0, 2))))],
         2 => vec![(at, home(at_leader(Trouble::Freeze(0, freeze))))],
         3 => vec![(at, CellTrouble::Within(1, at_leader(Trouble::Freeze(0, freeze))))],
-        // All controllers of the home end, and its machines can't reach any for a moment.
+        // All controllers of the home cell crash, and its machines are unreachable for 5 s.
         4 => vec![
             (at, home(Trouble::CrashAll(freeze))),
             (at, home(Trouble::MachineCut(0, 50))),
@@ -62,10 +64,11 @@
     }
 }
 
-/// Guards against a job that waits at its full home for ever (the thousand jobs): moments of a
-/// leader's end that were not tried before.
+/// Guards against a job that waits forever at its full home cell, as some of the jobs of the test
+/// `a_thousand_jobs_leave_a_full_cell_once_each` did. The leaders crash at moments that no other
+/// test covers.
 #[test]
-fn sweep_leaders_that_end_at_any_moment_leave_no_job_behind() {
+fn sweep_leaders_that_fail_at_any_moment_leave_no_job_behind() {
     sweep("moments", &[0, 1, 2, 3, 4, 5], |seed| {
         let plan = home_filled(seed, faults(seed));
         let mut fleet = FleetOfCells::new(&plan);
@@ -84,9 +87,10 @@
     });
 }
 
-/// What happened: a job's machines had been rented and had just come up, so that they counted
-/// neither as booting nor as room, and the job went to another cell. The service that was to fill
-/// the home of the thousand jobs did, beside load.
+/// Guards against a job that moved although its home cell had rented machines for it: machines that
+/// had just come up counted neither as booting nor as room. The service meant to fill the home cell
+/// in the test `a_thousand_jobs_leave_a_full_cell_once_each` moved away, when the machine was under
+/// load.
 #[test]
 fn sweep_a_job_whose_machines_have_just_come_up_stays() {
     sweep("just_up", &[0, 1, 2, 3], |seed| {
--- a/crates/rehearsal/tests/cells_sweeps.rs
+++ b/crates/rehearsal/tests/cells_sweeps.rs
@@ -1,28 +1,28 @@
-//! Sweeps of a full home cell over seeds: each job that another cell has room for begins soon.
+//! Sweeps over seeds of a full home cell: each job that another cell has room for must start soon.
 //! See [`marblebarrow_rehearsal::sweep`].
 
 use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, Plan};
 use marblebarrow_rehearsal::sweep::sweep;
 use marblebarrow_rehearsal::world::Trouble;
 
-/// A job that no fault concerns begins within so many steps: its home's patience, and some
-/// twenty seconds for refusals, boots and fetches.
+/// Steps within which a job starts that no fault affects: the time before its home cell offers it,
+/// and about 20 s for refusals, boots and image fetches.
 const BEGINS_WITHIN_STEPS: u32 = 250;
 
-/// Steps played beyond those in which a plan's work ends, for jobs that move late.
+/// Steps simulated beyond those in which a plan's work ends, for jobs that move late.
 const STEPS_MORE: u32 = 600;
 
-/// A job for which its home rents in vain begins within so many steps: the same, after the minute
-/// for which renting is believed to help.
+/// Steps within which a job starts for which its home cell tries to rent machines in vain: the
+/// same, after the minute for which the home cell expects renting to help.
 const GIVEN_UP_WITHIN_STEPS: u32 = BEGINS_WITHIN_STEPS + 600;
 
-/// A failover of the home and a worker's lease take no longer than so many steps.
+/// Upper bound of the steps of a failover of the home cell and a worker's lease together.
 const FAILOVER_STEPS: u32 = 200;
 
-/// Replicas that take the whole of the team's limit, more than any of the cells has room for.
-const REPLICAS_TOO_MANY: u32 = 200;
+/// Replicas that use the team's whole limit, more than any of the cells has room for.
+const TOO_MANY_REPLICAS: u32 = 200;
 
-/// A service fills the home cell; two others have room for all that comes to it.
+/// A service fills the home cell. Two other cells have room for all of its other jobs.
 fn home_filled(seed: u64) -> Plan {
     Plan {
         machines: vec![2, 12, 12],
@@ -34,68 +34,70 @@
     }
 }
 
-/// Plays a plan to its end.
+/// Runs a plan to its end.
 fn play(fleet: &mut FleetOfCells, plan: &Plan) -> Result<(), String> {
     fleet.run(FleetOfCells::steps_of(plan) + STEPS_MORE);
     if fleet.broken.is_empty() { Ok(()) } else { Err(format!("{:?}", fleet.broken)) }
 }
 
-/// Jobs of the first cell that waited for longer than that.
+/// Number of jobs of the first cell that waited longer than this.
 fn late_jobs(fleet: &FleetOfCells, steps: u32) -> usize {
     fleet.waits(0).into_iter().filter(|wait| *wait > steps).count()
 }
 
-/// Steps for which a cell is silent, ...
+/// Duration of the cut to the unreachable cell, in steps.
 const CUT_STEPS: u32 = 700;
-/// ... and for long: a home that forgot what it offered would show it meanwhile.
+/// Duration of a long cut, in steps, long enough to show whether the home cell forgets what it
+/// offered.
 const LONG_CUT_STEPS: u32 = 1_200;
 
-/// Plays a home with one silent cell.
-fn check_silent_cell(seed: u64, cut_steps: u32) -> Result<(), String> {
+/// Runs a home cell that can't reach one of the other cells.
+fn check_unreachable_cell(seed: u64, cut_steps: u32) -> Result<(), String> {
     let cut = (150, CellTrouble::Cut(0, 2, cut_steps));
     let plan = Plan { troubles: vec![cut], ..home_filled(seed) };
     let mut fleet = FleetOfCells::new(&plan);
     play(&mut fleet, &plan)?;
-    // Those that the silent cell may have accepted wait for it: as many as may be in doubt with
-    // each other cell, of which one is silent.
+    // Jobs that the unreachable cell may have accepted wait for it: as many as may be in doubt with
+    // each other cell, of which one is unreachable.
     let doubtful = Plan::TRANSFERS_MAX;
     let late = late_jobs(&fleet, BEGINS_WITHIN_STEPS);
     if late <= doubtful { Ok(()) } else { Err(format!("{late} jobs began late")) }
 }
 
-/// What happened: offers to a cell that had fallen silent took up all transfers that a home may
-/// have in doubt, and none of its jobs went to the other cell, which had room.
+/// Guards against offers to an unreachable cell that take up all transfers that a home cell may
+/// have in doubt. None of its jobs then went to the other cell, which had room.
 #[test]
-fn sweep_a_silent_cell_holds_up_no_transfers_to_others() {
-    sweep("silent_cell", &[7, 8, 60, 61], |seed| check_silent_cell(seed, CUT_STEPS));
+fn sweep_an_unreachable_cell_blocks_no_transfers_to_others() {
+    sweep("silent_cell", &[7, 8, 60, 61], |seed| check_unreachable_cell(seed, CUT_STEPS));
 }
 
-/// The same, with a cell that is silent for long.
+/// As above, with a cell that is unreachable for longer.
 #[test]
-fn sweep_a_cell_that_is_silent_for_long_holds_up_no_transfers_to_others() {
-    sweep("long_silent_cell", &[7, 8, 60, 61], |seed| check_silent_cell(seed, LONG_CUT_STEPS));
+fn sweep_a_cell_unreachable_for_long_blocks_no_transfers_to_others() {
+    sweep("long_silent_cell", &[7, 8, 60, 61], |seed| check_unreachable_cell(seed, LONG_CUT_STEPS));
 }
 
-/// What happened: a machine that was not refused lately counted as one that the home can rent,
-/// also when nobody asked for it. Arrays that may use spot machines waited for ever at a home
-/// that asked for ordinary ones alone, for a service that was never whole.
+/// Guards against a home cell that counts machines as rentable only because no request for them was
+/// refused lately, even if it never asked for them. Arrays that may use spot machines then waited
+/// forever at a home cell that requested only ordinary machines, for a service that never became
+/// complete.
 #[test]
-fn sweep_a_machine_that_nobody_asks_for_keeps_no_job_at_home() {
+fn sweep_a_machine_never_requested_keeps_no_job_at_home() {
     sweep("never_asked_for", &[0, 1], |seed| {
         let plan = home_filled(seed);
         let mut fleet = FleetOfCells::new(&plan);
-        fleet.cells[0].filled_by = Some(REPLICAS_TOO_MANY);
+        fleet.cells[0].filled_by = Some(TOO_MANY_REPLICAS);
         fleet.cells[0].spot_arrays = true;
         play(&mut fleet, &plan)?;
         let late = late_jobs(&fleet, GIVEN_UP_WITHIN_STEPS);
         if late == 0 { Ok(()) } else { Err(format!("{late} jobs began late")) }
     });
 }
-/// What happened: only the oldest waiting jobs were looked at, as many as transfers may be in
-/// doubt. Services too large for any other cell were always the oldest, and no job behind them
-/// ever moved.
+/// Guards against a home cell that considers only its oldest waiting jobs, as many as transfers may
+/// be in doubt. Services too large for any other cell were always the oldest, so that no job behind
+/// them ever moved.
 #[test]
-fn sweep_jobs_that_no_cell_has_room_for_hold_up_none_behind_them() {
+fn sweep_jobs_too_large_for_any_cell_block_no_jobs_behind_them() {
     sweep("head_of_line", &[0, 1], |seed| {
         let plan = Plan {
             machines: vec![2, 12, 12],
@@ -105,8 +107,8 @@
             ..Plan::one_full(seed)
         };
         let mut fleet = FleetOfCells::new(&plan);
-        // Every other job is a service of so many replicas.
-        fleet.cells[0].replicas = REPLICAS_TOO_MANY;
+        // Every other job is a service with this many replicas.
+        fleet.cells[0].replicas = TOO_MANY_REPLICAS;
         fleet.cells[0].rents_in_part = true;
         play(&mut fleet, &plan)?;
         let late = late_jobs(&fleet, GIVEN_UP_WITHIN_STEPS);
@@ -114,10 +116,11 @@
     });
 }
 
-/// Report interval and lease of workers whose leases run out while a leader is replaced, seconds.
+/// Heartbeat interval and lease of workers, in seconds. The leases are short enough to expire while
+/// a leader is replaced.
 const SHORT_LEASES: (f64, f64) = (1.0, 4.0);
 
-/// What ends a home's leader, and with it the leases or tasks of some of its workers.
+/// Faults that end the home cell's leader, and with it the leases or tasks of some of its workers.
 fn failover(seed: u64) -> Vec<Trouble> {
     let at_leader = |trouble| Trouble::AtLeader(Box::new(trouble));
     match seed % 4 {
@@ -128,11 +131,12 @@
     }
 }
 
-/// What happened: a new leader of the full home gave places of the service, which it hadn't
-/// found yet, to arrays. Some lost them again: with a start recorded they could move to no other
-/// cell, and at home the service had all places, for ever.
+/// Guards against jobs that stay in a full home cell after a start without effect. A new leader
+/// gave capacity of the service, whose tasks it hadn't found yet, to arrays. Some arrays lost it
+/// again: with a start recorded they could not move to another cell, and at home the service held
+/// all capacity permanently.
 #[test]
-fn sweep_a_start_that_came_to_nothing_leaves_no_job_behind() {
+fn sweep_a_start_without_effect_leaves_no_job_behind() {
     sweep("left_behind", &[14, 20, 29, 66], |seed| {
         let begins = 150 + (seed as u32 * 7) % 120;
         let faults = failover(seed).into_iter();
--- a/crates/rehearsal/tests/held_commands.rs
+++ b/crates/rehearsal/tests/held_commands.rs
@@ -1,37 +1,39 @@
-//! The rehearsal of held commands: its verdict, that it repeats, and that its troubles meet.
+//! The scenario of delayed commands: its verdict, that runs repeat, and that its faults take
+//! effect.
 
 use marblebarrow_rehearsal::scenario::{Outcome, Scenario};
 
-/// Plays these seeds: all pass, and starts arrive too late again and again.
-fn pass(seeds: std::ops::Range<u64>) {
+/// Runs these seeds. All must pass, with at least four starts per seed that arrive too late, and
+/// four fencing tokens raised.
+fn check_seeds(seeds: std::ops::Range<u64>) {
     let least = 4 * seeds.clone().count() as u32;
-    let (mut past, mut raised) = (0, 0);
+    let (mut too_late, mut raised) = (0, 0);
     for seed in seeds {
         let verdict = Scenario::HeldCommands.run(seed);
         assert!(verdict.passed(), "{verdict}");
         let Outcome::HeldCommands(outcome) = verdict.outcome else {
-            unreachable!("the rehearsal of held commands tells of them");
+            unreachable!("this scenario returns the counts of held commands");
         };
-        past += outcome.starts_past_cancellation;
+        too_late += outcome.starts_past_cancellation;
         raised += outcome.fencing_tokens_raised;
     }
-    assert!(past >= least, "only {past} starts came past their cancellation");
+    assert!(too_late >= least, "only {too_late} starts arrived too late after their cancellation");
     assert!(raised >= least, "only {raised} tokens were raised");
 }
 
 #[test]
-fn the_first_twenty_five_seeds_pass_and_their_troubles_meet() {
-    pass(0..25);
+fn the_first_25_seeds_pass_and_their_faults_take_effect() {
+    check_seeds(0..25);
 }
 
 #[test]
-fn the_next_twenty_five_seeds_pass_and_their_troubles_meet() {
-    pass(25..50);
+fn the_next_25_seeds_pass_and_their_faults_take_effect() {
+    check_seeds(25..50);
 }
 
-/// The same seed gives the same verdict, event for event.
+/// The same seed must give the same verdict, event for event.
 #[test]
-fn a_run_repeats_and_another_seed_differs() {
+fn same_seed_repeats_a_run_and_another_seed_differs() {
     let digest = |seed| Scenario::HeldCommands.run(seed).digest;
     assert_eq!(digest(5), digest(5));
     assert_ne!(digest(5), digest(6));
