--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/troubles.rs
@@ -300,8 +300,8 @@
         live.flat_map(running).filter(|id| self.accepted.contains(id)).collect()
     }
 
-    /// Whether a controller leads. One that was suspended or cut off may still believe that it does,
-    /// so the leader is the one with the highest term.
+    /// Whether a controller leads. One that was suspended or cut off may still believe that it
+    /// does, so the leader is the one with the highest term.
     pub(super) fn leads(&self, n: usize) -> bool {
         let term = |h: &Host| h.node.as_ref().and_then(|n| n.authority()).map(|a| a.0);
         let last = self.hosts.iter().filter_map(term).max();
