--- a/tests/binary.rs
+++ b/tests/binary.rs
@@ -1,6 +1,6 @@
-//! Drives the real program over loopback, against stand-ins of state service,
-//! cloud and workers written here: submit, run, done, cancel, a killed leader.
-//! Ports are the system's choice; waits are generous and judge no speed.
+//! Runs the real program over loopback against a simulated state service, cloud API and workers:
+//! jobs are submitted, run and cancelled, and leaders are killed. Timeouts are generous; speed is
+//! not checked.
 
 mod stand_in;
 
@@ -12,7 +12,7 @@
 #[test]
 fn runs_cancels_and_survives_a_killed_leader() {
     let mut cluster = Cluster::start(3);
-    // Accepted by one controller, known to the others, and done.
+    // Accepted by one controller, then reported as done by all of them.
     cluster.submit("req-000001", "sweep", 4);
     cluster.until("req-000001", "done");
     // A service runs until it is cancelled, and stays cancelled.
@@ -20,35 +20,37 @@
     cluster.until("req-000002", "running");
     assert_eq!(cluster.call("POST", "/api/jobs/req-000002/abort", &[]).0, 200);
     cluster.until("req-000002", "aborted");
-    cluster.until_gone("req-000002");
-    // The leader dies with work under way: all of it still ends, nothing runs twice.
+    cluster.wait_until_gone("req-000002");
+    // The leader is killed while a job is in flight: all jobs still finish, and no task runs
+    // twice.
     cluster.submit("req-000003", "sweep", 6);
     cluster.kill_leader();
     cluster.submit("req-000004", "sweep", 3);
     cluster.until("req-000003", "done");
     cluster.until("req-000004", "done");
-    // What was over stays so; a repeat of the submission says the same.
+    // A finished job stays finished, and a repeated submission reports the same stage.
     cluster.until("req-000001", "done");
     let (status, body) = cluster.call("POST", "/api/jobs", &job_body("req-000001", "sweep", 4));
     assert_eq!((status, stand_in::stage(&body).as_deref()), (200, Some("done")));
     assert_eq!(cluster.broken(), Vec::<String>::new());
 }
 
-/// Little time for cancellations, so that a leader's copy of the store must be proved
-/// current every few seconds, and a store on which nothing happens: the leader stays. Then
-/// a machine ends with work on it, the leader is killed, and the machines are returned.
-/// (Leaders once resigned every three seconds, and nobody was told that jobs were done.)
+/// Guards against leaders that step down while the store is idle. With a short cancellation
+/// deadline a leader must confirm every few seconds that its copy of the store is current; leaders
+/// once failed to do so while watches returned no events, resigned every three seconds, and
+/// finished jobs were never reported as done. Afterwards a machine fails with tasks on it, the
+/// leader is killed, and all machines must be returned.
 #[test]
-fn quiet_watches_cost_no_leader_its_office() {
-    const QUIET_WATCHES: u64 = 45;
+fn leader_stays_while_watches_return_no_events() {
+    const EMPTY_WATCHES: u64 = 45;
     let times = WorkerTimes { lease_s: 6.0, cancel_s: 12.0 };
     let mut cluster = Cluster::start_with(Plan { times, ..Plan::small(3) });
     cluster.submit("req-000005", "sweep", 2);
     cluster.until("req-000005", "running");
     cluster.until("req-000005", "done");
-    // One change is let pass, lest a machine that stands still decide the verdict.
-    let (leaders, watches) = (cluster.leaders(), cluster.quiet_watches());
-    cluster.wait_for("watches end", |c| c.quiet_watches() >= watches + QUIET_WATCHES);
+    // One leader change is tolerated, so that a stalled test host does not fail the test.
+    let (leaders, watches) = (cluster.leaders(), cluster.empty_watches());
+    cluster.wait_for("empty watches", |c| c.empty_watches() >= watches + EMPTY_WATCHES);
     assert!(cluster.leaders() <= leaders + 1, "{leaders} leaders, then {}", cluster.leaders());
 
     cluster.submit("req-000015", "sweep", 4);
@@ -63,47 +65,48 @@
     assert_eq!(cluster.broken(), Vec::<String>::new());
 }
 
-/// A start goes unanswered, its job is cancelled, and the command arrives after the worker has
-/// heard of the leader again: the leader has raised the token by then, and goes on with it.
+/// Guards against a start command that is delivered after its job was cancelled. The start gets no
+/// response, the job is cancelled, and the leader raises the worker's fencing token; the delayed
+/// command carries the old token and must be refused, and the leader continues with the new one.
 #[test]
-fn a_start_held_on_its_way_is_refused_after_its_job_was_cancelled() {
+fn a_delayed_start_command_is_refused_after_its_job_was_cancelled() {
     let cluster = Cluster::start(3);
     cluster.submit("req-000042", "daemon", 1);
     cluster.until("req-000042", "running");
-    let (job, held) = cluster.hold_a_start();
+    let (job, held) = cluster.hold_start_command();
     assert_eq!(cluster.call("POST", &format!("/api/jobs/{job}/abort"), &[]).0, 200);
-    cluster.wait_for("the worker has a higher token", |_| {
+    cluster.wait_for("the worker has a higher fencing token", |_| {
         held.fencing_token_of_worker() > held.commands.fencing_token
     });
-    cluster.until_gone(&job);
-    assert_eq!(held.deliver(), Some(409), "refused, long after it was sent");
+    cluster.wait_until_gone(&job);
+    assert_eq!(held.deliver(), Some(409), "the delayed start must be refused");
     assert_eq!(cluster.holds_tasks(&JobId::new(&job)), 0);
-    // The same leader goes on, with the higher token there: the machine takes its work.
+    // The worker accepts commands of the same leader, which now uses the higher token.
     cluster.submit("req-000061", "sweep", 4);
     cluster.until("req-000061", "done");
     cluster.until("req-000042", "running");
     assert_eq!(cluster.broken(), Vec::<String>::new());
 }
 
-/// One answer of the store in five is garbage, cut off, announced far too long, or lost:
-/// jobs are done and cancelled all the same, and what was told stays true.
+/// One store response in five is invalid, truncated, has an excessive `Content-Length`, or is
+/// lost. Jobs must still finish and be cancelled, and reported stages must stay true.
 #[test]
-fn damaged_answers_of_the_store_harm_nobody() {
+fn damaged_store_responses_lose_no_jobs() {
     let cluster = Cluster::start(3);
-    cluster.damage_answers(5);
+    cluster.damage_responses(5);
     cluster.submit("req-000031", "sweep", 4);
     cluster.submit("req-000032", "daemon", 2);
     cluster.until("req-000031", "done");
     cluster.until("req-000032", "running");
     assert_eq!(cluster.call("POST", "/api/jobs/req-000032/abort", &[]).0, 200);
     cluster.until("req-000032", "aborted");
-    cluster.until_gone("req-000032");
+    cluster.wait_until_gone("req-000032");
     cluster.until("req-000031", "done");
     assert_eq!(cluster.broken(), Vec::<String>::new());
 }
 
 #[test]
-fn answers_what_it_cannot_take() {
+fn rejects_invalid_requests() {
     let cluster = Cluster::start(1);
     cluster.submit("req-000009", "sweep", 1);
     let bad = |body: &[u8]| cluster.call("POST", "/api/jobs", body).0;
@@ -122,9 +125,10 @@
     assert_eq!(cluster.broken(), Vec::<String>::new());
 }
 
-/// More connections than the controller has sockets (500), idle, stuck in a head or in a
-/// body, and bodies over the limit: memory and threads stay far below what the settings
-/// allow (100 MB; a quarter of the sockets and a dozen), and jobs are accepted and done.
+/// Opens more connections than the controller has sockets (500): idle ones, ones stuck within
+/// the header or the body, and ones with bodies over the limit. Memory and threads must stay far
+/// below what the settings allow (100 MB; a quarter of the sockets and a dozen), and jobs must
+/// still be accepted and finish.
 #[test]
 fn hostile_connections_cost_bounded_memory_and_threads() {
     use std::io::Write as _;
@@ -141,7 +145,7 @@
             _ => b"POST /hello HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n".to_vec(),
         };
         let body = if n % 4 > 1 { vec![0u8; 50_000] } else { Vec::new() };
-        // It may be closed or left waiting in the meantime: that is the controller's right.
+        // The write may fail or time out: the controller may close or stall the connection.
         let sent = stream.write_all(&begun).and_then(|()| stream.write_all(&body));
         large += usize::from(sent.is_ok() && !body.is_empty());
         held.push(stream);
@@ -158,7 +162,7 @@
 }
 
 #[test]
-fn bad_settings_stop_the_start_with_one_line() {
+fn invalid_settings_fail_startup_with_one_line() {
     let dir = std::env::temp_dir().join(format!("marblebarrow-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("dir");
     let file = dir.join("bad.toml");
--- a/tests/stand_in/cells.rs
+++ b/tests/stand_in/cells.rs
@@ -1,5 +1,5 @@
-//! Several cells, each with real controllers and stand-ins of its own, and the links between
-//! them.
+//! Several cells, each with its own controller processes and simulated services, and the network
+//! links between them.
 
 use super::cluster::{Cluster, free_addresses};
 use super::inputs::Plan;
@@ -7,29 +7,29 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How long a job waits at home before it may move, seconds.
+/// Seconds that a job waits in its home cell before it may be transferred.
 const PATIENCE_S: f64 = 1.0;
 
-/// What each cell is started with.
+/// Configuration of a cell.
 #[derive(Clone, Copy, Debug)]
 pub struct CellPlan {
-    /// Its controllers, machines, times.
+    /// Controllers, machines and timings.
     pub plan: Plan,
-    /// Whether its jobs may move.
-    pub moving: bool,
+    /// Whether its jobs may be transferred to other cells.
+    pub transfers_allowed: bool,
 }
 
-/// The cells.
+/// A running group of cells.
 pub struct Cells {
-    /// Each by itself.
+    /// The cluster of each cell.
     pub clusters: Vec<Cluster>,
-    /// Where each controller listens for cells.
+    /// Per cell, the addresses where its controllers listen for other cells.
     pub listen: Vec<Vec<SocketAddr>>,
     links: BTreeMap<(usize, usize), Vec<Link>>,
 }
 
 impl Cells {
-    /// Starts them.
+    /// Starts all cells, with a link from each cell to each controller of the others.
     pub fn start(plans: &[CellPlan]) -> Self {
         let listen: Vec<Vec<SocketAddr>> =
             plans.iter().map(|cell| free_addresses(cell.plan.controllers)).collect();
@@ -43,21 +43,23 @@
         let clusters = plans
             .iter()
             .enumerate()
-            .map(|(cell, CellPlan { plan, moving })| {
+            .map(|(cell, CellPlan { plan, transfers_allowed })| {
                 let file = |controller: usize| file(cell, listen[cell][controller], &links);
                 let files = (0..plan.controllers).map(file).collect();
-                Cluster::start_in_cell(*plan, moving.then_some(files))
+                Cluster::start_in_cell(*plan, transfers_allowed.then_some(files))
             })
             .collect();
         Self { clusters, listen, links }
     }
 
-    /// Cuts what one cell asks of another, or mends it.
+    /// Cuts (`true`) or restores (`false`) the connections that one cell opens to another. The
+    /// opposite direction is not affected.
     pub fn cut(&self, from: usize, to: usize, cut: bool) {
         self.links[&(from, to)].iter().for_each(|link| link.cut(cut));
     }
 }
 
+/// Cells file of one controller of `cell`.
 fn file(cell: usize, listen: SocketAddr, links: &BTreeMap<(usize, usize), Vec<Link>>) -> String {
     let mut text = format!("name = \"cell-{cell}\"\nlisten = \"{listen}\"\n");
     text += &format!("patience_s = {PATIENCE_S}\n");
--- a/tests/stand_in/cloud.rs
+++ b/tests/stand_in/cloud.rs
@@ -1,15 +1,15 @@
-//! Stand-in of the cloud.
+//! Simulated cloud API.
 
 use super::http::{Reply, serve};
 use super::inputs::Plan;
-use super::worker::{Fleet, worker};
+use super::worker::{Fleet, run_worker};
 use marblebarrow_proto::cbor;
 use marblebarrow_proto::wire::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::thread;
 
-/// Serves the cloud; the address.
+/// Serves the cloud API and returns its address.
 pub fn cloud(fleet: Arc<Fleet>, nodes: Vec<String>, plan: Plan) -> String {
     serve(move |method, path, body| match (method, path) {
         (_, "/flavors") => {
@@ -28,9 +28,9 @@
             Reply::Answer(200, cbor::encode(&TypeList { types: vec![t] }))
         }
         ("POST", "/hosts") => {
-            let rent: Rent = cbor::decode(body).expect("rent");
-            let room = plan.machines_most.saturating_sub(fleet.rented());
-            let count = room.min(rent.count as usize);
+            let rent: Rent = cbor::decode(body).expect("valid rent request");
+            let available = plan.machines_most.saturating_sub(fleet.rented());
+            let count = available.min(rent.count as usize);
             if rent.spot || count == 0 {
                 let none = BTreeMap::from([("error", "no capacity")]);
                 return Reply::Answer(503, cbor::encode(&none));
@@ -38,16 +38,16 @@
             let machines: Vec<_> = (0..count).map(|_| fleet.rent()).collect();
             for machine in machines.clone() {
                 let (nodes, fleet) = (nodes.clone(), fleet.clone());
-                thread::spawn(move || worker(machine, nodes, fleet, plan));
+                thread::spawn(move || run_worker(machine, nodes, fleet, plan));
             }
             Reply::Answer(200, cbor::encode(&MachineNames { machines }))
         }
         ("POST", "/hosts/release") => {
-            let names: MachineNames = cbor::decode(body).expect("names");
+            let names: MachineNames = cbor::decode(body).expect("valid machine names");
             names.machines.iter().for_each(|machine| fleet.release(machine));
             Reply::Answer(200, Vec::new())
         }
-        // What the list leaves out may be up all the same.
+        // The list is always empty: a machine that is missing from it may still be running.
         _ => Reply::Answer(200, cbor::encode(&MachineList { machines: Vec::new(), more: false })),
     })
 }
--- a/tests/stand_in/cluster.rs
+++ b/tests/stand_in/cluster.rs
@@ -1,9 +1,9 @@
-//! Controllers, as real processes, among the stand-ins, and a client of theirs.
+//! Controller processes that run against the simulated services, and a client for them.
 
 use super::cloud::cloud;
-use super::http::{ask, serve};
+use super::http::{request, serve};
 use super::inputs::{Plan, job_body, settings_text, stage};
-use super::store::{SharedStore, store_answer};
+use super::store::{SharedStore, handle_store_request};
 use super::usage::Usage;
 use super::worker::{Fleet, HeldCommand};
 use marblebarrow_proto::cbor;
@@ -18,41 +18,42 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest that any one thing may take before a test gives up.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time after which a test stops waiting for a condition and fails.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Open jobs of which a failing test shows what was logged.
+/// Number of unfinished jobs whose log lines a failing test prints.
 const OPEN_JOBS_SHOWN: usize = 5;
-/// Lines shown of each of them, the last ones of each controller.
+/// Number of log lines printed per job and controller; the most recent ones are chosen.
 const LINES_SHOWN: usize = 20;
 
-/// With this variable set, the logs of a test that passes are kept as well.
+/// If this environment variable is set, the logs of passing tests are kept as well.
 const KEEP_LOGS_VARIABLE: &str = "KEEP_LOGS";
 
-/// Ports between the beginnings of two processes: more than a test file takes.
-const PORTS_APART: u32 = 211;
+/// Distance between the first ports of processes with consecutive ids; greater than the number
+/// of ports one test file uses.
+const PORT_STRIDE: u32 = 211;
 
-/// Ports below those that the system gives out by itself: between their being let go here and
-/// taken by the children, no connection or stand-in is given one. (With ports of the system's
-/// choice some were, and workers got what was meant for controllers.)
-const PORTS: std::ops::Range<u32> = 10_000..32_000;
+/// Ports below the ephemeral range. The system could assign an ephemeral port to another connection
+/// or simulated service between its release here and its use by the child process; when that
+/// happened, workers received requests meant for controllers.
+const PORT_RANGE: std::ops::Range<u32> = 10_000..32_000;
 
-/// Ports that are free: taken, noted, and let go for the children. Each process begins at
-/// another one and gives none twice until it has given all.
+/// Finds free ports by binding them, then releases them for the child processes. Each process
+/// starts at a different port and repeats none until the whole range is used.
 pub fn free_addresses(count: usize) -> Vec<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let many = PORTS.end - PORTS.start;
-    let start = std::process::id().wrapping_mul(PORTS_APART);
+    let port_count = PORT_RANGE.end - PORT_RANGE.start;
+    let start = std::process::id().wrapping_mul(PORT_STRIDE);
     let ports = std::iter::repeat_with(|| {
         let number = start.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
-        (PORTS.start + number % many) as u16
+        (PORT_RANGE.start + number % port_count) as u16
     });
     let free = ports.filter_map(|port| TcpListener::bind(("127.0.0.1", port)).ok());
     let held: Vec<TcpListener> = free.take(count).collect();
     held.iter().map(|listener| listener.local_addr().expect("addr")).collect()
 }
 
-/// Controllers, as real processes, and their surroundings.
+/// Controller processes and the simulated services they use.
 pub struct Cluster {
     children: Vec<Option<Child>>,
     nodes: Vec<String>,
@@ -62,23 +63,24 @@
 }
 
 impl Cluster {
-    /// Starts so many controllers.
+    /// Starts a small cluster with `count` controllers.
     pub fn start(count: usize) -> Self {
         Self::start_with(Plan::small(count))
     }
 
-    /// Starts what is planned.
+    /// Starts a cluster.
     pub fn start_with(plan: Plan) -> Self {
         Self::start_in_cell(plan, None)
     }
 
-    /// Starts what is planned, with a file on cells for each controller if there are others.
+    /// Starts a cluster; `cell_files` holds the cells file of each controller if there are other
+    /// cells.
     pub fn start_in_cell(plan: Plan, cell_files: Option<Vec<String>>) -> Self {
         let program = Path::new(env!("CARGO_BIN_EXE_marblebarrow"));
         Self::start_programs(plan, cell_files, &vec![program; plan.controllers])
     }
 
-    /// Starts what is planned, each controller from the program at its place.
+    /// Starts a cluster in which controller `i` runs `programs[i]`.
     pub fn start_programs(plan: Plan, cell_files: Option<Vec<String>>, programs: &[&Path]) -> Self {
         let count = plan.controllers;
         let addrs: Vec<String> =
@@ -86,7 +88,7 @@
         let (nodes, peers) = (addrs[..count].to_vec(), addrs[count..].to_vec());
         let store: SharedStore = Arc::default();
         let shared = store.clone();
-        let store_addr = serve(move |m, p, b| store_answer(&shared, m, p, b));
+        let store_addr = serve(move |m, p, b| handle_store_request(&shared, m, p, b));
         let fleet = Arc::new(Fleet::default());
         let cloud_addr = cloud(fleet.clone(), nodes.clone(), plan);
         let name = format!("marblebarrow-{}-{}", std::process::id(), nodes[0].replace(':', "-"));
@@ -96,9 +98,10 @@
             .map(|i| {
                 let file = dir.join(format!("c{i}.toml"));
                 let text = settings_text(i, &plan, &nodes, &peers, &cloud_addr, &store_addr);
-                std::fs::write(&file, text).expect("settings");
+                std::fs::write(&file, text).expect("write settings");
                 if let Some(files) = &cell_files {
-                    std::fs::write(dir.join(format!("c{i}.hcl")), &files[i]).expect("cells");
+                    std::fs::write(dir.join(format!("c{i}.hcl")), &files[i])
+                        .expect("write cells file");
                 }
                 Some(launch(&dir, i, programs[i]))
             })
@@ -106,7 +109,7 @@
         Self { children, nodes, fleet, store, dir }
     }
 
-    /// Kills a controller, if it lives, and starts the program in its place, same settings.
+    /// Kills controller `i` if it is running and starts `program` with the same settings.
     pub fn replace(&mut self, i: usize, program: &Path) {
         if let Some(mut child) = self.children[i].take() {
             child.kill().expect("kill");
@@ -115,45 +118,46 @@
         self.children[i] = Some(launch(&self.dir, i, program));
     }
 
-    /// Asks one controller once, if it lives.
-    pub fn ask_one(&self, i: usize, method: &str, path: &str) -> Option<(u16, Vec<u8>)> {
+    /// Sends one request to controller `i`; `None` if it is not running or does not respond.
+    pub fn request_one(&self, i: usize, method: &str, path: &str) -> Option<(u16, Vec<u8>)> {
         self.children[i].as_ref()?;
-        ask(&self.nodes[i], method, path, &[], Duration::from_secs(5))
+        request(&self.nodes[i], method, path, &[], Duration::from_secs(5))
     }
 
-    /// Asks the controllers that live, in turn, until one answers for good.
+    /// Sends a request to the running controllers in turn until one responds with a status other
+    /// than 429 or 503.
     pub fn call(&self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while Instant::now() < end {
             for (i, node) in self.nodes.iter().enumerate() {
                 if self.children[i].is_none() {
                     continue;
                 }
-                match ask(node, method, path, body, Duration::from_secs(5)) {
+                match request(node, method, path, body, Duration::from_secs(5)) {
                     Some((429 | 503, _)) | None => {}
                     Some(answer) => return answer,
                 }
             }
             thread::sleep(Duration::from_millis(200));
         }
-        panic!("no answer to {method} {path}");
+        panic!("no controller answered {method} {path} in time");
     }
 
-    /// Submits until accepted.
+    /// Submits a job and checks that it is accepted.
     pub fn submit(&self, id: &str, shape: &str, tasks: u32) {
         let (status, _) = self.call("POST", "/api/jobs", &job_body(id, shape, tasks));
-        assert!(matches!(status, 200 | 201), "{id}: {status}");
+        assert!(matches!(status, 200 | 201), "submission of {id} was refused with status {status}");
     }
 
-    /// Waits until every living controller tells that stage.
+    /// Waits until every running controller reports that stage for the job.
     pub fn until(&self, id: &str, wanted: &str) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         let path = format!("/api/jobs/{id}");
         let mut last = None;
         while Instant::now() < end {
             let all =
                 self.nodes.iter().zip(&self.children).filter(|(_, c)| c.is_some()).all(|(n, _)| {
-                    last = ask(n, "GET", &path, &[], Duration::from_secs(5));
+                    last = request(n, "GET", &path, &[], Duration::from_secs(5));
                     last.as_ref()
                         .is_some_and(|(s, b)| *s == 200 && stage(b).as_deref() == Some(wanted))
                 });
@@ -162,43 +166,43 @@
             }
             thread::sleep(Duration::from_millis(200));
         }
-        panic!("{id} never {wanted} everywhere: {last:?}");
+        panic!("not every controller reported {id} as {wanted} in time; last response: {last:?}");
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds; `what` describes it in the failure message.
     pub fn wait_for(&self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while !holds(self) {
-            assert!(Instant::now() < end, "never: {what}");
+            assert!(Instant::now() < end, "timed out waiting for: {what}");
             thread::sleep(Duration::from_millis(100));
         }
     }
 
-    /// Waits until no worker holds a task of the job.
-    pub fn until_gone(&self, id: &str) {
-        self.wait_for(&format!("{id} is gone"), |cluster| !cluster.fleet.holds(id));
+    /// Waits until no worker runs a task of the job.
+    pub fn wait_until_gone(&self, id: &str) {
+        self.wait_for(&format!("no task of {id} runs"), |cluster| !cluster.fleet.holds(id));
     }
 
-    /// Where a controller listens.
+    /// Address where controller `i` serves its API.
     pub fn node(&self, i: usize) -> &str {
         &self.nodes[i]
     }
 
-    /// Who leads, as the store has it.
+    /// The leader record in the store.
     fn leader(&self) -> LeaderRecord {
         let record = self.store.0.lock().expect("store").value(LEADER);
-        cbor::from_value(&record.expect("a leader")).expect("record")
+        cbor::from_value(&record.expect("a leader record")).expect("valid leader record")
     }
 
-    /// How many leaders there have been.
+    /// Number of times the leader record was written.
     pub fn leaders(&self) -> usize {
-        self.store.0.lock().expect("store").puts_of(LEADER)
+        self.store.0.lock().expect("store").put_count(LEADER)
     }
 
-    /// Submits services until the start of one goes out as a direct command, which is left
-    /// unanswered and kept: the job, and the command. Those whose start went out in the answer
-    /// to a heartbeat instead, as it does now and then, are cancelled.
-    pub fn hold_a_start(&self) -> (String, HeldCommand) {
+    /// Submits services until the start of one is sent as a direct command, which the worker holds
+    /// without a response. Returns the job and the held command. A start is sometimes sent in a
+    /// heartbeat response instead; such a job is cancelled and another one submitted.
+    pub fn hold_start_command(&self) -> (String, HeldCommand) {
         for number in 0..20 {
             let job = format!("req-001{number:02}2");
             self.fleet.hold_start(&job);
@@ -209,22 +213,22 @@
                 return (job, held);
             }
             assert_eq!(self.call("POST", &format!("/api/jobs/{job}/abort"), &[]).0, 200);
-            self.until_gone(&job);
+            self.wait_until_gone(&job);
         }
-        panic!("no start went out directly");
+        panic!("no start was sent as a direct command");
     }
 
-    /// How many watches have ended without news, those of all controllers.
-    pub fn quiet_watches(&self) -> u64 {
-        self.store.0.lock().expect("store").quiet_watches()
+    /// Number of blocking watches, of all controllers, that returned no events.
+    pub fn empty_watches(&self) -> u64 {
+        self.store.0.lock().expect("store").empty_watches()
     }
 
-    /// Damages one answer of the store in so many from now on.
-    pub fn damage_answers(&self, every: u64) {
-        self.store.0.lock().expect("store").damage_answers(every);
+    /// From now on damages one store response out of `every`.
+    pub fn damage_responses(&self, every: u64) {
+        self.store.0.lock().expect("store").damage_responses(every);
     }
 
-    /// Kills the process that leads.
+    /// Kills the leader's process.
     pub fn kill_leader(&mut self) {
         let i: usize = self.leader().node.as_str()[1..].parse().expect("index");
         if let Some(mut child) = self.children[i].take() {
@@ -241,7 +245,7 @@
         }
     }
 
-    /// Ends a machine that holds a task of the job, without notice.
+    /// Terminates a machine that runs a task of the job, without notice.
     pub fn end_holder(&self, job: &str) {
         self.wait_for(&format!("a task of {job} runs"), |c| c.fleet.holds(job));
         if let Some(machine) = self.fleet.holder(job) {
@@ -249,22 +253,22 @@
         }
     }
 
-    /// How many machines are rented.
+    /// Number of rented machines.
     pub fn rented(&self) -> usize {
         self.fleet.rented()
     }
 
-    /// A connection to a controller, with nothing asked yet.
+    /// Opens a connection to controller `i` without sending a request.
     pub fn connect(&self, i: usize) -> Option<TcpStream> {
         let stream = TcpStream::connect(&self.nodes[i]).ok()?;
         stream.set_write_timeout(Some(Duration::from_millis(200))).ok()?;
         Some(stream)
     }
 
-    /// What the system says of a controller's process: peak of its memory in KB, and
-    /// threads now.
+    /// Peak resident memory in KB and current number of threads of a controller process, as the
+    /// kernel reports them.
     pub fn peak_kb_and_threads(&self, i: usize) -> (u64, u64) {
-        let pid = self.children[i].as_ref().expect("lives").id();
+        let pid = self.children[i].as_ref().expect("controller runs").id();
         let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("status");
         let field = |name: &str| {
             let line = text.lines().find_map(|l| l.strip_prefix(name)).expect("field");
@@ -273,12 +277,12 @@
         (field("VmHWM:"), field("Threads:"))
     }
 
-    /// Process ids of the controllers that live.
+    /// Process ids of the running controllers.
     pub fn processes(&self) -> Vec<u32> {
         self.children.iter().flatten().map(Child::id).collect()
     }
 
-    /// What each controller that lives has used since it began.
+    /// Resources that each running controller has used since it started.
     pub fn usage(&self) -> Vec<Usage> {
         let leader = self.leader().node;
         let named = self.children.iter().enumerate();
@@ -286,52 +290,52 @@
         living.map(|(i, process)| Usage::of(process, leader.as_str() == format!("c{i}"))).collect()
     }
 
-    /// How many tasks are on machines.
+    /// Number of tasks that run on machines.
     pub fn held(&self) -> usize {
         self.fleet.held()
     }
 
-    /// How a job stands, by whichever controller answers for good.
+    /// Stage of a job, from the first controller that responds with a status other than 429 or 503.
     pub fn stage_of(&self, id: &str) -> Option<String> {
         let (status, body) = self.call("GET", &format!("/api/jobs/{id}"), &[]);
         if status == 200 { stage(&body) } else { None }
     }
 
-    /// Jobs of which a task ever ran here, by the workers' own records.
+    /// Jobs of which a task ever ran in this cluster, from the workers' own records.
     pub fn jobs_run(&self) -> BTreeSet<JobId> {
         self.fleet.jobs_run()
     }
 
-    /// How often each task completed here, by the workers' own records.
+    /// Number of completions of each task in this cluster, from the workers' own records.
     pub fn completions(&self) -> BTreeMap<TaskId, u32> {
         self.fleet.completions()
     }
 
-    /// How many tasks of the job are on machines.
+    /// Number of tasks of the job that run on machines.
     pub fn holds_tasks(&self, job: &JobId) -> usize {
         self.fleet.holds_tasks(job)
     }
 
-    /// Keys under a prefix that the store holds.
-    pub fn keys_under(&self, prefix: &str) -> usize {
-        self.store.0.lock().expect("store").keys_under(prefix)
+    /// Number of keys that currently exist in the store under a prefix.
+    pub fn key_count(&self, prefix: &str) -> usize {
+        self.store.0.lock().expect("store").key_count(prefix)
     }
 
-    /// Keys under a prefix that the store ever held.
-    pub fn keys_ever(&self, prefix: &str) -> BTreeSet<String> {
-        self.store.0.lock().expect("store").keys_ever(prefix)
+    /// All keys under a prefix that were ever put into the store.
+    pub fn keys_ever_put(&self, prefix: &str) -> BTreeSet<String> {
+        self.store.0.lock().expect("store").keys_ever_put(prefix)
     }
 
-    /// Changes of the store so far.
+    /// Number of puts and deletes in the store so far.
     pub fn store_changes(&self) -> usize {
         self.store.0.lock().expect("store").changes()
     }
 
-    /// Names the folder with the controllers' logs, which are kept, and shows what they say last
-    /// of the jobs that are open.
+    /// Prints the directory that holds the controllers' logs and the last log lines of some
+    /// unfinished jobs.
     fn show_logs(&self) {
         eprintln!("logs of the controllers: {}", self.dir.display());
-        let specs = self.store.0.lock().map(|store| store.keys_now(SPECS)).unwrap_or_default();
+        let specs = self.store.0.lock().map(|store| store.current_keys(SPECS)).unwrap_or_default();
         let open = specs.iter().filter_map(|key| key.strip_prefix(SPECS));
         for job in open.take(OPEN_JOBS_SHOWN) {
             let logs = (0..self.nodes.len()).map(|i| log_file(&self.dir, i));
@@ -344,21 +348,21 @@
         }
     }
 
-    /// Leaves the store's changes, with their times, beside the controllers' logs.
-    fn keep_change_log(&self) {
+    /// Writes the store's change log to the directory of the controllers' logs.
+    fn write_change_log(&self) {
         let Ok(store) = self.store.0.lock() else { return };
         if let Err(error) = std::fs::write(self.dir.join("store.log"), store.change_log()) {
-            eprintln!("the store's changes aren't kept: {error}");
+            eprintln!("cannot write the store's change log: {error}");
         }
     }
 
-    /// Rules that were broken.
+    /// Violated invariants, one line each.
     pub fn broken(&self) -> Vec<String> {
         self.fleet.broken()
     }
 }
 
-/// What controller `i` logs.
+/// Log file of controller `i`.
 fn log_file(dir: &Path, i: usize) -> PathBuf {
     dir.join(format!("c{i}.log"))
 }
@@ -370,7 +374,7 @@
     let cells = dir.join(format!("c{i}.hcl"));
     if cells.exists() {
         command.arg("--cells").arg(cells);
-        // What became of a job that moves is told at this level alone.
+        // The outcome of a job transfer is logged only at this level.
         command.env("LOG_LEVEL", "debug");
     }
     let log = std::fs::OpenOptions::new().create(true).append(true).open(log_file(dir, i));
@@ -383,10 +387,10 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        // Workers that went on asking would report to whoever is given these ports next.
+        // Workers that kept running would report to whichever process gets these ports next.
         self.fleet.end_all();
         if thread::panicking() || std::env::var_os(KEEP_LOGS_VARIABLE).is_some() {
-            self.keep_change_log();
+            self.write_change_log();
             return self.show_logs();
         }
         let _ = std::fs::remove_dir_all(&self.dir);
--- a/tests/stand_in/http.rs
+++ b/tests/stand_in/http.rs
@@ -1,4 +1,4 @@
-//! HTTP for the stand-ins: a server and a client.
+//! Minimal HTTP/1.1 server and client for the simulated services.
 
 use std::io::{Read as _, Write as _};
 use std::net::{TcpListener, TcpStream};
@@ -6,19 +6,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a server does with a request.
+/// How the server responds to a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Answers with this status and body.
+    /// Sends a response with this status and body.
     Answer(u16, Vec<u8>),
-    /// Announces a body of that many bytes, sends none of it and closes.
-    Announced(usize),
-    /// Closes without an answer.
+    /// Sends a header with this `Content-Length`, then closes without sending the body.
+    HeaderOnly(usize),
+    /// Closes the connection without a response.
     Close,
 }
 
-/// Serves connections with a handler of method, path and body, each on a thread; the
-/// address.
+/// Serves each connection on its own thread, calling `handler` with method, path and body.
+/// Returns the listening address.
 pub fn serve(handler: impl Fn(&str, &str, &[u8]) -> Reply + Send + Sync + 'static) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("addr").to_string();
@@ -26,7 +26,7 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let handler = handler.clone();
-            thread::spawn(move || converse(stream, &*handler));
+            thread::spawn(move || serve_connection(stream, &*handler));
         }
     });
     addr
@@ -34,7 +34,7 @@
 
 type Handler = dyn Fn(&str, &str, &[u8]) -> Reply;
 
-fn converse(mut stream: TcpStream, handler: &Handler) {
+fn serve_connection(mut stream: TcpStream, handler: &Handler) {
     let mut buf = Vec::new();
     while let Some((method, path, body)) = read_request(&mut stream, &mut buf) {
         let head = |status, length| {
@@ -44,7 +44,7 @@
             Reply::Answer(status, body) => {
                 stream.write_all(&[head(status, body.len()), body].concat())
             }
-            Reply::Announced(length) => {
+            Reply::HeaderOnly(length) => {
                 let _ = stream.write_all(&head(200, length));
                 return;
             }
@@ -64,13 +64,13 @@
             let (method, path) = (req.method?.to_owned(), req.path?.to_owned());
             let len = length(req.headers);
             while buf.len() < n + len {
-                fill(stream, buf)?;
+                read_more(stream, buf)?;
             }
             let body = buf[n..n + len].to_vec();
             buf.drain(..n + len);
             return Some((method, path, body));
         }
-        fill(stream, buf)?;
+        read_more(stream, buf)?;
     }
 }
 
@@ -79,7 +79,7 @@
     h.and_then(|h| std::str::from_utf8(h.value).ok()?.parse().ok()).unwrap_or(0)
 }
 
-fn fill(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<()> {
+fn read_more(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Option<()> {
     let mut chunk = [0u8; 4096];
     match stream.read(&mut chunk) {
         Ok(n) if n > 0 => {
@@ -90,15 +90,16 @@
     }
 }
 
-/// A client's connection, kept between requests.
+/// A client connection that is reused between requests.
 #[derive(Default)]
 pub struct Connection {
     stream: Option<(String, TcpStream)>,
 }
 
 impl Connection {
-    /// Asks, over the connection kept if it leads there; `None`: no answer.
-    pub fn ask(
+    /// Sends a request, reusing the open connection if it goes to the same address. Returns
+    /// `None` if there is no response.
+    pub fn request(
         &mut self,
         addr: &str,
         method: &str,
@@ -106,8 +107,8 @@
         body: &[u8],
         wait: Duration,
     ) -> Option<(u16, Vec<u8>)> {
-        let kept = self.stream.take().filter(|(to, _)| to == addr);
-        let mut stream = match kept {
+        let reusable = self.stream.take().filter(|(to, _)| to == addr);
+        let mut stream = match reusable {
             Some((_, stream)) => stream,
             None => {
                 let to = addr.parse().ok()?;
@@ -117,9 +118,10 @@
         stream.set_nodelay(true).ok()?;
         stream.set_read_timeout(Some(wait)).ok()?;
         let head = format!("{method} {path} HTTP/1.1\r\nContent-Length: {}\r\n\r\n", body.len());
-        // A refusal may come before a large body is taken: read the answer anyway.
+        // The server may reject a large body before reading all of it, so a failed write must
+        // not keep the response from being read.
         let _ = stream.write_all(&[head.as_bytes(), body].concat());
-        let (answer, close) = read_answer(&mut stream)?;
+        let (answer, close) = read_response(&mut stream)?;
         if !close {
             self.stream = Some((addr.to_owned(), stream));
         }
@@ -127,8 +129,8 @@
     }
 }
 
-/// Reads an answer; whether the other side closes then.
-fn read_answer(stream: &mut TcpStream) -> Option<((u16, Vec<u8>), bool)> {
+/// Reads a response. The flag says whether the server closes the connection afterwards.
+fn read_response(stream: &mut TcpStream) -> Option<((u16, Vec<u8>), bool)> {
     let mut buf = Vec::new();
     loop {
         let mut headers = [httparse::EMPTY_HEADER; 32];
@@ -137,21 +139,21 @@
             let (status, len) = (res.code?, length(res.headers));
             let close = res.headers.iter().any(|h| h.name.eq_ignore_ascii_case("connection"));
             while buf.len() < n + len {
-                fill(stream, &mut buf)?;
+                read_more(stream, &mut buf)?;
             }
             return Some(((status, buf[n..n + len].to_vec()), close));
         }
-        fill(stream, &mut buf)?;
+        read_more(stream, &mut buf)?;
     }
 }
 
-/// Asks once, on a connection of its own.
-pub fn ask(
+/// Sends one request on a new connection.
+pub fn request(
     addr: &str,
     method: &str,
     path: &str,
     body: &[u8],
     wait: Duration,
 ) -> Option<(u16, Vec<u8>)> {
-    Connection::default().ask(addr, method, path, body, wait)
+    Connection::default().request(addr, method, path, body, wait)
 }
--- a/tests/stand_in/inputs.rs
+++ b/tests/stand_in/inputs.rs
@@ -1,65 +1,65 @@
-//! What the stand-ins hand to the program: settings and submissions.
+//! Inputs for the controllers: settings files and job submissions.
 
 use ciborium::Value;
 use marblebarrow_proto::cbor;
 
-/// Times that the settings give, seconds.
+/// Worker timings written to the settings, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerTimes {
-    /// Workers' leases.
+    /// Duration of a worker's lease.
     pub lease_s: f64,
-    /// Tasks of a cancelled job are gone within so long.
+    /// Time within which all tasks of a cancelled job have stopped.
     pub cancel_s: f64,
 }
 
 impl WorkerTimes {
-    /// Leases that end soon, and much time for cancellations.
-    pub const USUAL: Self = Self { lease_s: 4.0, cancel_s: 20.0 };
+    /// Short leases and a long cancellation deadline.
+    pub const SHORT_LEASES: Self = Self { lease_s: 4.0, cancel_s: 20.0 };
 }
 
-/// What a cluster is started with.
+/// Configuration of a test cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: usize,
-    /// Machines that may be rented at once.
+    /// Maximum number of machines rented at the same time.
     pub machines_most: usize,
-    /// The team's limit, CPUs.
+    /// CPU limit of the team.
     pub team_cpus: f64,
-    /// Times of workers.
+    /// Worker timings.
     pub times: WorkerTimes,
-    /// Seconds between a worker's reports.
+    /// Seconds between a worker's heartbeats.
     pub report_s: f64,
-    /// What each controller has.
+    /// Resource limits of each controller.
     pub resources: Resources,
 }
 
-/// What a controller has.
+/// Resource limits of a controller.
 #[derive(Clone, Copy, Debug)]
 pub struct Resources {
-    /// Share of a core.
+    /// Fraction of one CPU core.
     pub core_share: f64,
-    /// Memory, MB.
+    /// Memory in MB.
     pub memory_mb: f64,
-    /// Sockets.
+    /// Maximum number of open sockets.
     pub sockets: usize,
 }
 
 impl Plan {
-    /// So many controllers of a small cluster.
+    /// A small cluster with `controllers` controllers.
     pub const fn small(controllers: usize) -> Self {
         Self {
             controllers,
             machines_most: 6,
             team_cpus: 8.0,
-            times: WorkerTimes::USUAL,
+            times: WorkerTimes::SHORT_LEASES,
             report_s: 0.3,
             resources: Resources { core_share: 1.0, memory_mb: 100.0, sockets: 500 },
         }
     }
 }
 
-/// Settings of controller `i`.
+/// Settings file of controller `i`.
 pub fn settings_text(
     i: usize,
     plan: &Plan,
@@ -78,7 +78,7 @@
     text += &format!("[endpoints]\ncloud = \"{cloud}\"\nstate = \"{store}\"\n");
     text += &format!("[[facts.teams]]\nname = \"t\"\ncpus_max = {:.1}\n", plan.team_cpus);
     let WorkerTimes { lease_s, cancel_s } = plan.times;
-    // Workers here report more often than they say.
+    // The simulated workers may report more often than the configured interval.
     let report_s = plan.report_s.max(1.0);
     text += &format!("[facts.workers]\nreport_s = {report_s:.1}\n");
     text += &format!("lease_s = {lease_s:.1}\ncancel_s = {cancel_s:.1}\n");
@@ -89,7 +89,7 @@
     text + format!("mem_mb = {memory_mb:.1}\nfd_limit = {sockets}\n").as_str()
 }
 
-/// A submission's body.
+/// Request body of a job submission.
 pub fn job_body(id: &str, shape: &str, tasks: u32) -> Vec<u8> {
     let t = |s: &str| Value::Text(s.into());
     let fields = [
@@ -114,7 +114,7 @@
     cbor::encode(&Value::Map(fields.into_iter().map(|(k, v)| (t(k), v)).collect()))
 }
 
-/// The stage in a status body.
+/// Reads the `stage` field of a job status response.
 pub fn stage(body: &[u8]) -> Option<String> {
     let v: Value = cbor::decode(body).ok()?;
     let fields = v.into_map().ok()?;
--- a/tests/stand_in/link.rs
+++ b/tests/stand_in/link.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the network between cells: forwards connections one way, until it is cut.
+//! Simulated network link between cells: forwards connections that one cell opens to another
+//! until the link is cut.
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -6,18 +7,18 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a connection looks whether it was cut.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// How often a forwarded connection checks whether the link was cut.
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Connections from one cell to a controller of another.
+/// Forwards connections from one cell to one controller of another cell.
 pub struct Link {
-    /// Where they are made.
+    /// Address to which the source cell connects.
     pub addr: SocketAddr,
     cut: Arc<AtomicBool>,
 }
 
 impl Link {
-    /// Forwards to that address.
+    /// Starts a link that forwards to `target`.
     pub fn to(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let addr = listener.local_addr().expect("addr");
@@ -32,7 +33,7 @@
         Self { addr, cut }
     }
 
-    /// Nothing passes from now on, or again.
+    /// Cuts the link (`true`) or restores it (`false`). Open connections are closed by a cut.
     pub fn cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
@@ -42,9 +43,9 @@
     if cut.load(Ordering::Relaxed) {
         return;
     }
-    let Ok(onward) = TcpStream::connect(target) else { return };
+    let Ok(upstream) = TcpStream::connect(target) else { return };
     let ended = Arc::new(AtomicBool::new(false));
-    for (from, to) in [(stream, &onward), (&onward, stream)] {
+    for (from, to) in [(stream, &upstream), (&upstream, stream)] {
         let (Ok(mut from), Ok(mut to)) = (from.try_clone(), to.try_clone()) else { return };
         let ended = ended.clone();
         thread::spawn(move || {
@@ -53,8 +54,8 @@
         });
     }
     while !ended.load(Ordering::Relaxed) && !cut.load(Ordering::Relaxed) {
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(CUT_POLL_INTERVAL);
     }
     let _ = stream.shutdown(Shutdown::Both);
-    let _ = onward.shutdown(Shutdown::Both);
+    let _ = upstream.shutdown(Shutdown::Both);
 }
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of state service, cloud and workers over loopback, and real controllers
-//! among them.
+//! Simulated state service, cloud API and workers on loopback, and real controller processes
+//! that run against them.
 
-// The tests and the load measurement share these, and each uses a part.
+// Shared by the integration tests and the `fleet` bench; each uses only part of it.
 #![allow(dead_code, unused_imports)]
 
 mod cells;
--- a/tests/stand_in/usage.rs
+++ b/tests/stand_in/usage.rs
@@ -1,33 +1,34 @@
-//! What the system says that a process has used.
+//! Resource usage of a process, read from `/proc`.
 
-/// Milliseconds of a tick of the system's clock, in which `/proc` counts processor time.
+/// Milliseconds per clock tick, the unit of CPU time in `/proc`.
 const TICK_MS: u64 = 10;
 
-/// What a controller's process has used since it began.
+/// Resources that a controller process has used since it started.
 #[derive(Clone, Debug)]
 pub struct Usage {
     /// Process id.
     pub process: u32,
-    /// Whether it leads.
+    /// Whether this controller is the leader.
     pub leads: bool,
-    /// Processor time of its own code, ms.
+    /// CPU time in user mode, in ms.
     pub own_ms: u64,
-    /// Processor time of the kernel for it, ms.
+    /// CPU time in kernel mode, in ms.
     pub kernel_ms: u64,
-    /// How often a thread of it went to sleep, and so was woken.
+    /// Voluntary context switches of all its threads; each one ends in a wakeup.
     pub wakeups: u64,
-    /// Memory held now, KB.
+    /// Current resident memory in KB.
     pub memory_kb: u64,
-    /// Threads now.
+    /// Current number of threads.
     pub threads: u64,
 }
 
 impl Usage {
-    /// What that process has used; nothing if it is gone.
+    /// Reads the usage of a process; all counters are zero if it has exited.
     pub fn of(process: u32, leads: bool) -> Self {
         let read = |path: String| std::fs::read_to_string(path).unwrap_or_default();
         let stat = read(format!("/proc/{process}/stat"));
-        // The name, in parentheses, may hold spaces; the times are fields 14 and 15.
+        // The process name, in parentheses, may contain spaces, so fields are counted after it;
+        // user and kernel time are fields 14 and 15.
         let after_name = stat.rsplit(')').next().unwrap_or_default();
         let ticks = |field: usize| -> u64 {
             let text = after_name.split_whitespace().nth(field - 3);
--- a/tests/stand_in/worker.rs
+++ b/tests/stand_in/worker.rs
@@ -1,6 +1,6 @@
-//! Stand-in of the workers.
+//! Simulated workers.
 
-use super::http::{Connection, Reply, ask, serve};
+use super::http::{Connection, Reply, request, serve};
 use super::inputs::Plan;
 use marblebarrow_proto::cbor;
 use marblebarrow_proto::ids::{Attempt, JobId, MachineId, TaskId};
@@ -23,53 +23,53 @@
     agent_epoch: u64,
     seq: u64,
     fencing_token: u64,
-    leased: Instant,
+    lease_renewed: Instant,
     lease: Duration,
     tasks: BTreeMap<TaskId, Running>,
     fleet: Arc<Fleet>,
 }
 
-/// What all workers share: where each task is, and what went wrong.
+/// State shared by all workers: where each task runs, and which invariants were violated.
 #[derive(Default)]
 pub struct Fleet {
-    on: Mutex<BTreeSet<(TaskId, MachineId)>>,
+    placements: Mutex<BTreeSet<(TaskId, MachineId)>>,
     broken: Mutex<Vec<String>>,
     rented: Mutex<BTreeSet<MachineId>>,
     ended: Mutex<BTreeSet<MachineId>>,
     next_name: AtomicUsize,
     jobs_run: Mutex<BTreeSet<JobId>>,
     completions: Mutex<BTreeMap<TaskId, u32>>,
-    /// The job of which a start is to be held.
-    hold: Mutex<Option<JobId>>,
+    /// Job whose next direct start command is to be held.
+    job_to_hold: Mutex<Option<JobId>>,
     held: Mutex<Option<HeldCommand>>,
 }
 
-/// A direct command that its worker never answered.
+/// Direct commands that a worker received but neither executed nor answered.
 #[derive(Clone)]
 pub struct HeldCommand {
-    /// Where it was sent.
+    /// Address of the worker.
     addr: String,
-    /// What was sent.
+    /// The request as it was sent.
     pub commands: DirectCommands,
 }
 
 impl HeldCommand {
-    /// It arrives now; the status of its answer.
+    /// Delivers the commands now and returns the status of the response.
     pub fn deliver(&self) -> Option<u16> {
         let body = cbor::encode(&self.commands);
-        ask(&self.addr, "POST", "/do", &body, Duration::from_secs(5)).map(|(status, _)| status)
+        request(&self.addr, "POST", "/do", &body, Duration::from_secs(5)).map(|(status, _)| status)
     }
 
-    /// The highest token that the worker has seen.
+    /// Highest fencing token that the worker has seen.
     pub fn fencing_token_of_worker(&self) -> u64 {
-        let answer = ask(&self.addr, "GET", "/show", &[], Duration::from_secs(5));
+        let answer = request(&self.addr, "GET", "/show", &[], Duration::from_secs(5));
         let heartbeat = answer.and_then(|(_, body)| cbor::decode::<Heartbeat>(&body).ok());
         heartbeat.map_or(0, |heartbeat| heartbeat.fencing_token)
     }
 }
 
 impl Fleet {
-    /// Rules that were broken.
+    /// Violated invariants, one line each.
     pub fn broken(&self) -> Vec<String> {
         self.broken.lock().expect("broken").clone()
     }
@@ -79,64 +79,67 @@
         self.jobs_run.lock().expect("jobs").clone()
     }
 
-    /// How often each task completed.
+    /// Number of completions of each task.
     pub fn completions(&self) -> BTreeMap<TaskId, u32> {
         self.completions.lock().expect("completions").clone()
     }
 
-    /// The next direct command that starts a task of the job goes unanswered and is kept.
+    /// Makes the worker hold the next direct command that starts a task of the job, unanswered.
     pub fn hold_start(&self, job: &str) {
-        *self.hold.lock().expect("hold") = Some(JobId::new(job));
+        *self.job_to_hold.lock().expect("hold") = Some(JobId::new(job));
     }
 
-    /// The command kept, once there is one.
+    /// The held command, once there is one.
     pub fn held_start(&self) -> Option<HeldCommand> {
         self.held.lock().expect("held").clone()
     }
 
-    /// Keeps commands that are to be held; whether it did.
-    fn keep(&self, addr: &str, commands: &DirectCommands) -> bool {
-        let mut hold = self.hold.lock().expect("hold");
+    /// Holds `commands` if they start a task of the chosen job. Returns whether they were held.
+    fn hold_commands(&self, addr: &str, commands: &DirectCommands) -> bool {
+        let mut job_to_hold = self.job_to_hold.lock().expect("hold");
         let starts = |command: &Command| {
             let Command::Start { task, .. } = command else { return false };
-            TaskId::parse(task).is_some_and(|task| Some(&task.job) == hold.as_ref())
+            TaskId::parse(task).is_some_and(|task| Some(&task.job) == job_to_hold.as_ref())
         };
         if !commands.commands.iter().any(starts) {
             return false;
         }
-        *hold = None;
+        *job_to_hold = None;
         let held = HeldCommand { addr: addr.to_owned(), commands: commands.clone() };
         *self.held.lock().expect("held") = Some(held);
         true
     }
 
-    /// Whether any machine holds a task of the job.
+    /// Whether any machine runs a task of the job.
     pub fn holds(&self, job: &str) -> bool {
-        self.on.lock().expect("fleet").iter().any(|(task, _)| task.job.as_str() == job)
+        self.placements.lock().expect("fleet").iter().any(|(task, _)| task.job.as_str() == job)
     }
 
-    /// How many tasks of the job are on machines.
+    /// Number of tasks of the job that run on machines.
     pub fn holds_tasks(&self, job: &JobId) -> usize {
-        self.on.lock().expect("fleet").iter().filter(|(task, _)| task.job == *job).count()
+        self.placements.lock().expect("fleet").iter().filter(|(task, _)| task.job == *job).count()
     }
 
-    /// How many tasks are on machines.
+    /// Number of tasks that run on machines.
     pub fn held(&self) -> usize {
-        self.on.lock().expect("fleet").len()
+        self.placements.lock().expect("fleet").len()
     }
 
-    /// A machine that holds a task of the job.
+    /// A machine that runs a task of the job.
     pub fn holder(&self, job: &str) -> Option<MachineId> {
-        let on = self.on.lock().expect("fleet");
-        on.iter().find(|(task, _)| task.job.as_str() == job).map(|(_, machine)| machine.clone())
+        let placements = self.placements.lock().expect("fleet");
+        placements
+            .iter()
+            .find(|(task, _)| task.job.as_str() == job)
+            .map(|(_, machine)| machine.clone())
     }
 
-    /// How many machines are rented.
+    /// Number of rented machines.
     pub fn rented(&self) -> usize {
         self.rented.lock().expect("rented").len()
     }
 
-    /// Rents a machine.
+    /// Rents a machine under a new name.
     pub fn rent(&self) -> MachineId {
         let number = self.next_name.fetch_add(1, Ordering::Relaxed);
         let machine = MachineId::new(&format!("n-{number:06}"));
@@ -144,19 +147,19 @@
         machine
     }
 
-    /// The machine and all on it are gone, without a word to anybody.
+    /// Terminates a machine and all its tasks without notice.
     pub fn end(&self, machine: &MachineId) {
         self.ended.lock().expect("ended").insert(machine.clone());
-        self.on.lock().expect("fleet").retain(|(_, on)| on != machine);
+        self.placements.lock().expect("fleet").retain(|(_, holder)| holder != machine);
     }
 
-    /// All machines are gone.
+    /// Terminates all machines.
     pub fn end_all(&self) {
         let rented = self.rented.lock().expect("rented").clone();
         rented.iter().for_each(|machine| self.end(machine));
     }
 
-    /// The cloud takes a machine back.
+    /// Terminates a machine and returns it to the cloud.
     pub fn release(&self, machine: &MachineId) {
         self.end(machine);
         self.rented.lock().expect("rented").remove(machine);
@@ -168,12 +171,15 @@
 }
 
 impl Worker {
-    fn live(&self, task: &TaskId, on: bool) {
+    /// Records that a task started or stopped on this machine, and reports a violation if it also
+    /// runs on another one.
+    fn set_running(&self, task: &TaskId, running: bool) {
         let key = (task.clone(), self.id.clone());
-        let mut all = self.fleet.on.lock().expect("fleet");
-        // Asked under the lock: a machine that ends holds nothing afterwards.
-        let on = on && !self.fleet.has_ended(&self.id);
-        if !on {
+        let mut all = self.fleet.placements.lock().expect("fleet");
+        // Checked under the lock, so that no task is recorded on a machine after it was
+        // terminated.
+        let running = running && !self.fleet.has_ended(&self.id);
+        if !running {
             all.remove(&key);
             return;
         }
@@ -185,14 +191,16 @@
         all.insert(key);
     }
 
-    fn settle(&mut self) {
+    /// Applies the time that has passed: if the lease has expired, stops all tasks and raises the
+    /// agent epoch; then marks tasks whose run time is over as done.
+    fn advance(&mut self) {
         let now = Instant::now();
-        if now - self.leased > self.lease {
+        if now - self.lease_renewed > self.lease {
             for task in std::mem::take(&mut self.tasks).into_keys() {
-                self.live(&task, false);
+                self.set_running(&task, false);
             }
             self.agent_epoch += 1;
-            self.leased = now;
+            self.lease_renewed = now;
         }
         let ended: Vec<TaskId> = self
             .tasks
@@ -204,14 +212,14 @@
             })
             .collect();
         for task in &ended {
-            self.live(task, false);
+            self.set_running(task, false);
             let mut completions = self.fleet.completions.lock().expect("completions");
             *completions.entry(task.clone()).or_default() += 1;
         }
     }
 
     fn heartbeat(&mut self) -> Heartbeat {
-        self.settle();
+        self.advance();
         self.seq += 1;
         let task = |(t, r): (&TaskId, &Running)| HeartbeatTask {
             task: t.to_string(),
@@ -237,24 +245,24 @@
         for c in commands {
             match c {
                 Command::Start { task, attempt } => {
-                    let task = TaskId::parse(task).expect("task");
+                    let task = TaskId::parse(task).expect("valid task id");
                     if self.tasks.contains_key(&task) {
                         continue;
                     }
-                    self.live(&task, true);
+                    self.set_running(&task, true);
                     let ends = run_time(&task.job).map(|time| Instant::now() + time);
                     self.tasks.insert(task, Running { attempt: *attempt, ends, why: None });
                 }
                 Command::Stop { task, attempt, .. } => {
-                    let task = TaskId::parse(task).expect("task");
+                    let task = TaskId::parse(task).expect("valid task id");
                     let stopped = self.tasks.get_mut(&task).filter(|r| r.attempt == *attempt);
                     if let Some(r) = stopped.filter(|r| r.why.is_none()) {
                         r.why = Some(Why::Stopped);
-                        self.live(&task, false);
+                        self.set_running(&task, false);
                     }
                 }
                 Command::Forget { task, attempt } => {
-                    let task = TaskId::parse(task).expect("task");
+                    let task = TaskId::parse(task).expect("valid task id");
                     if self.tasks.get(&task).is_some_and(|r| r.attempt == *attempt) {
                         self.tasks.remove(&task);
                     }
@@ -264,9 +272,10 @@
     }
 }
 
-/// How long a job's tasks run, by the end of its name: those of jobs 2 are services, those
-/// of jobs 5 take longer than the 8 s after which a leader shows its followers all progress
-/// anew. (With 6 s a follower that had lost one word never told that such a job ran.)
+/// Run time of a job's tasks, chosen by the last digit of its name: 2 is a service without end, 5
+/// runs for 12 s, all others for 1 s. The 12 s exceed the 8 s after which a leader resends all
+/// progress to its followers; with 6 s, a follower that had lost one message never reported such a
+/// job as running.
 fn run_time(job: &JobId) -> Option<Duration> {
     match job.as_str().as_bytes().last() {
         Some(b'2') => None,
@@ -275,15 +284,15 @@
     }
 }
 
-/// A machine's worker, until the machine ends.
-pub fn worker(id: MachineId, nodes: Vec<String>, fleet: Arc<Fleet>, plan: Plan) {
+/// Runs a machine's worker until the machine is terminated.
+pub fn run_worker(id: MachineId, nodes: Vec<String>, fleet: Arc<Fleet>, plan: Plan) {
     let state = Arc::new(Mutex::new(Worker {
         id: id.clone(),
         addr: String::new(),
         agent_epoch: 1,
         seq: 0,
         fencing_token: 0,
-        leased: Instant::now(),
+        lease_renewed: Instant::now(),
         lease: Duration::from_secs_f64(plan.times.lease_s),
         tasks: BTreeMap::new(),
         fleet: fleet.clone(),
@@ -294,13 +303,13 @@
         if w.fleet.has_ended(&w.id) {
             return Reply::Close;
         }
-        w.settle();
+        w.advance();
         if path == "/show" {
             let heartbeat = w.heartbeat();
             return Reply::Answer(200, cbor::encode(&heartbeat));
         }
-        let cmd: DirectCommands = cbor::decode(body).expect("commands");
-        if w.fleet.keep(&w.addr, &cmd) {
+        let cmd: DirectCommands = cbor::decode(body).expect("valid commands");
+        if w.fleet.hold_commands(&w.addr, &cmd) {
             return Reply::Close;
         }
         let good = cmd.fencing_token >= w.fencing_token && cmd.agent_epoch == w.agent_epoch;
@@ -318,19 +327,19 @@
         let sent = Instant::now();
         let heartbeat = state.lock().expect("worker").heartbeat();
         let (body, wait) = (cbor::encode(&heartbeat), Duration::from_secs(4));
-        let answer = connection.ask(&nodes[at], "POST", "/hello", &body, wait);
+        let answer = connection.request(&nodes[at], "POST", "/hello", &body, wait);
         let mut w = state.lock().expect("worker");
         match answer {
             Some((200, body)) if heartbeat.agent_epoch == w.agent_epoch => {
-                let a: HeartbeatAnswer = cbor::decode(&body).expect("answer");
+                let a: HeartbeatAnswer = cbor::decode(&body).expect("valid heartbeat answer");
                 if a.fencing_token >= w.fencing_token {
                     w.fencing_token = a.fencing_token;
-                    w.leased = sent;
+                    w.lease_renewed = sent;
                     w.execute(&a.commands);
                 }
             }
             Some((421, body)) => {
-                let e: Elsewhere = cbor::decode(&body).expect("elsewhere");
+                let e: Elsewhere = cbor::decode(&body).expect("valid redirect");
                 let named = e.report_to.and_then(|n| n.strip_prefix('c')?.parse::<usize>().ok());
                 at = named.filter(|n| *n != at).unwrap_or((at + 1) % nodes.len());
             }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,7 @@
-//! A rolling upgrade over loopback: three controllers of the version in production (named in
-//! deploy/service.toml, built from the repository's history) are replaced one at a time by
-//! this one while jobs are submitted, polled and cancelled. Waits are bounded, not judged.
+//! Rolling upgrade over loopback: three controllers of the production version (the commit in
+//! deploy/service.toml, built from the repository's history) are replaced one at a time by this
+//! version while jobs are submitted, polled and cancelled. Waits have a timeout, but the time
+//! taken is not checked.
 
 mod stand_in;
 
@@ -13,7 +14,8 @@
 
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
 
-/// Builds the commit in production into target/production, once a run; its program.
+/// Builds the production commit in target/production, once per test run, and returns the path of
+/// its binary.
 fn production_program() -> PathBuf {
     let text = std::fs::read_to_string(Path::new(ROOT).join("deploy/service.toml")).expect("read");
     let deploy: toml::Table = toml::from_str(&text).expect("deploy/service.toml is TOML");
@@ -44,30 +46,30 @@
     base.join("target/debug/marblebarrow")
 }
 
-/// What users were told: nothing told may be taken back.
+/// What the API has acknowledged to users; a controller must never contradict it later.
 #[derive(Default)]
-struct Told {
+struct Acknowledged {
     accepted: BTreeSet<String>,
     cancelled: BTreeSet<String>,
     ended: BTreeMap<String, String>,
 }
 
-impl Told {
-    /// Polls every living controller on every accepted job.
+impl Acknowledged {
+    /// Polls every running controller for every accepted job.
     fn poll(&mut self, cluster: &Cluster) {
         for (job, i) in self.accepted.clone().iter().flat_map(|j| (0..3).map(move |i| (j, i))) {
-            let Some((status, body)) = cluster.ask_one(i, "GET", &format!("/api/jobs/{job}"))
+            let Some((status, body)) = cluster.request_one(i, "GET", &format!("/api/jobs/{job}"))
             else {
                 continue;
             };
-            assert_ne!(status, 404, "c{i} forgot accepted {job}");
+            assert_ne!(status, 404, "c{i} does not know accepted job {job}");
             let Some(now) = stage(&body).filter(|_| status == 200) else { continue };
             if let Some(before) = self.ended.get(job) {
-                assert_eq!(&now, before, "c{i} took back the end of {job}");
+                assert_eq!(&now, before, "c{i} changed the final stage of {job}");
             } else if now == "done" || (now == "aborted" && self.cancelled.contains(job)) {
                 self.ended.insert(job.clone(), now);
             } else {
-                assert_ne!(now, "aborted", "c{i}: {job} aborted unasked");
+                assert_ne!(now, "aborted", "c{i} reports {job} as aborted without a cancellation");
             }
         }
     }
@@ -81,11 +83,11 @@
         self.cancelled.insert(job.into());
         assert_eq!(cluster.call("POST", &format!("/api/jobs/{job}/abort"), &[]).0, 200);
         cluster.until(job, "aborted");
-        cluster.until_gone(job);
+        cluster.wait_until_gone(job);
     }
 }
 
-/// What GET /api/members tells, in part.
+/// The part of the GET /api/members response that the test checks.
 #[derive(Debug, PartialEq, serde::Deserialize)]
 struct Members {
     controllers: Vec<Member>,
@@ -93,7 +95,7 @@
     dependencies_allowed: bool,
 }
 
-/// A controller in it.
+/// One controller in that response.
 #[derive(Debug, PartialEq, serde::Deserialize)]
 struct Member {
     node: String,
@@ -101,7 +103,7 @@
     current: bool,
 }
 
-/// How they should look when the first `new` of them run this version.
+/// Expected response when the first `new` controllers run this version.
 fn expected(new: usize) -> Members {
     let member = |o: usize| {
         let format = if o < new { FORMAT } else { PRODUCTION_FORMAT };
@@ -114,9 +116,9 @@
     }
 }
 
-/// What controller `i` tells on GET /api/members, if it lives and knows it.
+/// Response of controller `i` to GET /api/members, if it is running and supports the endpoint.
 fn members(cluster: &Cluster, i: usize) -> Option<Members> {
-    let (status, body) = cluster.ask_one(i, "GET", "/api/members")?;
+    let (status, body) = cluster.request_one(i, "GET", "/api/members")?;
     (status == 200).then(|| marblebarrow_proto::cbor::decode(&body).expect("members"))
 }
 
@@ -125,34 +127,39 @@
     let old = production_program();
     let new = Path::new(env!("CARGO_BIN_EXE_marblebarrow"));
     let mut cluster = Cluster::start_programs(Plan::small(3), None, &[&old, &old, &old]);
-    let mut told = Told::default();
-    told.submit(&cluster, "req-000101", "sweep", 4);
-    told.submit(&cluster, "req-000102", "daemon", 2);
+    let mut acknowledged = Acknowledged::default();
+    acknowledged.submit(&cluster, "req-000101", "sweep", 4);
+    acknowledged.submit(&cluster, "req-000102", "daemon", 2);
     cluster.until("req-000101", "done");
     for i in 0..3 {
         let (sweep, daemon) = (format!("req-0002{i}1"), format!("req-0002{i}2"));
-        told.submit(&cluster, &sweep, "sweep", 3);
-        told.submit(&cluster, &daemon, "daemon", 1);
+        acknowledged.submit(&cluster, &sweep, "sweep", 3);
+        acknowledged.submit(&cluster, &daemon, "daemon", 1);
         cluster.replace(i, new);
-        told.poll(&cluster);
+        acknowledged.poll(&cluster);
         cluster.until(&sweep, "done");
         cluster.until(&daemon, "running");
-        told.cancel(&cluster, &daemon);
-        told.poll(&cluster);
-        // Each new one hears the others, the old ones at the production format: no gate yet,
-        // and no record. The last one's turn brings both.
+        acknowledged.cancel(&cluster, &daemon);
+        acknowledged.poll(&cluster);
+        // Each upgraded controller sees the old ones at the production format, so the new
+        // features stay disabled and no common format is recorded until the last upgrade.
         for n in 0..=i {
-            cluster.wait_for("members as they run", |c| members(c, n) == Some(expected(i + 1)));
+            cluster.wait_for("current member list", |c| members(c, n) == Some(expected(i + 1)));
         }
-        let recorded = cluster.keys_ever(COMMON_FORMAT);
-        assert_eq!(recorded.len(), usize::from(i == 2), "{recorded:?} with {} new", i + 1);
+        let recorded = cluster.keys_ever_put(COMMON_FORMAT);
+        assert_eq!(
+            recorded.len(),
+            usize::from(i == 2),
+            "{recorded:?} with {} upgraded controllers",
+            i + 1
+        );
     }
-    told.submit(&cluster, "req-000301", "sweep", 5);
+    acknowledged.submit(&cluster, "req-000301", "sweep", 5);
     cluster.until("req-000301", "done");
-    told.cancel(&cluster, "req-000102");
-    told.poll(&cluster);
-    for job in &told.accepted {
-        cluster.until(job, if told.cancelled.contains(job) { "aborted" } else { "done" });
+    acknowledged.cancel(&cluster, "req-000102");
+    acknowledged.poll(&cluster);
+    for job in &acknowledged.accepted {
+        cluster.until(job, if acknowledged.cancelled.contains(job) { "aborted" } else { "done" });
     }
     assert!(cluster.completions().values().all(|&n| n == 1), "{:?}", cluster.completions());
     assert_eq!(cluster.broken(), Vec::<String>::new());
