--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -18,20 +18,20 @@
         }
         job.cancelled = true;
         job.cancelled_at = Some(self.knowledge.known_at);
-        job.again.clear();
+        job.retry_at.clear();
         let mut unsent = Vec::new();
         for (&n, live) in &mut job.live {
             if live.never_sent(now) {
                 unsent.push(n);
             } else {
-                live.stop = Some(0.0);
+                live.stop_grace_s = Some(0.0);
                 if let Some(m) = self.machines.get_mut(&live.machine) {
                     m.push = true;
                 }
             }
         }
         for n in unsent {
-            self.over(id, n, Outcome::Lost, now);
+            self.end_attempt(id, n, Outcome::Lost, now);
         }
         self.unconfirmed_starts_cancelled(now, id);
         self.writer.close(id, now);
@@ -40,7 +40,7 @@
     }
 
     /// Handles the certain end of an attempt: releases its capacity and records the outcome.
-    pub(crate) fn over(&mut self, id: &JobId, n: u32, outcome: Outcome, now: Secs) {
+    pub(crate) fn end_attempt(&mut self, id: &JobId, n: u32, outcome: Outcome, now: Secs) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -74,9 +74,9 @@
         // During recovery, the task may also have a later attempt of an earlier leader on a
         // machine that has not reported yet.
         let earlier = job.live.get(&n).is_some_and(|l| (l.attempt.0 >> 32) < self.term.0);
-        job.over(n, outcome, now);
+        job.end_attempt(n, outcome, now);
         if self.recovering && earlier && outcome != Outcome::Done {
-            job.again.remove(&n);
+            job.retry_at.remove(&n);
             job.maybe_running.insert(n);
         }
         if outcome == Outcome::Done {
@@ -117,7 +117,7 @@
             m.tasks_lost_at = Some(now);
         }
         for task in m.tasks.clone() {
-            self.over(&task.job, task.index, Outcome::Lost, now);
+            self.end_attempt(&task.job, task.index, Outcome::Lost, now);
         }
     }
 }
--- a/crates/core/src/cells/home.rs
+++ b/crates/core/src/cells/home.rs
@@ -51,7 +51,7 @@
     pub(crate) fn learn_forward(&mut self, now: Secs, id: &JobId) {
         let (Some(cells), Some(job)) = (&mut self.cells, self.jobs.get_mut(id)) else { return };
         let forward = job.record.forward.as_ref();
-        job.away = forward.is_some();
+        job.blocked_by_transfer = forward.is_some();
         cells.outbound.apply_record(now, &job.record.spec, forward);
     }
 
@@ -162,7 +162,7 @@
         intended.forward = Some(ForwardRecord { transfer, target, accepted: false });
         // From here on no task of the job is started in this cell, whatever the outcome of the
         // transaction.
-        job.away = true;
+        job.blocked_by_transfer = true;
         let conds = vec![
             cond(spec_key(id), job.spec_version),
             cond(end_key(id), 0),
--- a/crates/core/src/cells/room.rs
+++ b/crates/core/src/cells/room.rs
@@ -141,7 +141,11 @@
         self.jobs
             .values()
             .filter(|job| job.record.origin.is_none() && now - job.arrived > BACKLOG_AGE_S)
-            .filter(|job| !job.spare() && !job.mistaken() && self.team_has_room(job.spec()))
+            .filter(|job| {
+                !job.is_spare_capacity_work()
+                    && !job.suspected_broken()
+                    && self.team_has_room(job.spec())
+            })
             .map(|job| job.waiting())
             .fold(0, u32::saturating_add)
     }
--- a/crates/core/src/cells/settle.rs
+++ b/crates/core/src/cells/settle.rs
@@ -73,7 +73,7 @@
                 self.log.push(|| format!("event=transfer_refused job={id} why={reason:?}"));
                 record.forward = None;
                 record.refusals = record.refusals.saturating_add(1);
-                job.rests_until = now + refusal_backoff(record.refusals, *reason);
+                job.offer_backoff_until = now + refusal_backoff(record.refusals, *reason);
                 if let Some(cells) = &mut self.cells {
                     cells.counts.refusals_received += 1;
                 }
--- a/crates/core/src/cells/staying.rs
+++ b/crates/core/src/cells/staying.rs
@@ -46,7 +46,7 @@
             Some(StayReason::Dependencies)
         } else if now - job.arrived <= cells.settings.patience_s {
             Some(StayReason::Patience)
-        } else if now < job.rests_until {
+        } else if now < job.offer_backoff_until {
             Some(StayReason::Resting)
         } else if !self.team_has_room(job.spec()) {
             Some(StayReason::TeamLimit)
--- a/crates/core/src/deprovision/consolidation.rs
+++ b/crates/core/src/deprovision/consolidation.rs
@@ -37,7 +37,7 @@
     let spec = job.spec();
     let settled = |live: &Live| {
         let ran_long = live.ran_from.is_some_and(|from| now - from > CONSOLIDATE_AGE_S);
-        live.stop.is_none() && !live.unconfirmed && ran_long
+        live.stop_grace_s.is_none() && !live.unconfirmed && ran_long
     };
     spec.kind == Kind::Service
         && !spec.spread
@@ -55,7 +55,7 @@
         // No consolidation while spare-capacity work is waiting either, as it would fill the
         // capacity that the replicas free. Mistaken jobs are ignored: they wait until their users
         // act, and counting them blocked all consolidation.
-        if self.jobs.values().any(|job| job.waiting() > 0 && !job.mistaken()) {
+        if self.jobs.values().any(|job| job.waiting() > 0 && !job.suspected_broken()) {
             return;
         }
         let Some(id) = self.least_used(now) else { return };
@@ -132,8 +132,10 @@
         }
     }
 
-    /// Whether any work is waiting other than spare-capacity work and mistaken jobs.
+    /// Whether any work is waiting other than spare-capacity work and jobs suspected to be broken.
     fn has_waiting_regular_work(&self) -> bool {
-        self.jobs.values().any(|job| job.waiting() > 0 && !job.spare() && !job.mistaken())
+        self.jobs.values().any(|job| {
+            job.waiting() > 0 && !job.is_spare_capacity_work() && !job.suspected_broken()
+        })
     }
 }
--- a/crates/core/src/deprovision/health.rs
+++ b/crates/core/src/deprovision/health.rs
@@ -25,7 +25,8 @@
 /// Whether all that is left on a cordoned machine is unconfirmed starts that are to be stopped.
 /// Releasing the machine proves that they are gone.
 pub(super) fn is_stuck(machine: &Machine, jobs: &Jobs) -> bool {
-    let stuck = |live: &Live| live.unconfirmed && live.stop.is_some() && live.phase == Phase::Sent;
+    let stuck =
+        |live: &Live| live.unconfirmed && live.stop_grace_s.is_some() && live.phase == Phase::Sent;
     machine.cordoned
         && machine.direct.is_none()
         && !machine.releasing
@@ -49,7 +50,7 @@
 fn runs_only_spare_work(machine: &Machine, jobs: &Jobs, now: Secs) -> bool {
     let evictable = |job: &Job, index: u32| {
         let confirmed = job.live.get(&index).is_some_and(|live| !live.unconfirmed);
-        job.cheap_only(now) && confirmed && !job.keeps(now)
+        job.spot_only(now) && confirmed && !job.exempt_from_eviction(now)
     };
     !machine.info.spot
         && !machine.tasks.is_empty()
--- a/crates/core/src/deprovision/mod.rs
+++ b/crates/core/src/deprovision/mod.rs
@@ -102,7 +102,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let grace = job.eviction_grace();
         if let Some(live) = job.live.get_mut(&task.index) {
-            live.stop.get_or_insert(grace);
+            live.stop_grace_s.get_or_insert(grace);
         }
     }
 }
--- a/crates/core/src/deprovision/spot_notices.rs
+++ b/crates/core/src/deprovision/spot_notices.rs
@@ -14,9 +14,9 @@
         for task in self.due_for_eviction(now) {
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
             let grace = job.eviction_grace();
-            let live = job.live.get_mut(&task.index).filter(|live| live.stop.is_none());
+            let live = job.live.get_mut(&task.index).filter(|live| live.stop_grace_s.is_none());
             let Some(live) = live else { continue };
-            live.stop = Some(grace);
+            live.stop_grace_s = Some(grace);
             if let Some(machine) = self.machines.get_mut(&live.machine) {
                 machine.push = true;
             }
@@ -54,7 +54,7 @@
             }
         }
         for task in unsent {
-            self.over(&task.job, task.index, Outcome::Lost, now);
+            self.end_attempt(&task.job, task.index, Outcome::Lost, now);
         }
     }
 }
--- a/crates/core/src/heartbeats/absence.rs
+++ b/crates/core/src/heartbeats/absence.rs
@@ -28,7 +28,7 @@
         match live.phase {
             Phase::Placed | Phase::Ready => Self::of_unsent_start(live, now),
             Phase::Sent if direct_in_flight => Self::Inconclusive,
-            Phase::Sent if live.stop.is_none() => Self::NotStarted,
+            Phase::Sent if live.stop_grace_s.is_none() => Self::NotStarted,
             Phase::Sent if live.unconfirmed || may_be_in_flight(live, now) => Self::Inconclusive,
             Phase::Sent | Phase::Seen | Phase::Running if live.unconfirmed => Self::MayStartAgain,
             Phase::Sent | Phase::Seen | Phase::Running => Self::Gone,
@@ -36,14 +36,14 @@
     }
 
     fn of_unsent_start(live: &Live, now: Secs) -> Self {
-        let to_stop = live.stop.is_some() && !live.unconfirmed;
+        let to_stop = live.stop_grace_s.is_some() && !live.unconfirmed;
         if to_stop && live.never_sent(now) { Self::Gone } else { Self::Inconclusive }
     }
 }
 
 /// Whether a heartbeat answer that carries the start command may still arrive.
 fn may_be_in_flight(live: &Live, now: Secs) -> bool {
-    live.sent.is_some_and(|at| now < at + WORKER_DROPS_S + WORKER_MARGIN_S)
+    live.start_sent_at.is_some_and(|at| now < at + WORKER_DROPS_S + WORKER_MARGIN_S)
 }
 
 impl Leader {
@@ -68,10 +68,10 @@
                 }
                 Absence::MayStartAgain => {
                     // Keep the attempt placed, and stop it.
-                    live.stop.get_or_insert(0.0);
+                    live.stop_grace_s.get_or_insert(0.0);
                     live.phase = Phase::Sent;
                 }
-                Absence::Gone => self.over(&task.job, task.index, Outcome::Lost, now),
+                Absence::Gone => self.end_attempt(&task.job, task.index, Outcome::Lost, now),
             }
         }
         // Probe whether commands reach the machine.
--- a/crates/core/src/heartbeats/mod.rs
+++ b/crates/core/src/heartbeats/mod.rs
@@ -119,7 +119,7 @@
         for (task, _) in starts {
             let live = live_attempt_mut(&mut self.jobs, &task);
             if let Some(live) = live {
-                live.sent = Some(now);
+                live.start_sent_at = Some(now);
             }
         }
         Some(commands)
--- a/crates/core/src/heartbeats/outcomes.rs
+++ b/crates/core/src/heartbeats/outcomes.rs
@@ -68,7 +68,7 @@
         let run_time = RunTime::of(job, task.index, now);
         let outcome = outcome_of(why);
         if why == Why::Alone {
-            job.whole_gang = true;
+            job.restart_whole_gang = true;
         }
         if placed && outcome != Outcome::Done && job.spec().kind == Kind::Gang {
             self.stop_gang(&task.job, task.index);
@@ -77,8 +77,9 @@
         // The job has now succeeded, so its earlier failures were faults of the machines. Until
         // then failures aren't attributed: jobs submitted with a mistake fail everywhere, and many
         // of them would have caused sound machines to be returned.
-        let faulty = if outcome == Outcome::Done { job.unexplained() } else { Vec::new() };
-        let end = TaskEnd { outcome, why, job_has_succeeded: job.sound(), run_time };
+        let faulty =
+            if outcome == Outcome::Done { job.unattributed_failures() } else { Vec::new() };
+        let end = TaskEnd { outcome, why, job_has_succeeded: job.has_succeeded(), run_time };
         self.record_outcome(now, task, outcome, placed);
         for other in faulty {
             if let Some(machine) = self.machines.get_mut(&other) {
@@ -99,7 +100,7 @@
             self.stop_duplicate(task);
         }
         if is_result || placed {
-            self.over(&task.job, task.index, outcome, now);
+            self.end_attempt(&task.job, task.index, outcome, now);
         }
     }
 
@@ -107,7 +108,7 @@
     fn stop_duplicate(&mut self, task: &TaskId) {
         let live = live_attempt_mut(&mut self.jobs, task);
         let Some(live) = live else { return };
-        live.stop = Some(0.0);
+        live.stop_grace_s = Some(0.0);
         if let Some(machine) = self.machines.get_mut(&live.machine) {
             machine.strangers.insert((task.clone(), live.attempt));
             machine.push = true;
@@ -143,9 +144,10 @@
     fn stop_gang(&mut self, id: &JobId, lost_index: u32) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let grace = job.eviction_grace();
-        for (_, live) in job.live.iter_mut().filter(|(n, l)| **n != lost_index && l.stop.is_none())
+        for (_, live) in
+            job.live.iter_mut().filter(|(n, l)| **n != lost_index && l.stop_grace_s.is_none())
         {
-            live.stop = Some(grace);
+            live.stop_grace_s = Some(grace);
             if let Some(machine) = self.machines.get_mut(&live.machine) {
                 machine.push = true;
             }
--- a/crates/core/src/heartbeats/tasks.rs
+++ b/crates/core/src/heartbeats/tasks.rs
@@ -83,7 +83,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(live) = job.live.get_mut(&task.index) else { return };
         if live.ran_from.is_none() {
-            let after = now - live.since;
+            let after = now - live.placed_at;
             if !live.adopted && job.record.spec.kind == Kind::Array {
                 self.start_lag += (after - self.start_lag) * LAG_WEIGHT;
             }
@@ -91,7 +91,7 @@
         }
         live.phase = Phase::Running;
         let ran_from = *live.ran_from.get_or_insert(now);
-        job.ran_for(now - ran_from);
+        job.note_run_time(now - ran_from);
     }
 
     /// Whether an attempt is newer than the placed one. Attempts are ordered: a later one is
@@ -125,13 +125,13 @@
         entry: &HeartbeatTask,
     ) -> Option<()> {
         if self.jobs.get(&task.job)?.live.contains_key(&task.index) {
-            self.over(&task.job, task.index, Outcome::Lost, now);
+            self.end_attempt(&task.job, task.index, Outcome::Lost, now);
         }
         let number = self.machine_number(id)?;
         let job = self.jobs.get_mut(&task.job)?;
         let m = self.machines.get_mut(id)?;
         job.maybe_running.remove(&task.index);
-        job.again.remove(&task.index);
+        job.retry_at.remove(&task.index);
         job.started.insert(task.index);
         job.machines.insert(number);
         self.writer.want_machine(id, m, now);
@@ -157,11 +157,11 @@
         machine: id.clone(),
         attempt: entry.attempt,
         phase: if running { Phase::Running } else { Phase::Seen },
-        since: now,
+        placed_at: now,
         ran_from: None,
         unconfirmed: false,
-        stop: cancelled.then_some(0.0),
-        sent: None,
+        stop_grace_s: cancelled.then_some(0.0),
+        start_sent_at: None,
         adopted: true,
     }
 }
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -39,15 +39,15 @@
     /// Its current phase.
     pub phase: Phase,
     /// When it was placed.
-    pub since: Secs,
+    pub placed_at: Secs,
     /// When a heartbeat first reported it as running.
     pub ran_from: Option<Secs>,
     /// A direct start command got no reply and may still reach the worker.
     pub unconfirmed: bool,
     /// Set if it is to be stopped: the time that it gets to save its work, seconds.
-    pub stop: Option<f64>,
+    pub stop_grace_s: Option<f64>,
     /// When a heartbeat reply last carried its start command.
-    pub sent: Option<Secs>,
+    pub start_sent_at: Option<Secs>,
     /// A new leader found it running, so its start time is unknown.
     pub adopted: bool,
 }
@@ -61,7 +61,7 @@
     pub fn never_sent(&self, now: Secs) -> bool {
         matches!(self.phase, Phase::Placed | Phase::Ready)
             && !self.unconfirmed
-            && self.sent.is_none_or(|at| now > at + WORKER_DROPS_S + WORKER_MARGIN_S)
+            && self.start_sent_at.is_none_or(|at| now > at + WORKER_DROPS_S + WORKER_MARGIN_S)
     }
 }
 
@@ -106,10 +106,10 @@
     /// Tasks recorded as started in an earlier term that no worker has reported yet.
     pub maybe_running: BTreeSet<u32>,
     /// Tasks to retry, each with the earliest time of its next attempt.
-    pub again: BTreeMap<u32, Secs>,
+    pub retry_at: BTreeMap<u32, Secs>,
     /// Sample tasks that run first, to measure the run time and so the job's size.
     pub pilots: Vec<u32>,
-    /// Every task below this number is done, may be running, or is in `again`.
+    /// Every task below this number is done, may be running, or is in `retry_at`.
     cursor: u32,
     /// Measured run times: their count and their sum, seconds.
     pub runs: (u32, f64),
@@ -122,22 +122,22 @@
     pub cancelled_at: Option<Secs>,
     /// The job is being offered or transferred to another cell, or runs there: no task of it
     /// is started here.
-    pub away: bool,
+    pub blocked_by_transfer: bool,
     /// Not offered to other cells before this time, as they refused it. A new leader starts
     /// from zero.
-    pub rests_until: Secs,
+    pub offer_backoff_until: Secs,
     /// The transaction that writes its final state is in flight.
     pub closing: bool,
     /// Some task ran for longer than [`CONSOLIDATE_AGE_S`], the least for a start to count.
     pub start_counted: bool,
     /// An objective states by when jobs of its class should be done.
-    pub aimed: bool,
+    pub has_objective: bool,
     /// Seconds within which jobs of its class should be done, if an objective sets such a time
     /// independently of their deadlines.
-    pub finish_s: Option<Secs>,
+    pub finish_objective_s: Option<Secs>,
     /// A member of the gang ended because it found the gang incomplete: all tasks must start
     /// again, including those that are done.
-    pub whole_gang: bool,
+    pub restart_whole_gang: bool,
     /// Some job that it names as a DAG dependency is not durably done yet: no task is started,
     /// and the job holds no part of the team's quota or guarantee.
     pub waits_for_dependencies: bool,
@@ -190,20 +190,20 @@
             parts,
             live: BTreeMap::new(),
             maybe_running: BTreeSet::new(),
-            again: BTreeMap::new(),
+            retry_at: BTreeMap::new(),
             pilots,
             cursor: 0,
             runs: (0, 0.0),
             queue,
             cancelled: false,
             cancelled_at: None,
-            away: false,
-            rests_until: 0.0,
+            blocked_by_transfer: false,
+            offer_backoff_until: 0.0,
             closing: false,
             start_counted: false,
-            aimed: false,
-            finish_s: None,
-            whole_gang: false,
+            has_objective: false,
+            finish_objective_s: None,
+            restart_whole_gang: false,
             waits_for_dependencies: false,
             ready_since: arrived,
             start_within: None,
@@ -233,20 +233,20 @@
     /// Whether the job is spare-capacity work: a low-priority array that only runs on capacity
     /// that no other job needs, and waits for cheap machines. A job whose class has an
     /// objective on when it should be done is not.
-    pub fn spare(&self) -> bool {
+    pub fn is_spare_capacity_work(&self) -> bool {
         let s = self.spec();
-        s.kind == Kind::Array && self.priority() == Priority::Low && !self.aimed
+        s.kind == Kind::Array && self.priority() == Priority::Low && !self.has_objective
     }
 
     /// Whether the job is spare-capacity work that may only use spot machines because it has
     /// waited for less than [`SPARE_LATEST_S`].
-    pub fn cheap_only(&self, now: Secs) -> bool {
-        self.spare() && self.spec().spot && now - self.arrived < SPARE_LATEST_S
+    pub fn spot_only(&self, now: Secs) -> bool {
+        self.is_spare_capacity_work() && self.spec().spot && now - self.arrived < SPARE_LATEST_S
     }
 
     /// Work that would be lost if the attempt ended now, seconds: what it did since its last
     /// checkpoint. An attempt that a new leader found running counts as half done.
-    pub fn loses(&self, live: &Live, now: Secs) -> Secs {
+    pub fn lost_work_s(&self, live: &Live, now: Secs) -> Secs {
         let Some(from) = live.ran_from else { return 0.0 };
         let before = if live.adopted { self.likely_run() / 2.0 } else { 0.0 };
         let ran = now - from + before;
@@ -271,10 +271,12 @@
     /// The tasks of a gang that must start together; empty if it may not start now.
     pub fn gang_members(&self, now: Secs) -> Vec<u32> {
         let free = self.live.is_empty() && self.maybe_running.is_empty() && self.may_start(now);
-        if !free || self.complete() || self.again.values().any(|&at| at > now) {
+        if !free || self.complete() || self.retry_at.values().any(|&at| at > now) {
             return Vec::new();
         }
-        (0..self.spec().tasks).filter(|n| self.whole_gang || !self.finished.contains(*n)).collect()
+        (0..self.spec().tasks)
+            .filter(|n| self.restart_whole_gang || !self.finished.contains(*n))
+            .collect()
     }
 
     /// The next pilot that may start now.
@@ -282,7 +284,8 @@
         if !self.may_start(now) {
             return None;
         }
-        let ready = |n: &u32| self.startable(*n) && self.again.get(n).is_none_or(|&at| at <= now);
+        let ready =
+            |n: &u32| self.startable(*n) && self.retry_at.get(n).is_none_or(|&at| at <= now);
         self.pilots.iter().copied().find(ready)
     }
 
@@ -291,12 +294,14 @@
         if !self.may_start(now) {
             return None;
         }
-        if let Some((&n, _)) = self.again.iter().find(|&(&n, &at)| at <= now && self.startable(n)) {
+        if let Some((&n, _)) =
+            self.retry_at.iter().find(|&(&n, &at)| at <= now && self.startable(n))
+        {
             return Some(n);
         }
         while self.cursor < self.spec().tasks {
             let n = self.cursor;
-            if self.startable(n) && !self.again.contains_key(&n) {
+            if self.startable(n) && !self.retry_at.contains_key(&n) {
                 return Some(n);
             }
             self.cursor += 1;
@@ -306,7 +311,7 @@
 
     fn may_start(&self, now: Secs) -> bool {
         if self.cancelled
-            || self.away
+            || self.blocked_by_transfer
             || self.closing
             || self.waits_for_dependencies
             || now < self.not_before
@@ -314,17 +319,17 @@
             return false;
         }
         // A job suspected to be broken keeps retrying, with `BAD_JOB_TASKS` tasks at a time.
-        !(self.mistaken() && self.live.len() >= BAD_JOB_TASKS)
+        !(self.suspected_broken() && self.live.len() >= BAD_JOB_TASKS)
     }
 
     /// Whether the job itself is suspected to be broken: it failed on at least
     /// [`BAD_JOB_MACHINES`] machines and succeeded on none.
-    pub fn mistaken(&self) -> bool {
-        !self.sound() && self.failed_on.len() >= BAD_JOB_MACHINES
+    pub fn suspected_broken(&self) -> bool {
+        !self.has_succeeded() && self.failed_on.len() >= BAD_JOB_MACHINES
     }
 
     /// Whether some task is known to have succeeded, under this leader or an earlier one.
-    pub fn sound(&self) -> bool {
+    pub fn has_succeeded(&self) -> bool {
         self.successes > 0 || !self.finished.is_empty()
     }
 
@@ -332,11 +337,11 @@
     /// lose. This holds for spare-capacity work of which no task has run for long: in a full
     /// fleet each attempt would be evicted as the youngest, and users would never see the job
     /// start.
-    pub fn keeps(&self, now: Secs) -> bool {
-        self.spare()
+    pub fn exempt_from_eviction(&self, now: Secs) -> bool {
+        self.is_spare_capacity_work()
             && !self.start_counted
             && self.finished.is_empty()
-            && self.live.values().filter(|l| l.stop.is_none()).count() <= 1
+            && self.live.values().filter(|l| l.stop_grace_s.is_none()).count() <= 1
             && now - self.arrived < SPARE_LATEST_S
     }
 
@@ -345,7 +350,7 @@
     /// A service never completes, so a replica that ran for longer than [`SERVES_S`] counts as
     /// a success. Otherwise two machine failures in the service's lifetime would make it look
     /// broken, and lost replicas would not be replaced while the others serve.
-    pub fn ran_for(&mut self, run: Secs) {
+    pub fn note_run_time(&mut self, run: Secs) {
         self.start_counted |= run > CONSOLIDATE_AGE_S;
         if self.spec().kind == Kind::Service && run > SERVES_S {
             self.successes = self.successes.max(1);
@@ -355,12 +360,12 @@
 
     /// Machines on which tasks failed, while no task has succeeded anywhere: the fault may be
     /// the job's or the machine's.
-    pub fn unexplained(&self) -> Vec<MachineId> {
-        if self.sound() { Vec::new() } else { self.failed_on.iter().cloned().collect() }
+    pub fn unattributed_failures(&self) -> Vec<MachineId> {
+        if self.has_succeeded() { Vec::new() } else { self.failed_on.iter().cloned().collect() }
     }
 
     /// Whether tasks of the job failed on this machine since the last success.
-    pub fn avoids(&self, machine: &MachineId) -> bool {
+    pub fn has_failed_on(&self, machine: &MachineId) -> bool {
         self.failed_on.contains(machine)
     }
 
@@ -372,7 +377,8 @@
     /// Number of tasks that wait to start, including those in backoff; those with an
     /// unconfirmed start are not counted.
     pub fn waiting(&self) -> u32 {
-        if self.cancelled || self.away || self.closing || self.waits_for_dependencies {
+        if self.cancelled || self.blocked_by_transfer || self.closing || self.waits_for_dependencies
+        {
             return 0;
         }
         let busy = self.finished.len() + self.live.len() as u32 + self.maybe_running.len() as u32;
@@ -395,7 +401,7 @@
     /// started too, so that one write records them all.
     pub fn place(&mut self, n: u32, live: Live, machine: u32) {
         self.machines.insert(machine);
-        self.again.remove(&n);
+        self.retry_at.remove(&n);
         self.live.insert(n, live);
         if self.started.insert(n) && self.spec().kind == Kind::Array {
             let ahead = (n + 1)..self.spec().tasks.min(n + 1 + START_AHEAD);
@@ -406,11 +412,11 @@
     }
 
     /// Removes an attempt that has certainly ended, and schedules a retry unless it is done.
-    pub fn over(&mut self, n: u32, outcome: Outcome, now: Secs) {
+    pub fn end_attempt(&mut self, n: u32, outcome: Outcome, now: Secs) {
         let Some(live) = self.live.remove(&n) else {
             if outcome == Outcome::Done {
                 self.maybe_running.remove(&n);
-                self.again.remove(&n);
+                self.retry_at.remove(&n);
                 self.finished.insert(n);
             }
             return;
@@ -432,16 +438,16 @@
                 self.failed_on.insert(live.machine);
                 let wait = ERROR_BACKOFF_S * f64::from(1u32 << self.errors.min(6));
                 let until = now + wait.min(ERROR_BACKOFF_MAX_S);
-                self.again.insert(n, until);
-                if self.mistaken() {
+                self.retry_at.insert(n, until);
+                if self.suspected_broken() {
                     self.not_before = until;
                 }
             }
             Outcome::Refused => {
-                self.again.insert(n, now + REFUSED_BACKOFF_S);
+                self.retry_at.insert(n, now + REFUSED_BACKOFF_S);
             }
             Outcome::Lost => {
-                self.again.insert(n, now);
+                self.retry_at.insert(n, now);
             }
         }
     }
--- a/crates/core/src/jobs/deadlines.rs
+++ b/crates/core/src/jobs/deadlines.rs
@@ -23,7 +23,7 @@
         if let Some(due) = self.deadline_at() {
             return start.map_or(due, |start| start.min(due));
         }
-        let objective = self.finish_s.map(|s| s * FINISH_SHARE);
+        let objective = self.finish_objective_s.map(|s| s * FINISH_SHARE);
         let waves = self.likely_run() * (1.0 + WAVES_MAX);
         start.unwrap_or_else(|| self.arrived + objective.unwrap_or(waves))
     }
@@ -92,8 +92,8 @@
 
     /// Whether its backlog needs no extra machines yet: it has no deadline, and enough time is
     /// left until an objective's time.
-    pub fn unhurried(&self, now: Secs) -> bool {
+    pub fn has_time_left(&self, now: Secs) -> bool {
         let left = self.due() - self.likely_run() * RENT_SPREAD - now;
-        self.spec().deadline_s.is_none() && self.finish_s.is_some() && left > DRAIN_S
+        self.spec().deadline_s.is_none() && self.finish_objective_s.is_some() && left > DRAIN_S
     }
 }
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -281,8 +281,8 @@
         let age = wall_ms.saturating_sub(record.at_ms) as f64 / 1e3;
         let mut job = Job::new(record, version, now - age, &self.facts.tuning, &mut self.rng);
         job.cancelled = cancelled;
-        job.aimed = self.facts.aimed(&job.spec().class);
-        job.finish_s = self.facts.finish_s(&job.spec().class);
+        job.has_objective = self.facts.aimed(&job.spec().class);
+        job.finish_objective_s = self.facts.finish_s(&job.spec().class);
         job.start_within = self.facts.start_within(&job.spec().class);
         self.cloud_requests.saw_job(now, job.spec());
         self.log.push(|| {
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -53,7 +53,7 @@
         let unneeded = unneeded.map(|(task, attempt)| stop(task, *attempt, 0.0));
         let stopping = m.tasks.iter().filter(|task| wanted(task)).filter_map(|task| {
             let live = live_attempt(&self.jobs, task)?;
-            Some(stop(task, live.attempt, live.stop?))
+            Some(stop(task, live.attempt, live.stop_grace_s?))
         });
         unneeded.chain(stopping).collect()
     }
@@ -93,7 +93,7 @@
             let Some(live) = job.live.get_mut(&task.index) else {
                 continue;
             };
-            if live.stop.is_none() && matches!(live.phase, Phase::Placed | Phase::Ready) {
+            if live.stop_grace_s.is_none() && matches!(live.phase, Phase::Placed | Phase::Ready) {
                 live.phase = Phase::Sent;
                 commands.push(Command::Start { task: task.to_string(), attempt: live.attempt });
                 starts.push((task.clone(), live.attempt));
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -100,7 +100,8 @@
     pub(crate) fn next_stages(&self, now: Secs, until: Secs) -> Vec<NextStage<'_>> {
         let waiting = self.dependencies.waiting().filter_map(|id| {
             let job = self.jobs.get(id)?;
-            let counts = job.spec().kind == Kind::Array && !job.cancelled && !job.spare();
+            let counts =
+                job.spec().kind == Kind::Array && !job.cancelled && !job.is_spare_capacity_work();
             let ready_at = counts.then(|| self.ready_at(id, now)).flatten()?;
             let due = match job.deadline_at() {
                 Some(_) => job.due(),
--- a/crates/core/src/place/array_jobs.rs
+++ b/crates/core/src/place/array_jobs.rs
@@ -165,7 +165,7 @@
     fn is_in_round(&self, pass: &SchedulingPass, round: ArrayRound, job: &Job) -> bool {
         match round {
             ArrayRound::Guaranteed => self.within_guarantee(pass, job),
-            ArrayRound::Regular => !job.spare(),
+            ArrayRound::Regular => !job.is_spare_capacity_work(),
             ArrayRound::SpareCapacity => true,
         }
     }
@@ -225,7 +225,7 @@
         index: u32,
         images: ImagePolicy,
     ) -> Option<bool> {
-        if pass.preemptions_left == 0 || self.jobs.get(id)?.spare() {
+        if pass.preemptions_left == 0 || self.jobs.get(id)?.is_spare_capacity_work() {
             return Some(false);
         }
         let reason = PreemptionReason::SpareCapacity;
--- a/crates/core/src/place/assign.rs
+++ b/crates/core/src/place/assign.rs
@@ -136,11 +136,11 @@
         machine: machine.clone(),
         attempt,
         phase: Phase::Placed,
-        since: now,
+        placed_at: now,
         ran_from: None,
         unconfirmed: false,
-        stop: None,
-        sent: None,
+        stop_grace_s: None,
+        start_sent_at: None,
         adopted: false,
     }
 }
--- a/crates/core/src/place/candidates.rs
+++ b/crates/core/src/place/candidates.rs
@@ -97,7 +97,7 @@
     fn keeps_machine_for_spare_work(&self, machine: &Machine, now: Secs) -> bool {
         let alone = machine.tasks.is_empty() || machine.spare_since.is_some();
         let has_begun = !self.job.started.is_empty();
-        alone && !machine.info.spot && self.job.cheap_only(now) && has_begun
+        alone && !machine.info.spot && self.job.spot_only(now) && has_begun
     }
 
     /// Whether the machine still lists an ended attempt of the task, in which case the worker would
@@ -118,7 +118,7 @@
         let spec = self.job.spec();
         let fetch = machine.fetch_time(&spec.image, spec.image_gb, now);
         self.images.allows(fetch).then(|| MachineScore {
-            failed_before: self.job.avoids(id),
+            failed_before: self.job.has_failed_on(id),
             capacity_cost: CapacityCost::of(machine),
             fetch: (fetch * 10.0) as u64,
             free_cpus: (free[0] * 100.0) as i64,
--- a/crates/core/src/place/queues.rs
+++ b/crates/core/src/place/queues.rs
@@ -29,7 +29,7 @@
         for (id, job) in jobs.iter().filter(|(_, job)| job.spec().kind == Kind::Array) {
             let cpus = job.live.len() as f64 * queued_cpus(job);
             snapshot.used[queue_of_job(job)] += cpus;
-            snapshot.spare_running |= job.spare() && !job.live.is_empty();
+            snapshot.spare_running |= job.is_spare_capacity_work() && !job.live.is_empty();
             if job.waiting() > 0 {
                 snapshot.arrays.push(id.clone());
             }
--- a/crates/core/src/preempt/mod.rs
+++ b/crates/core/src/preempt/mod.rs
@@ -139,9 +139,9 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(live) = job.live.get_mut(&task.index) else { return };
         if live.never_sent(now) {
-            return self.over(&task.job, task.index, Outcome::Lost, now);
+            return self.end_attempt(&task.job, task.index, Outcome::Lost, now);
         }
-        live.stop = Some(0.0);
+        live.stop_grace_s = Some(0.0);
         // A task that is told to stop at once releases its capacity before the worker executes the
         // command that follows the stop, so the capacity already counts as free.
         let Some(machine) = self.machines.get_mut(&live.machine) else { return };
--- a/crates/core/src/preempt/quota.rs
+++ b/crates/core/src/preempt/quota.rs
@@ -68,13 +68,13 @@
             let spec = job.spec();
             let is_preemptible = spec.kind == Kind::Array && job.priority() < priority;
             for (index, live) in &job.live {
-                if live.stop.is_some() {
+                if live.stop_grace_s.is_some() {
                     excess[0] -= spec.cpus;
                     excess[1] -= spec.gpus;
                 } else if is_preemptible && is_stoppable(live, now) {
                     victims.push(TeamVictim {
                         task: TaskId { job: id.clone(), index: *index },
-                        lost: job.loses(live, now),
+                        lost: job.lost_work_s(live, now),
                         frees: [spec.cpus, spec.gpus],
                     });
                 }
--- a/crates/core/src/preempt/victims.rs
+++ b/crates/core/src/preempt/victims.rs
@@ -34,7 +34,7 @@
 /// Whether an attempt can be stopped in favour of another task and is certain to be gone soon.
 pub(super) fn is_stoppable(live: &Live, now: Secs) -> bool {
     let confirmed = live.never_sent(now) || matches!(live.phase, Phase::Seen | Phase::Running);
-    live.stop.is_none() && !live.unconfirmed && confirmed
+    live.stop_grace_s.is_none() && !live.unconfirmed && confirmed
 }
 
 impl Leader {
@@ -76,10 +76,10 @@
         let preemptible = self.is_preemptible_by(pass, job, live, preemptor)
             && spec.kind == Kind::Array
             && is_stoppable(live, pass.now)
-            && !job.keeps(pass.now);
+            && !job.exempt_from_eviction(pass.now);
         preemptible.then(|| Victim {
             task: task.clone(),
-            lost: job.loses(live, pass.now),
+            lost: job.lost_work_s(live, pass.now),
             frees: [spec.cpus, spec.gpus, spec.memory_gb],
         })
     }
@@ -99,7 +99,8 @@
             // Not permitted if more work would be lost than the preemptor's run is expected to
             // take.
             PreemptionReason::SpareCapacity => {
-                job.spare() && job.loses(live, pass.now) < preemptor.job.likely_run()
+                job.is_spare_capacity_work()
+                    && job.lost_work_s(live, pass.now) < preemptor.job.likely_run()
             }
             PreemptionReason::Guarantee => {
                 spec.team != preemptor_spec.team
--- a/crates/core/src/provision/backlog.rs
+++ b/crates/core/src/provision/backlog.rs
@@ -52,9 +52,9 @@
         let waits = |job: &&Job| {
             job.spec().kind == Kind::Array
                 && job.waiting() > 0
-                && !job.mistaken()
-                && !job.spare()
-                && !job.unhurried(now)
+                && !job.suspected_broken()
+                && !job.is_spare_capacity_work()
+                && !job.has_time_left(now)
         };
         self.jobs.values().filter(waits).max_by_key(|job| job.waiting())
     }
--- a/crates/core/src/provision/late_tasks.rs
+++ b/crates/core/src/provision/late_tasks.rs
@@ -51,7 +51,7 @@
         mut reserve: impl FnMut(&JobSpec) -> bool,
     ) -> u32 {
         let spec = waiting.job.spec();
-        let cpus_wanted = if waiting.job.unhurried(self.now) { 0.0 } else { spec.cpus };
+        let cpus_wanted = if waiting.job.has_time_left(self.now) { 0.0 } else { spec.cpus };
         let mut late = 0;
         for _ in 0..waiting.count {
             if self.left == 0 || !reserve(spec) {
@@ -100,7 +100,7 @@
 
 /// Whether the job's waiting tasks take part in the projection.
 fn is_projected(job: &Job) -> bool {
-    job.waiting() > 0 && !job.mistaken() && !job.spare()
+    job.waiting() > 0 && !job.suspected_broken() && !job.is_spare_capacity_work()
 }
 
 /// Time at which an attempt is expected to end.
@@ -108,15 +108,15 @@
     let run = job.likely_run();
     match live.ran_from {
         // Spare-capacity work is preempted at once.
-        _ if job.spare() => now,
+        _ if job.is_spare_capacity_work() => now,
         // An attempt that was running at the takeover is assumed to be half done, as its start
         // isn't known. When such attempts counted as just begun, a new leader rented hundreds of
         // machines that came up after the work was over.
-        _ if live.adopted => (live.since + run * 0.5).max(now + run * OVERDUE_SHARE),
+        _ if live.adopted => (live.placed_at + run * 0.5).max(now + run * OVERDUE_SHARE),
         // A task that has run for longer than the mean isn't about to end, as half of all tasks run
         // longer. When its CPUs counted as free at once, they hid a backlog.
         Some(from) => (from + run).max(now + run * OVERDUE_SHARE),
-        None => live.since.max(now - start_lag) + start_lag + run,
+        None => live.placed_at.max(now - start_lag) + start_lag + run,
     }
 }
 
--- a/crates/core/src/provision/mod.rs
+++ b/crates/core/src/provision/mod.rs
@@ -125,8 +125,10 @@
     }
 
     fn gang_shortages(&self, capacity: &mut [Capacity], quota: &mut QuotaBudget) -> Vec<Shortage> {
-        let gangs =
-            self.jobs.values().filter(|job| job.spec().kind == Kind::Gang && !job.mistaken());
+        let gangs = self
+            .jobs
+            .values()
+            .filter(|job| job.spec().kind == Kind::Gang && !job.suspected_broken());
         gangs.map(|job| self.shortage(job, capacity, quota)).collect()
     }
 
--- a/crates/core/src/provision/spare_work.rs
+++ b/crates/core/src/provision/spare_work.rs
@@ -69,7 +69,9 @@
 
     /// Spare-capacity jobs with waiting tasks, by arrival.
     fn spare_jobs(&self) -> Vec<SpareJob> {
-        let waits = |job: &&Job| job.spare() && job.waiting() > 0 && !job.mistaken();
+        let waits = |job: &&Job| {
+            job.is_spare_capacity_work() && job.waiting() > 0 && !job.suspected_broken()
+        };
         let mut jobs: Vec<SpareJob> = self.jobs.values().filter(waits).map(SpareJob::of).collect();
         jobs.sort_by(|a, b| a.arrived.total_cmp(&b.arrived).then(a.spec.id.cmp(&b.spec.id)));
         jobs
--- a/crates/core/src/provision/spot_replacement.rs
+++ b/crates/core/src/provision/spot_replacement.rs
@@ -56,7 +56,7 @@
         for machine in self.machines.values().filter(|m| !m.info.spot && m.services == 0) {
             for task in &machine.tasks {
                 let Some(job) = self.jobs.get(&task.job) else { continue };
-                if job.spec().spot && !job.spare() {
+                if job.spec().spot && !job.is_spare_capacity_work() {
                     cpus += job.spec().cpus;
                     *tasks.entry(&task.job).or_default() += 1;
                 }
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -191,7 +191,7 @@
                 continue;
             }
             for n in std::mem::take(&mut job.maybe_running) {
-                job.again.insert(n, now);
+                job.retry_at.insert(n, now);
                 freed += 1;
             }
             if job.cancelled {
--- a/crates/core/src/revocation.rs
+++ b/crates/core/src/revocation.rs
@@ -182,7 +182,7 @@
                 return Some((Urgency::Cancellation, start.fencing_token));
             }
             let live = live_attempt(&self.jobs, task);
-            let wanted = live.is_some_and(|l| l.attempt == *attempt && l.stop.is_none());
+            let wanted = live.is_some_and(|l| l.attempt == *attempt && l.stop_grace_s.is_none());
             (!wanted).then_some((Urgency::Room, start.fencing_token))
         });
         unwanted.reduce(|a, b| (a.0.max(b.0), a.1.max(b.1)))
--- a/crates/core/src/tests/jobs.rs
+++ b/crates/core/src/tests/jobs.rs
@@ -37,11 +37,11 @@
         machine: MachineId::new(machine),
         attempt: Attempt(1),
         phase: Phase::Running,
-        since: now,
+        placed_at: now,
         ran_from: Some(now),
         unconfirmed: false,
-        stop: None,
-        sent: None,
+        stop_grace_s: None,
+        start_sent_at: None,
         adopted: false,
     };
     job.place(n, live, 1);
@@ -68,12 +68,12 @@
     let mut j = job(1_000);
     for n in j.pilots.clone() {
         place(&mut j, n, "m", 0.0);
-        j.over(n, Outcome::Error, 0.5);
+        j.end_attempt(n, Outcome::Error, 0.5);
     }
     assert_eq!((j.runs.0, j.queue), (0, None));
     for n in j.pilots.clone() {
         place(&mut j, n, "m", 10.0);
-        j.over(n, Outcome::Done, 40.0);
+        j.end_attempt(n, Outcome::Done, 40.0);
     }
     assert_eq!((j.mean_run(), j.queue), (Some(30.0), Some(2)));
 }
@@ -88,10 +88,10 @@
     for (n, m) in [(0, "a"), (1, "b"), (2, "c")] {
         place(&mut j, n, m, 0.0);
     }
-    j.ran_for(SERVES_S + 1.0);
-    j.over(0, Outcome::Error, 40.0);
-    j.over(1, Outcome::Error, 80.0);
-    assert!(!j.mistaken() && j.next_task(200.0).is_some());
+    j.note_run_time(SERVES_S + 1.0);
+    j.end_attempt(0, Outcome::Error, 40.0);
+    j.end_attempt(1, Outcome::Error, 80.0);
+    assert!(!j.suspected_broken() && j.next_task(200.0).is_some());
 }
 
 /// Failures on a machine are attributed to the machine once the job succeeds elsewhere.
@@ -99,11 +99,11 @@
 fn a_success_elsewhere_attributes_failures_to_the_machine() {
     let mut j = job(10);
     place(&mut j, 0, "faulty", 0.0);
-    j.over(0, Outcome::Error, 1.0);
-    assert_eq!(j.unexplained(), vec![MachineId::new("faulty")]);
+    j.end_attempt(0, Outcome::Error, 1.0);
+    assert_eq!(j.unattributed_failures(), vec![MachineId::new("faulty")]);
     place(&mut j, 0, "sound", 2.0);
-    j.over(0, Outcome::Done, 10.0);
-    assert!(j.sound() && j.unexplained().is_empty());
+    j.end_attempt(0, Outcome::Done, 10.0);
+    assert!(j.has_succeeded() && j.unattributed_failures().is_empty());
 }
 
 /// In a full fleet the youngest attempt is evicted first. The first task of spare-capacity
@@ -114,15 +114,15 @@
     let mut j = job(40);
     Arc::make_mut(&mut j.record).spec.priority = Priority::Low;
     place(&mut j, 0, "a", 0.0);
-    assert!(j.keeps(5.0));
+    assert!(j.exempt_from_eviction(5.0));
     place(&mut j, 1, "b", 6.0);
-    assert!(!j.keeps(7.0), "one of the two may go");
-    j.over(1, Outcome::Lost, 8.0);
-    assert!(j.keeps(9.0));
-    j.ran_for(CONSOLIDATE_AGE_S + 1.0);
-    assert!(!j.keeps(40.0));
-    j.aimed = true;
-    assert!(!j.spare());
+    assert!(!j.exempt_from_eviction(7.0), "one of the two may go");
+    j.end_attempt(1, Outcome::Lost, 8.0);
+    assert!(j.exempt_from_eviction(9.0));
+    j.note_run_time(CONSOLIDATE_AGE_S + 1.0);
+    assert!(!j.exempt_from_eviction(40.0));
+    j.has_objective = true;
+    assert!(!j.is_spare_capacity_work());
 }
 
 /// One slow pilot moves a job to a lower queue only until run times of other tasks correct it.
@@ -131,11 +131,11 @@
     let mut j = job(30);
     let pilot = j.pilots[0];
     place(&mut j, pilot, "slow", 0.0);
-    j.over(pilot, Outcome::Done, 400.0);
+    j.end_attempt(pilot, Outcome::Done, 400.0);
     assert_eq!(j.queue, Some(2));
     for n in (0..30).filter(|n| *n != pilot).take(20) {
         place(&mut j, n, "m", 0.0);
-        j.over(n, Outcome::Done, 10.0);
+        j.end_attempt(n, Outcome::Done, 10.0);
     }
     assert_eq!(j.queue, Some(0));
 }
@@ -149,13 +149,13 @@
         if let Some(l) = j.live.get_mut(&n) {
             l.adopted = true;
         }
-        j.over(n, Outcome::Done, 1.0);
+        j.end_attempt(n, Outcome::Done, 1.0);
     }
     assert_eq!((j.mean_run(), j.queue), (None, None));
     // Whole runs of other tasks then determine its size.
     let n = j.next_task(1.0).expect("waits");
     place(&mut j, n, "m", 1.0);
-    j.over(n, Outcome::Done, 41.0);
+    j.end_attempt(n, Outcome::Done, 41.0);
     assert_eq!((j.mean_run(), j.queue), (Some(40.0), Some(2)));
 }
 
@@ -165,15 +165,15 @@
     let mut j = job(10);
     for (n, m) in [(0, "a"), (1, "b")] {
         place(&mut j, n, m, 0.0);
-        j.over(n, Outcome::Error, 1.0);
+        j.end_attempt(n, Outcome::Error, 1.0);
     }
-    assert!(j.mistaken());
+    assert!(j.suspected_broken());
     assert_eq!(j.next_task(1.1), None);
     let n = j.next_task(60.0).expect("goes on trying");
     place(&mut j, n, "c", 60.0);
     assert_eq!(j.next_task(60.0), None);
-    j.over(n, Outcome::Done, 61.0);
-    assert!(!j.mistaken() && j.next_task(61.0).is_some());
+    j.end_attempt(n, Outcome::Done, 61.0);
+    assert!(!j.suspected_broken() && j.next_task(61.0).is_some());
 }
 
 fn deadline_ahead(due: Secs) -> Urgency {
--- a/crates/core/src/tests/provision.rs
+++ b/crates/core/src/tests/provision.rs
@@ -85,11 +85,11 @@
                 machine: MachineId::new("m"),
                 attempt: Attempt(1),
                 phase: Phase::Running,
-                since: began,
+                placed_at: began,
                 ran_from: Some(began),
                 unconfirmed: false,
-                stop: None,
-                sent: None,
+                stop_grace_s: None,
+                start_sent_at: None,
                 adopted,
             };
             job.place(n, live, 1);
--- a/crates/core/src/writer/answers.rs
+++ b/crates/core/src/writer/answers.rs
@@ -152,7 +152,7 @@
             j.live.iter().map(|(n, l)| (*n, l.machine.clone(), l.attempt)).collect()
         });
         for (n, machine, attempt) in leftover {
-            self.over(id, n, Outcome::Lost, now);
+            self.end_attempt(id, n, Outcome::Lost, now);
             if let Some(m) = self.machines.get_mut(&machine) {
                 m.strangers.insert((TaskId { job: id.clone(), index: n }, attempt));
                 m.push = true;
