--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -26,7 +26,7 @@
             } else {
                 live.stop_grace_s = Some(0.0);
                 if let Some(m) = self.machines.get_mut(&live.machine) {
-                    m.push = true;
+                    m.direct_send_due = true;
                 }
             }
         }
@@ -53,8 +53,8 @@
                 if spec.kind == Kind::Service {
                     m.remove_service(spec.cpus);
                 }
-                if !m.freed.remove(&task) {
-                    m.unbook(&spec);
+                if !m.freed_tasks.remove(&task) {
+                    m.unreserve(&spec);
                 }
                 let image = &spec.image;
                 let needs_image = |t: &TaskId| {
@@ -101,7 +101,7 @@
             if spec.kind == Kind::Service {
                 m.add_service(spec.cpus);
             }
-            m.book(spec);
+            m.reserve(spec);
         }
     }
 
@@ -110,8 +110,8 @@
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
-        m.exited.clear();
-        m.strangers.clear();
+        m.ended_attempts.clear();
+        m.unknown_attempts.clear();
         m.unconfirmed_starts.clear();
         if !m.tasks.is_empty() {
             m.tasks_lost_at = Some(now);
--- a/crates/core/src/cells/room.rs
+++ b/crates/core/src/cells/room.rs
@@ -40,7 +40,7 @@
         let cloud = &self.cloud_requests;
         let boots = cloud.booting.values().any(|b| may_use(spec, &b.kind, &b.zone, b.spot));
         let mut requested = cloud.unanswered_rents().map(|unanswered| &unanswered.rent);
-        let mut recently_up = self.machines.values().filter(|machine| machine.is_just_up(now));
+        let mut recently_up = self.machines.values().filter(|machine| machine.has_just_booted(now));
         boots
             || requested.any(|r| may_use(spec, &r.kind, &r.zone, r.spot))
             || recently_up.any(|m| may_use(spec, &m.info.kind, &m.info.zone, m.info.spot))
--- a/crates/core/src/cloud_requests/answers.rs
+++ b/crates/core/src/cloud_requests/answers.rs
@@ -42,7 +42,7 @@
         cloud.types = types;
         cloud.types_requested = false;
         cloud.next_types = now + TYPES_EVERY_S;
-        self.learn_types();
+        self.apply_machine_types();
         self.place_due = true;
     }
 
--- a/crates/core/src/cloud_requests/mod.rs
+++ b/crates/core/src/cloud_requests/mod.rs
@@ -272,7 +272,7 @@
             && let Some(types) = &replica.types
         {
             cloud.types.clone_from(types);
-            self.learn_types();
+            self.apply_machine_types();
             self.place_due = true;
         }
     }
--- a/crates/core/src/deprovision/consolidation.rs
+++ b/crates/core/src/deprovision/consolidation.rs
@@ -79,7 +79,9 @@
         self.machines
             .iter()
             .filter(|(_, m)| {
-                self.is_replica_host(m, now) && m.direct.is_none() && m.tasks.iter().all(movable)
+                self.is_replica_host(m, now)
+                    && m.direct_in_flight.is_none()
+                    && m.tasks.iter().all(movable)
             })
             .map(|(id, m)| (share(m), id))
             .filter(|(share, _)| *share <= CONSOLIDATE_SHARE)
--- a/crates/core/src/deprovision/failure_detector.rs
+++ b/crates/core/src/deprovision/failure_detector.rs
@@ -73,7 +73,7 @@
     fn was_never_reached(&self, machine: &Machine) -> bool {
         machine.info.spot
             && !machine.confirmed
-            && machine.unreached >= PROBES
+            && machine.failed_direct_sends >= PROBES
             && self.majority_heard
             && self.undelayed
     }
@@ -91,7 +91,7 @@
     /// tenth of all replicas down for a whole lease.
     fn is_unresponsive(&self, machine: &Machine) -> bool {
         self.enough_heard_now
-            && machine.unreached >= QUIET_PROBES
+            && machine.failed_direct_sends >= QUIET_PROBES
             && self.unreachable_for(machine) > self.heartbeat_missed_after
             && !self.is_zone_partitioned(&machine.info.zone)
     }
@@ -105,7 +105,7 @@
     /// released before any of them had been probed.
     fn unreachable_for(&self, machine: &Machine) -> Secs {
         let probed_since = self.leader_since.max(machine.first_heard);
-        self.now - machine.heard.filter(|_| machine.confirmed).unwrap_or(probed_since)
+        self.now - machine.last_heard_at.filter(|_| machine.confirmed).unwrap_or(probed_since)
     }
 
     /// Whether the zone is partitioned, rather than its machines dead.
@@ -118,8 +118,9 @@
 
     /// Whether the machine's lease ended too long ago to keep waiting for it.
     pub(super) fn is_lost(&self, machine: &Machine) -> bool {
-        let lapsed = machine.lapsed.is_some() && self.now - machine.answered > self.lost_after;
-        lapsed || self.is_one_way_partitioned(machine) && machine.heard.is_some()
+        let lapsed = machine.expired_epoch.is_some()
+            && self.now - machine.last_answered_at > self.lost_after;
+        lapsed || self.is_one_way_partitioned(machine) && machine.last_heard_at.is_some()
     }
 
     /// Whether heartbeats arrive from the machine while nothing reaches it; its lease ends
@@ -130,15 +131,15 @@
     /// probe them all, idle machines that had never been probed, and others with their work, were
     /// released as unreachable, a dozen per second.
     fn is_one_way_partitioned(&self, machine: &Machine) -> bool {
-        let since = machine.reached.unwrap_or(machine.first_heard).max(self.leader_since);
-        self.now - since > self.lost_after && machine.asked_in_vain()
+        let since = machine.last_reached_at.unwrap_or(machine.first_heard).max(self.leader_since);
+        self.now - since > self.lost_after && machine.has_failed_direct_send()
     }
 }
 
 /// Whether more than half of all machines were heard within `SILENT_HEARTBEATS` intervals.
 fn majority_heard(machines: &Machines, now: Secs, heartbeat_interval_s: f64) -> bool {
     let heard = |m: &&Machine| {
-        m.heard.is_some_and(|at| now - at < heartbeat_interval_s * SILENT_HEARTBEATS)
+        m.last_heard_at.is_some_and(|at| now - at < heartbeat_interval_s * SILENT_HEARTBEATS)
     };
     machines.values().filter(heard).count() * 2 > machines.len()
 }
@@ -149,9 +150,9 @@
     let window = heartbeat_interval_s * HEARING_HEARTBEATS;
     let mut all = 0u32;
     let mut heard = 0u32;
-    for machine in machines.values().filter(|m| m.lapsed.is_none()) {
+    for machine in machines.values().filter(|m| m.expired_epoch.is_none()) {
         all += 1;
-        heard += u32::from(machine.heard.is_some_and(|at| now - at < window));
+        heard += u32::from(machine.last_heard_at.is_some_and(|at| now - at < window));
     }
     f64::from(heard) > f64::from(all) * HEARING_SHARE
 }
@@ -163,8 +164,8 @@
     heartbeat_missed_after: Secs,
 ) -> BTreeMap<String, ZoneCount> {
     let mut zones: BTreeMap<String, ZoneCount> = BTreeMap::new();
-    for machine in machines.values().filter(|m| m.lapsed.is_none()) {
-        let unreachable = machine.heard.is_none_or(|at| now - at > heartbeat_missed_after);
+    for machine in machines.values().filter(|m| m.expired_epoch.is_none()) {
+        let unreachable = machine.last_heard_at.is_none_or(|at| now - at > heartbeat_missed_after);
         let count = match zones.get_mut(&machine.info.zone) {
             Some(count) => count,
             None => zones.entry(machine.info.zone.clone()).or_default(),
--- a/crates/core/src/deprovision/health.rs
+++ b/crates/core/src/deprovision/health.rs
@@ -10,13 +10,13 @@
 
 /// Whether tasks fail or run slowly on the machine more often than chance would explain.
 pub(super) fn is_faulty(machine: &Machine) -> bool {
-    machine.errors >= MACHINE_ERRORS || machine.slow >= SLOW_SAMPLES
+    machine.error_streak >= MACHINE_ERRORS || machine.slow_streak >= SLOW_SAMPLES
 }
 
 /// Cordons a machine, so that it gets no new tasks.
 pub(super) fn cordon(id: &MachineId, machine: &mut Machine, log: &mut Log) {
     if !machine.cordoned {
-        let (errors, slow) = (machine.errors, machine.slow);
+        let (errors, slow) = (machine.error_streak, machine.slow_streak);
         log.push(|| format!("event=cordon machine={id} errors={errors} slow={slow}"));
     }
     machine.cordoned = true;
@@ -28,7 +28,7 @@
     let stuck =
         |live: &Live| live.unconfirmed && live.stop_grace_s.is_some() && live.phase == Phase::Sent;
     machine.cordoned
-        && machine.direct.is_none()
+        && machine.direct_in_flight.is_none()
         && !machine.releasing
         && machine.tasks.iter().all(|task| {
             let live = live_attempt(jobs, task);
--- a/crates/core/src/deprovision/idle.rs
+++ b/crates/core/src/deprovision/idle.rs
@@ -24,7 +24,7 @@
     /// Counts the machines whose lease hasn't lapsed and that aren't being released.
     pub(super) fn of(machines: &Machines) -> Self {
         let mut holders: HashMap<String, HolderCount> = HashMap::new();
-        for machine in machines.values().filter(|m| !m.releasing && m.lapsed.is_none()) {
+        for machine in machines.values().filter(|m| !m.releasing && m.expired_epoch.is_none()) {
             for (image, _) in &machine.images {
                 let count = match holders.get_mut(image) {
                     Some(count) => count,
@@ -50,8 +50,8 @@
 /// command in flight, and was first heard long enough ago.
 pub(super) fn is_idle(machine: &Machine, now: Secs) -> bool {
     machine.tasks.is_empty()
-        && machine.exited.keys().all(|attempt| machine.unconfirmed_starts.contains(attempt))
-        && machine.direct.is_none()
+        && machine.ended_attempts.keys().all(|attempt| machine.unconfirmed_starts.contains(attempt))
+        && machine.direct_in_flight.is_none()
         && !machine.releasing
         && machine.confirmed
         && now - machine.first_heard > LEAST_BILL_S / 2.0
--- a/crates/core/src/deprovision/mod.rs
+++ b/crates/core/src/deprovision/mod.rs
@@ -47,7 +47,9 @@
         let holders = ImageHolders::of(&self.machines);
         let mut candidates = Candidates::default();
         for (id, machine) in &mut self.machines {
-            if detector.is_presumed_dead(machine) && machine.lapsed.is_none() && !machine.releasing
+            if detector.is_presumed_dead(machine)
+                && machine.expired_epoch.is_none()
+                && !machine.releasing
             {
                 self.log.push(|| format!("event=silent machine={id} spot={}", machine.info.spot));
                 machine.releasing = true;
@@ -91,7 +93,7 @@
     fn evict_all(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.cordoned = true;
-        machine.push = true;
+        machine.direct_send_due = true;
         for task in machine.tasks.clone() {
             self.evict(&task);
         }
--- a/crates/core/src/deprovision/spot_notices.rs
+++ b/crates/core/src/deprovision/spot_notices.rs
@@ -18,7 +18,7 @@
             let Some(live) = live else { continue };
             live.stop_grace_s = Some(grace);
             if let Some(machine) = self.machines.get_mut(&live.machine) {
-                machine.push = true;
+                machine.direct_send_due = true;
             }
         }
     }
@@ -44,7 +44,7 @@
     /// isn't reachable.
     pub(crate) fn unplace(&mut self, now: Secs) {
         let mut unsent = Vec::new();
-        let hears = |m: &Machine| m.hears(now, self.facts.heartbeat_interval_s);
+        let hears = |m: &Machine| m.is_reachable(now, self.facts.heartbeat_interval_s);
         for m in self.machines.values().filter(|m| m.notice.is_some() || m.cordoned || !hears(m)) {
             for task in &m.tasks {
                 let live = live_attempt(&self.jobs, task);
--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -33,8 +33,8 @@
         let Some(m) = self.machines.get_mut(&sent.machine) else {
             return;
         };
-        if m.direct == Some(op) {
-            m.direct = None;
+        if m.direct_in_flight == Some(op) {
+            m.direct_in_flight = None;
         }
         match result {
             DirectResult::Heartbeat(_, heartbeat) => self.direct_answered(now, &sent, &heartbeat),
@@ -51,8 +51,8 @@
         let Some(m) = self.machines.get_mut(&sent.machine) else {
             return;
         };
-        m.reached = Some(now);
-        m.unreached = 0;
+        m.last_reached_at = Some(now);
+        m.failed_direct_sends = 0;
         m.probe_due = false;
         if (heartbeat.agent_epoch, heartbeat.seq) <= sent.known {
             return self.worker_was_reset(now, &sent.machine);
@@ -72,11 +72,11 @@
             return;
         };
         self.log.push(|| format!("event=reborn machine={id} term={}", self.term.0));
-        m.reborn = true;
+        m.worker_restarted = true;
         m.cordoned = true;
         m.releasing = true;
         m.probe_due = false;
-        m.answered = now;
+        m.last_answered_at = now;
         self.cloud_requests.to_release.insert(id.clone());
     }
 
@@ -85,10 +85,10 @@
         let Some(m) = self.machines.get_mut(&sent.machine) else {
             return;
         };
-        m.unreached += 1;
+        m.failed_direct_sends += 1;
         m.direct_failed = Some(now);
-        let backoff = if m.unreached < PROBES { PROBE_AGAIN_S } else { DIRECT_BACKOFF_S };
-        m.direct_after = now + backoff;
+        let backoff = if m.failed_direct_sends < PROBES { PROBE_AGAIN_S } else { DIRECT_BACKOFF_S };
+        m.next_direct_at = now + backoff;
         if m.agent_epoch != sent.agent_epoch {
             return;
         }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -31,11 +31,11 @@
     /// Highest fencing token that the worker is known to hold.
     pub fencing_token: u64,
     /// Time at which `fencing_token` last rose.
-    pub token_risen_at: Secs,
+    pub token_raised_at: Secs,
     /// Time at which the last newer heartbeat arrived; `None` if none arrived in this term.
-    pub heard: Option<Secs>,
+    pub last_heard_at: Option<Secs>,
     /// Latest time at which any controller may have answered it. Its lease counts from here.
-    pub answered: Secs,
+    pub last_answered_at: Secs,
     /// Sequence number of the newest heartbeat that it sent itself (replies to direct commands
     /// excluded). An older heartbeat is a late copy that its sender no longer waits for.
     pub heartbeat_seq: u64,
@@ -46,18 +46,18 @@
     pub last_heartbeat: Option<Secs>,
     /// Time at which the worker last proved that the controller's messages reach it. Heartbeats
     /// alone are no proof: they may arrive while nothing reaches the worker.
-    pub reached: Option<Secs>,
+    pub last_reached_at: Option<Secs>,
     /// Whether to send it a command even if there is nothing to do, to learn whether it is
     /// reachable and what it runs.
     pub probe_due: bool,
     /// Number of consecutive commands that couldn't be delivered.
-    pub unreached: u32,
+    pub failed_direct_sends: u32,
     /// Time at which a direct command last went unanswered.
     pub direct_failed: Option<Secs>,
     /// Whether everything that it may run is known because it reported in this term.
     pub confirmed: bool,
     /// The agent epoch in which its tasks outlived their lease, if any.
-    pub lapsed: Option<u64>,
+    pub expired_epoch: Option<u64>,
     /// Whether it gets no new tasks.
     pub cordoned: bool,
     /// Time at which a spot machine will be interrupted, once a notice arrived.
@@ -65,24 +65,24 @@
     /// Whether its release has been requested.
     pub releasing: bool,
     /// Whether its worker restarted under the same name; messages of the old one are ignored.
-    pub reborn: bool,
+    pub worker_restarted: bool,
     /// Whether there is something new to send to it.
-    pub push: bool,
+    pub direct_send_due: bool,
     /// Ended attempts that it still lists, and why they ended.
-    pub exited: BTreeMap<(TaskId, Attempt), Why>,
+    pub ended_attempts: BTreeMap<(TaskId, Attempt), Why>,
     /// The operation of the direct commands in flight.
-    pub direct: Option<OpId>,
+    pub direct_in_flight: Option<OpId>,
     /// Time before which no direct commands are sent.
-    pub direct_after: Secs,
+    pub next_direct_at: Secs,
     /// Starts that may still be carried out. The entries of their attempts must not be cleared, as
     /// a late start would run them again.
     pub unconfirmed_starts: UnconfirmedStarts,
     /// Fencing token for it if that is higher than the term; otherwise 0.
     pub raised_fencing_token: u64,
     /// Whether its heartbeats are left unanswered so that its lease runs out.
-    pub withheld: bool,
+    pub replies_withheld: bool,
     /// Reported attempts that the leader doesn't know.
-    pub strangers: BTreeSet<(TaskId, Attempt)>,
+    pub unknown_attempts: BTreeSet<(TaskId, Attempt)>,
     /// CPUs, GPUs and memory (GB) in use by tasks that run or may run.
     pub used: [f64; 3],
     /// Number of service replicas among its tasks.
@@ -92,7 +92,7 @@
     /// Tasks that run or may run.
     pub tasks: BTreeSet<TaskId>,
     /// Tasks that were told to stop and whose capacity already counts as free.
-    pub freed: BTreeSet<TaskId>,
+    pub freed_tasks: BTreeSet<TaskId>,
     /// Time since which no task is on it.
     pub idle_since: Secs,
     /// Time since which it has run only spare-capacity work; `None` otherwise.
@@ -100,9 +100,9 @@
     /// Time at which it was first heard of.
     pub first_heard: Secs,
     /// Number of task failures since the last success.
-    pub errors: u32,
+    pub error_streak: u32,
     /// Number of consecutive tasks that took much longer than their job's mean.
-    pub slow: u32,
+    pub slow_streak: u32,
     /// Cached images and their sizes in GB, the most recently used last.
     pub images: Vec<(String, f64)>,
     /// Images being fetched, and the times at which they are expected to be there.
@@ -123,40 +123,40 @@
             agent_epoch: 0,
             seq: 0,
             fencing_token: 0,
-            token_risen_at: now,
-            heard: None,
-            answered: now,
+            token_raised_at: now,
+            last_heard_at: None,
+            last_answered_at: now,
             heartbeat_seq: 0,
             tasks_lost_at: None,
             last_heartbeat: None,
-            reached: None,
+            last_reached_at: None,
             probe_due: false,
-            unreached: 0,
+            failed_direct_sends: 0,
             direct_failed: None,
             confirmed: false,
-            lapsed: None,
+            expired_epoch: None,
             cordoned: false,
             notice: None,
             releasing: false,
-            reborn: false,
-            push: false,
-            exited: BTreeMap::new(),
-            direct: None,
-            direct_after: 0.0,
+            worker_restarted: false,
+            direct_send_due: false,
+            ended_attempts: BTreeMap::new(),
+            direct_in_flight: None,
+            next_direct_at: 0.0,
             unconfirmed_starts: UnconfirmedStarts::default(),
             raised_fencing_token: 0,
-            withheld: false,
-            strangers: BTreeSet::new(),
+            replies_withheld: false,
+            unknown_attempts: BTreeSet::new(),
             used: [0.0; 3],
             services: 0,
             service_cpus: 0.0,
             tasks: BTreeSet::new(),
-            freed: BTreeSet::new(),
+            freed_tasks: BTreeSet::new(),
             idle_since: now,
             spare_since: None,
             first_heard: now,
-            errors: 0,
-            slow: 0,
+            error_streak: 0,
+            slow_streak: 0,
             images,
             fetching: BTreeMap::new(),
         }
@@ -177,47 +177,47 @@
 
     /// Whether new tasks may be placed on it.
     pub fn usable(&self, now: Secs, heartbeat_interval_s: f64) -> bool {
-        self.heard.is_some_and(|h| now - h < heartbeat_interval_s * SILENT_HEARTBEATS)
-            && self.hears(now, heartbeat_interval_s)
+        self.last_heard_at.is_some_and(|h| now - h < heartbeat_interval_s * SILENT_HEARTBEATS)
+            && self.is_reachable(now, heartbeat_interval_s)
             && self.confirmed
-            && self.lapsed.is_none()
+            && self.expired_epoch.is_none()
             && !self.cordoned
             && !self.releasing
-            && !self.withheld
+            && !self.replies_withheld
             && self.notice.is_none()
     }
 
     /// Whether it has only just come up, and hasn't yet proved that commands reach it.
-    pub fn is_just_up(&self, now: Secs) -> bool {
-        self.heard.is_some()
+    pub fn has_just_booted(&self, now: Secs) -> bool {
+        self.last_heard_at.is_some()
             && !self.confirmed
             && now - self.first_heard < WORKER_GIVES_UP_S
-            && self.lapsed.is_none()
+            && self.expired_epoch.is_none()
             && !self.cordoned
             && !self.releasing
             && self.notice.is_none()
     }
 
     /// Whether commands are known to have reached it recently.
-    pub fn hears(&self, now: Secs, heartbeat_interval_s: f64) -> bool {
-        self.reached.is_some_and(|at| {
+    pub fn is_reachable(&self, now: Secs, heartbeat_interval_s: f64) -> bool {
+        self.last_reached_at.is_some_and(|at| {
             now - at < heartbeat_interval_s * REACH_HEARTBEATS + WORKER_GIVES_UP_S
         })
     }
 
     /// Whether a command to it has failed since one last reached it. A machine that wasn't probed
     /// for lack of a free slot doesn't count as unreachable.
-    pub fn asked_in_vain(&self) -> bool {
-        self.direct_failed.is_some_and(|failed| self.reached.is_none_or(|at| failed > at))
+    pub fn has_failed_direct_send(&self) -> bool {
+        self.direct_failed.is_some_and(|failed| self.last_reached_at.is_none_or(|at| failed > at))
     }
 
     /// Earliest time since which a direct command to it may have been waiting to be sent.
-    pub fn waiting_since(&self) -> Secs {
-        self.direct_after.max(self.reached.unwrap_or(0.0))
+    pub fn commands_waiting_since(&self) -> Secs {
+        self.next_direct_at.max(self.last_reached_at.unwrap_or(0.0))
     }
 
     /// Takes over the properties of its type. Machines of unknown types have no capacity.
-    pub fn learn_type(&mut self, t: Option<&MachineType>) {
+    pub fn apply_machine_type(&mut self, t: Option<&MachineType>) {
         if let Some(t) = t {
             self.size = [t.cpus, t.gpus, t.memory_gb];
             self.fetch_rate = t.fetch_gb_per_s;
@@ -226,14 +226,14 @@
     }
 
     /// Counts a task's CPUs, GPUs and memory as used.
-    pub fn book(&mut self, spec: &JobSpec) {
+    pub fn reserve(&mut self, spec: &JobSpec) {
         self.used[0] += spec.cpus;
         self.used[1] += spec.gpus;
         self.used[2] += spec.memory_gb;
     }
 
     /// Counts a task's CPUs, GPUs and memory as free again.
-    pub fn unbook(&mut self, spec: &JobSpec) {
+    pub fn unreserve(&mut self, spec: &JobSpec) {
         self.used[0] -= spec.cpus;
         self.used[1] -= spec.gpus;
         self.used[2] -= spec.memory_gb;
--- a/crates/core/src/gangs.rs
+++ b/crates/core/src/gangs.rs
@@ -86,7 +86,7 @@
             m.usable(pass.now, self.facts.heartbeat_interval_s)
                 && zone.is_none_or(|zone| zone == m.info.zone)
                 && machine_allowed(job, m, &self.machines)
-                && !m.exited.keys().any(|(task, _)| task.job == spec.id)
+                && !m.ended_attempts.keys().any(|(task, _)| task.job == spec.id)
         };
         let mut candidates: Vec<Candidate> = self
             .machines
--- a/crates/core/src/heartbeats/absence.rs
+++ b/crates/core/src/heartbeats/absence.rs
@@ -53,7 +53,7 @@
         // A list from before the worker saw this leader's fencing token doesn't show what the
         // commands of earlier leaders have done since.
         let Some(m) = self.machines.get(id).filter(|m| m.confirmed) else { return };
-        let direct_in_flight = m.direct.is_some();
+        let direct_in_flight = m.direct_in_flight.is_some();
         let absent: Vec<TaskId> = m.tasks.difference(listed).cloned().collect();
         let mut start_missed = false;
         for task in absent {
--- a/crates/core/src/heartbeats/agent_epochs.rs
+++ b/crates/core/src/heartbeats/agent_epochs.rs
@@ -43,8 +43,8 @@
             .entry(heartbeat.machine.clone())
             .or_insert_with(|| Machine::new(machine_record(heartbeat), now));
         self.cloud_requests.heard(now, &heartbeat.machine);
-        if machine.heard.is_none() {
-            machine.learn_type(self.cloud_requests.machine_type(&machine.info.kind));
+        if machine.last_heard_at.is_none() {
+            machine.apply_machine_type(self.cloud_requests.machine_type(&machine.info.kind));
         }
     }
 
@@ -54,32 +54,35 @@
     fn end_agent_epoch(&mut self, now: Secs, id: &MachineId) {
         self.lose_tasks(id, now);
         let Some(m) = self.machines.get_mut(id) else { return };
-        m.reached = None;
+        m.last_reached_at = None;
         m.heartbeat_seq = 0;
         m.last_heartbeat = None;
-        m.withheld = false;
+        m.replies_withheld = false;
     }
 
     fn apply_agent_epoch(&mut self, now: Secs, heartbeat: &Heartbeat) {
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else { return };
-        if m.heard.is_none() || m.lapsed.is_some() || m.agent_epoch != heartbeat.agent_epoch {
+        if m.last_heard_at.is_none()
+            || m.expired_epoch.is_some()
+            || m.agent_epoch != heartbeat.agent_epoch
+        {
             self.place_due = true;
         }
         if m.agent_epoch != heartbeat.agent_epoch {
             // The new lease counts from the start of the epoch, which may be as late as now. When
             // it was counted from the last answer to the previous epoch, the lease appeared to
             // expire while tasks were still running.
-            m.answered = now;
+            m.last_answered_at = now;
         }
-        m.lapsed = None;
+        m.expired_epoch = None;
         m.agent_epoch = heartbeat.agent_epoch;
         m.seq = heartbeat.seq;
         if heartbeat.fencing_token > m.fencing_token {
             m.fencing_token = heartbeat.fencing_token;
-            m.token_risen_at = now;
+            m.token_raised_at = now;
         }
-        m.heard = Some(now);
-        m.unreached = 0;
+        m.last_heard_at = Some(now);
+        m.failed_direct_sends = 0;
         if m.info.addr != heartbeat.addr {
             m.info.addr.clone_from(&heartbeat.addr);
             if let Some(block) = m.block {
@@ -95,11 +98,11 @@
         // effect any more and the list is complete.
         if !m.confirmed && heartbeat.fencing_token >= self.term.0 {
             m.confirmed = true;
-            m.reached = Some(now);
+            m.last_reached_at = Some(now);
         }
-        m.probe_due = m.reached.is_none();
-        m.exited.clear();
-        m.strangers.clear();
+        m.probe_due = m.last_reached_at.is_none();
+        m.ended_attempts.clear();
+        m.unknown_attempts.clear();
     }
 }
 
--- a/crates/core/src/heartbeats/mod.rs
+++ b/crates/core/src/heartbeats/mod.rs
@@ -77,7 +77,7 @@
     /// exchange can show.
     fn probe_after_late_copy(&mut self, now: Secs, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id) else { return };
-        if !m.reborn && m.reached.is_none_or(|at| now - at > WORKER_MARGIN_S) {
+        if !m.worker_restarted && m.last_reached_at.is_none_or(|at| now - at > WORKER_MARGIN_S) {
             m.probe_due = true;
         }
     }
@@ -85,12 +85,12 @@
     /// Whether the answer may renew the lease of the worker's tasks. If so, the lease counts from
     /// now.
     fn renew_lease(&mut self, now: Secs, id: &MachineId) -> Option<bool> {
-        if self.machines.get(id)?.lapsed.is_some() || !self.may_renew(now, id) {
+        if self.machines.get(id)?.expired_epoch.is_some() || !self.may_renew(now, id) {
             return Some(false);
         }
         let m = self.machines.get_mut(id)?;
-        m.answered = now;
-        m.withheld = false;
+        m.last_answered_at = now;
+        m.replies_withheld = false;
         Some(true)
     }
 
@@ -109,7 +109,7 @@
     }
 
     fn commands_for_answer(&mut self, now: Secs, id: &MachineId) -> Option<Vec<Command>> {
-        if self.machines.get(id)?.direct.is_some() {
+        if self.machines.get(id)?.direct_in_flight.is_some() {
             // Direct commands are in flight, and commands sent both ways could overtake each other.
             // Stops of cancelled tasks are sent regardless: they are repeated until a heartbeat
             // confirms them, and an answer that renews the lease of such tasks must carry them.
@@ -133,7 +133,7 @@
         let soon =
             m.last_heartbeat.is_some_and(|at| now - at < WORKER_GIVES_UP_S - WORKER_MARGIN_S);
         if soon && m.heartbeat_seq != 0 && m.confirmed {
-            m.reached = Some(now);
+            m.last_reached_at = Some(now);
         }
         m.last_heartbeat = Some(now);
         m.heartbeat_seq = heartbeat.seq;
@@ -157,20 +157,20 @@
 /// expired.
 fn overtaken_by_direct_command(now: Secs, heartbeat: &Heartbeat, m: &Machine) -> bool {
     heartbeat.agent_epoch == m.agent_epoch
-        && !m.reborn
-        && m.lapsed.is_none()
+        && !m.worker_restarted
+        && m.expired_epoch.is_none()
         && (m.heartbeat_seq..m.seq).contains(&heartbeat.seq)
         && heartbeat.seq != m.heartbeat_seq
         && heartbeat.fencing_token < m.fencing_token
-        && now - m.token_risen_at < WORKER_DROPS_S
+        && now - m.token_raised_at < WORKER_DROPS_S
 }
 
 /// Whether a heartbeat comes from an epoch whose lease expired, or from before the worker
 /// restarted: the highest fencing token that a worker has seen never decreases.
 fn is_obsolete(heartbeat: &Heartbeat, m: &Machine) -> bool {
     heartbeat.fencing_token < m.fencing_token
-        || m.reborn
-        || m.lapsed.is_some_and(|lapsed| heartbeat.agent_epoch <= lapsed)
+        || m.worker_restarted
+        || m.expired_epoch.is_some_and(|lapsed| heartbeat.agent_epoch <= lapsed)
 }
 
 /// Stop commands for the listed tasks whose jobs are known to be cancelled.
--- a/crates/core/src/heartbeats/outcomes.rs
+++ b/crates/core/src/heartbeats/outcomes.rs
@@ -83,7 +83,7 @@
         self.record_outcome(now, task, outcome, placed);
         for other in faulty {
             if let Some(machine) = self.machines.get_mut(&other) {
-                machine.errors += 1;
+                machine.error_streak += 1;
             }
         }
         if placed {
@@ -110,8 +110,8 @@
         let Some(live) = live else { return };
         live.stop_grace_s = Some(0.0);
         if let Some(machine) = self.machines.get_mut(&live.machine) {
-            machine.strangers.insert((task.clone(), live.attempt));
-            machine.push = true;
+            machine.unknown_attempts.insert((task.clone(), live.attempt));
+            machine.direct_send_due = true;
         }
     }
 
@@ -120,15 +120,15 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         match end.outcome {
             Outcome::Done => {
-                machine.errors = 0;
+                machine.error_streak = 0;
                 // A machine that takes much longer than others for the same job is slow, whichever
                 // job that is.
                 if let Some(slow) = end.run_time.is_slow() {
-                    machine.slow = if slow { machine.slow + 1 } else { 0 };
+                    machine.slow_streak = if slow { machine.slow_streak + 1 } else { 0 };
                 }
             }
             Outcome::Error => {
-                machine.errors += u32::from(end.job_has_succeeded);
+                machine.error_streak += u32::from(end.job_has_succeeded);
                 self.log.push(|| format!("event=failed task={task} machine={id}"));
             }
             Outcome::Refused => {
@@ -149,7 +149,7 @@
         {
             live.stop_grace_s = Some(grace);
             if let Some(machine) = self.machines.get_mut(&live.machine) {
-                machine.push = true;
+                machine.direct_send_due = true;
             }
         }
     }
--- a/crates/core/src/heartbeats/tasks.rs
+++ b/crates/core/src/heartbeats/tasks.rs
@@ -28,9 +28,9 @@
         let Some(job) = job else {
             // The job is over and closed, or was never known to this cell.
             if let Some(why) = exit {
-                m.exited.insert(key, why);
+                m.ended_attempts.insert(key, why);
             } else {
-                m.strangers.insert(key);
+                m.unknown_attempts.insert(key);
             }
             return;
         };
@@ -38,9 +38,9 @@
         let placed = job.live.get(&task.index).is_some_and(is_placed);
         if let Some(why) = exit {
             if placed {
-                m.reached = Some(now);
+                m.last_reached_at = Some(now);
             }
-            m.exited.insert(key, why);
+            m.ended_attempts.insert(key, why);
             self.task_ended(now, id, &task, why, placed);
         } else if placed {
             self.confirm_attempt(now, id, &task, entry.state);
@@ -58,7 +58,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(live) = job.live.get_mut(&task.index) else { return };
         if live.phase == Phase::Sent {
-            m.reached = Some(now);
+            m.last_reached_at = Some(now);
         }
         if !matches!(state, TaskState::Running | TaskState::Waiting) {
             if live.phase != Phase::Running {
@@ -112,7 +112,7 @@
             )
         });
         if let Some(m) = self.machines.get_mut(id) {
-            m.strangers.insert((task, attempt));
+            m.unknown_attempts.insert((task, attempt));
         }
     }
 
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -304,9 +304,9 @@
     }
 
     /// Updates the sizes of all machines from their machine types.
-    pub(crate) fn learn_types(&mut self) {
+    pub(crate) fn apply_machine_types(&mut self) {
         for m in self.machines.values_mut() {
-            m.learn_type(self.cloud_requests.types.iter().find(|t| t.name == m.info.kind));
+            m.apply_machine_type(self.cloud_requests.types.iter().find(|t| t.name == m.info.kind));
         }
     }
 
@@ -401,7 +401,12 @@
             return false;
         }
         let mut unreachable = 0;
-        for at in self.machines.values().filter(|m| m.lapsed.is_none()).filter_map(|m| m.heard) {
+        for at in self
+            .machines
+            .values()
+            .filter(|m| m.expired_epoch.is_none())
+            .filter_map(|m| m.last_heard_at)
+        {
             if now - at <= silence_limit {
                 // The usual case returns at the first machine; this runs with every batch of
                 // events.
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -49,7 +49,7 @@
             grace_s,
         };
         let wanted = |task: &TaskId| of(self.jobs.get(&task.job));
-        let unneeded = m.strangers.iter().filter(|(task, _)| wanted(task));
+        let unneeded = m.unknown_attempts.iter().filter(|(task, _)| wanted(task));
         let unneeded = unneeded.map(|(task, attempt)| stop(task, *attempt, 0.0));
         let stopping = m.tasks.iter().filter(|task| wanted(task)).filter_map(|task| {
             let live = live_attempt(&self.jobs, task)?;
@@ -66,8 +66,8 @@
         let Some(m) = self.machines.get_mut(id) else {
             return (commands, starts);
         };
-        m.push = false;
-        for (key, why) in &m.exited {
+        m.direct_send_due = false;
+        for (key, why) in &m.ended_attempts {
             let (task, attempt) = key;
             let safe = match self.jobs.get(&task.job) {
                 None => true,
@@ -77,11 +77,12 @@
                 commands.push(Command::Forget { task: task.to_string(), attempt: *attempt });
             }
         }
-        let startable = m.recorded && m.lapsed.is_none() && !m.releasing && m.reached.is_some();
+        let startable =
+            m.recorded && m.expired_epoch.is_none() && !m.releasing && m.last_reached_at.is_some();
         let number = m.info.number;
         for task in m.tasks.iter().filter(|_| startable) {
             if commands.len() >= COMMANDS_MAX {
-                m.push = true;
+                m.direct_send_due = true;
                 break;
             }
             let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -132,14 +133,15 @@
             .machines
             .iter()
             .filter(|(_, m)| {
-                m.direct.is_none()
-                    && now >= m.direct_after
-                    && (m.push && m.agent_epoch != 0 && m.lapsed.is_none() || m.probe_due)
+                m.direct_in_flight.is_none()
+                    && now >= m.next_direct_at
+                    && (m.direct_send_due && m.agent_epoch != 0 && m.expired_epoch.is_none()
+                        || m.probe_due)
             })
             .map(|(id, m)| WaitingDirectCommand {
-                unreached: m.unreached > 0,
-                only_probe: !m.push,
-                since: m.waiting_since(),
+                unreached: m.failed_direct_sends > 0,
+                only_probe: !m.direct_send_due,
+                since: m.commands_waiting_since(),
                 machine: id.clone(),
             })
             .collect();
@@ -185,9 +187,9 @@
             return;
         };
         let op = out.op();
-        m.direct = Some(op);
+        m.direct_in_flight = Some(op);
         let known = (m.agent_epoch, m.seq);
-        let unreached = m.unreached > 0;
+        let unreached = m.failed_direct_sends > 0;
         out.actions.push(Action::Direct {
             op,
             addr: m.info.addr.clone(),
@@ -215,10 +217,12 @@
             (self.facts.heartbeat_interval_s * REACH_HEARTBEATS + WORKER_GIVES_UP_S) * PROBE_SHARE;
         let quiet_limit = self.facts.heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
         for m in self.machines.values_mut() {
-            let Some(since) = m.heard.map(|h| now - h) else { continue };
+            let Some(since) = m.last_heard_at.map(|h| now - h) else { continue };
             let heard = since < self.facts.heartbeat_interval_s * SILENT_HEARTBEATS;
-            let unconfirmed = heard && m.reached.is_none_or(|at| now - at > probe_after);
-            let missed = since > quiet_limit && m.unreached < QUIET_PROBES && m.lapsed.is_none();
+            let unconfirmed = heard && m.last_reached_at.is_none_or(|at| now - at > probe_after);
+            let missed = since > quiet_limit
+                && m.failed_direct_sends < QUIET_PROBES
+                && m.expired_epoch.is_none();
             if unconfirmed || missed && !m.releasing {
                 m.probe_due = true;
             }
@@ -231,12 +235,12 @@
         let expired: Vec<MachineId> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.lapsed.is_none() && now > m.answered + lease_life)
+            .filter(|(_, m)| m.expired_epoch.is_none() && now > m.last_answered_at + lease_life)
             .map(|(id, _)| id.clone())
             .collect();
         for id in expired {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.lapsed = Some(m.agent_epoch);
+                m.expired_epoch = Some(m.agent_epoch);
                 m.probe_due = false;
                 m.confirmed = true;
             }
--- a/crates/core/src/place/assign.rs
+++ b/crates/core/src/place/assign.rs
@@ -114,7 +114,7 @@
     /// worker, and refreshes the free capacity.
     fn prepare_machine(&mut self, pass: &mut SchedulingPass, id: &MachineId, spec: &JobSpec) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        machine.push = true;
+        machine.direct_send_due = true;
         if machine.expect_image(&spec.image, spec.image_gb, pass.now)
             && let Some(demand) = self.images.get_mut(&spec.image)
         {
--- a/crates/core/src/place/candidates.rs
+++ b/crates/core/src/place/candidates.rs
@@ -104,7 +104,7 @@
     /// refuse a new one. The entry is cleared within seconds, once no start of that attempt is
     /// unconfirmed any more.
     fn is_listed_on(&self, machine: &Machine) -> bool {
-        machine.exited.keys().any(|(ended, _)| *ended == self.task)
+        machine.ended_attempts.keys().any(|(ended, _)| *ended == self.task)
     }
 
     /// Scores the machine; `None` if the image policy rules it out.
--- a/crates/core/src/preempt/mod.rs
+++ b/crates/core/src/preempt/mod.rs
@@ -118,7 +118,7 @@
         let runs_others = machine.tasks.len() > machine.services as usize;
         // While the machine still lists an earlier attempt of the task, its worker refuses a new
         // one. Without this check the task was sent to such a machine again and again.
-        let listed = machine.exited.keys().any(|(ended, _)| ended == task);
+        let listed = machine.ended_attempts.keys().any(|(ended, _)| ended == task);
         runs_others
             && !listed
             && machine.usable(pass.now, self.facts.heartbeat_interval_s)
@@ -145,14 +145,14 @@
         // A task that is told to stop at once releases its capacity before the worker executes the
         // command that follows the stop, so the capacity already counts as free.
         let Some(machine) = self.machines.get_mut(&live.machine) else { return };
-        machine.unbook(&job.record.spec);
-        machine.freed.insert(task.clone());
+        machine.unreserve(&job.record.spec);
+        machine.freed_tasks.insert(task.clone());
     }
 
     /// Adds to `free` the CPUs, GPUs and memory (GB) that preemptible array tasks occupy on a
     /// machine.
     pub(crate) fn add_preemptible(&self, machine: &Machine, free: &mut [f64; 3]) {
-        for task in machine.tasks.difference(&machine.freed) {
+        for task in machine.tasks.difference(&machine.freed_tasks) {
             let Some(spec) = self.jobs.get(&task.job).map(|job| job.spec()) else { continue };
             if spec.kind == Kind::Array && spec.priority < Priority::Production {
                 free[0] += spec.cpus;
--- a/crates/core/src/provision/capacity.rs
+++ b/crates/core/src/provision/capacity.rs
@@ -37,7 +37,7 @@
         // Machines that have just come up are no longer in the booting list and become usable
         // within a second. When they were counted in neither group, twelve of them were rented a
         // second time.
-        let just_up = others().filter(|m| m.is_just_up(now));
+        let just_up = others().filter(|m| m.has_just_booted(now));
         let mut capacity: Vec<Capacity> = usable.chain(just_up).filter_map(up).collect();
         for machine in self.cloud_requests.booting.values().filter(|b| !b.failed) {
             let found = types.get(machine.kind.as_str());
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -158,7 +158,7 @@
         // are not assigned again.
         let recorded = self.jobs.values().filter_map(|j| j.machines.bounds()).map(|(_, last)| last);
         self.next_number = recorded.fold(self.next_number, u32::max);
-        self.learn_types();
+        self.apply_machine_types();
         self.log.push(|| {
             format!(
                 "event=loaded term={} jobs={} machines={}",
--- a/crates/core/src/revocation.rs
+++ b/crates/core/src/revocation.rs
@@ -56,7 +56,7 @@
     /// accept their token.
     pub(crate) fn note_unconfirmed_starts(&mut self, now: Secs, sent: &DirectSent) {
         let Some(m) = self.machines.get_mut(&sent.machine) else { return };
-        let ended = m.lapsed.is_some()
+        let ended = m.expired_epoch.is_some()
             || m.agent_epoch != sent.agent_epoch
             || m.fencing_token > sent.fencing_token;
         if ended || sent.starts.is_empty() {
@@ -70,7 +70,7 @@
                 // The job was closed after the command was sent; a cancellation was unknown then.
                 None => Some(sent.at - self.facts.replica_age_limit()),
             };
-            let listed = m.exited.contains_key(key)
+            let listed = m.ended_attempts.contains_key(key)
                 || job.and_then(|j| j.live.get(&task.index)).is_some_and(|live| {
                     live.attempt == *attempt && matches!(live.phase, Phase::Seen | Phase::Running)
                 });
@@ -170,7 +170,7 @@
     /// doesn't revoke, and the highest token that these starts carried.
     fn unconfirmed_start_to_revoke(&self, id: &MachineId) -> Option<(Urgency, u64)> {
         let m = self.machines.get(id)?;
-        if m.lapsed.is_some() || m.releasing {
+        if m.expired_epoch.is_some() || m.releasing {
             return None;
         }
         let token = self.fencing_token_for(m);
@@ -220,15 +220,17 @@
     /// count as unconfirmed, as their answer may never arrive.
     pub(crate) fn may_renew(&mut self, now: Secs, id: &MachineId) -> bool {
         let Some(m) = self.machines.get(id) else { return true };
-        if m.unconfirmed_starts.is_empty() && m.direct.is_none() {
+        if m.unconfirmed_starts.is_empty() && m.direct_in_flight.is_none() {
             return true;
         }
         let token = self.fencing_token_for(m);
         let unconfirmed =
             m.unconfirmed_starts.iter().filter(|(_, start)| start.fencing_token >= token);
         let cancelled = unconfirmed.filter_map(|(_, start)| start.must_revoke_since());
-        let sent =
-            m.direct.and_then(|op| self.directs.get(&op)).filter(|s| s.fencing_token >= token);
+        let sent = m
+            .direct_in_flight
+            .and_then(|op| self.directs.get(&op))
+            .filter(|s| s.fencing_token >= token);
         let sent = sent.into_iter().flat_map(|sent| &sent.starts);
         let pending = sent.filter_map(|(task, _)| self.jobs.get(&task.job)?.cancelled_at);
         let Some(cancelled_at) = cancelled.chain(pending).reduce(f64::min) else { return true };
@@ -244,7 +246,7 @@
     fn withhold_answer(&mut self, now: Secs, id: &MachineId, cancelled_at: Secs) {
         self.revocations.withheld += 1;
         let Some(m) = self.machines.get_mut(id) else { return };
-        if std::mem::replace(&mut m.withheld, true) {
+        if std::mem::replace(&mut m.replies_withheld, true) {
             return;
         }
         let left = cancelled_at + self.facts.cancel_s - now;
--- a/crates/core/src/tests/image_demand.rs
+++ b/crates/core/src/tests/image_demand.rs
@@ -64,7 +64,8 @@
         number: 1,
     };
     let mut machine = Machine::new(record, NOW);
-    (machine.heard, machine.reached, machine.last_heartbeat) = (Some(NOW), Some(NOW), Some(NOW));
+    (machine.last_heard_at, machine.last_reached_at, machine.last_heartbeat) =
+        (Some(NOW), Some(NOW), Some(NOW));
     machine.confirmed = true;
     machine.size = [CPUS, 0.0, 16.0];
     (0..services).for_each(|_| machine.add_service(1.0));
--- a/crates/core/src/writer/answers.rs
+++ b/crates/core/src/writer/answers.rs
@@ -125,7 +125,7 @@
                 for live in j.live.values_mut().filter(|l| l.phase == Phase::Placed) {
                     live.phase = Phase::Ready;
                     if let Some(m) = self.machines.get_mut(&live.machine) {
-                        m.push = true;
+                        m.direct_send_due = true;
                     }
                 }
             }
@@ -136,7 +136,7 @@
                 for id in names {
                     if let Some(m) = self.machines.get_mut(&id).filter(|m| !m.recorded) {
                         m.recorded = true;
-                        m.push = true;
+                        m.direct_send_due = true;
                     }
                 }
             }
@@ -154,8 +154,8 @@
         for (n, machine, attempt) in leftover {
             self.end_attempt(id, n, Outcome::Lost, now);
             if let Some(m) = self.machines.get_mut(&machine) {
-                m.strangers.insert((TaskId { job: id.clone(), index: n }, attempt));
-                m.push = true;
+                m.unknown_attempts.insert((TaskId { job: id.clone(), index: n }, attempt));
+                m.direct_send_due = true;
             }
         }
         let Some(job) = self.jobs.remove(id) else {
