--- a/crates/core/src/cells/guest_ends.rs
+++ b/crates/core/src/cells/guest_ends.rs
@@ -119,7 +119,7 @@
     }
 
     /// Records that the end of another cell's job is durable in this cell.
-    pub(crate) fn guest_over(&mut self, job: &JobId, cancelled: bool) {
+    pub(crate) fn record_guest_end(&mut self, job: &JobId, cancelled: bool) {
         if let Some(Cells { guest_ends, .. }) = &mut self.cells {
             guest_ends.record_end(job, cancelled);
         }
@@ -151,7 +151,9 @@
         for ended in ended {
             let job = &ended.job;
             match cells.outbound.end_reported(cell, ended) {
-                Ok(true) => self.log.push(|| format!("event=end_heard job={job} cell={cell} told")),
+                Ok(true) => {
+                    self.log.debug(|| format!("event=end_heard job={job} cell={cell} told"))
+                }
                 Ok(false) => {}
                 // The end is already durable here, and the reporting cell has not yet seen the
                 // acknowledgement.
@@ -159,7 +161,7 @@
                 Err(error) => {
                     cells.counts.bad_requests += 1;
                     let log = || format!("event=end_refused job={job} cell={cell} why=\"{error}\"");
-                    self.log.push(log);
+                    self.log.debug(log);
                 }
             }
         }
--- a/crates/core/src/cells/home.rs
+++ b/crates/core/src/cells/home.rs
@@ -48,7 +48,7 @@
 
 impl Leader {
     /// Applies the transfer in a job's record, if any, to the in-memory state.
-    pub(crate) fn learn_forward(&mut self, now: Secs, id: &JobId) {
+    pub(crate) fn apply_forward(&mut self, now: Secs, id: &JobId) {
         let (Some(cells), Some(job)) = (&mut self.cells, self.jobs.get_mut(id)) else { return };
         let forward = job.record.forward.as_ref();
         job.blocked_by_transfer = forward.is_some();
@@ -56,7 +56,7 @@
     }
 
     /// Applies a newer version of a known job's record.
-    pub(crate) fn learn_record(&mut self, now: Secs, record: &Arc<SpecRecord>, version: u64) {
+    pub(crate) fn apply_spec_record(&mut self, now: Secs, record: &Arc<SpecRecord>, version: u64) {
         let id = record.spec.id.clone();
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if version <= job.spec_version {
@@ -64,12 +64,12 @@
         }
         job.spec_version = version;
         job.record = record.clone();
-        self.learn_forward(now, &id);
+        self.apply_forward(now, &id);
         self.place_due = true;
     }
 
     /// Returns the task counts of a job that another cell has accepted.
-    pub(crate) fn counts_elsewhere(&self, id: &JobId) -> Option<TaskCounts> {
+    pub(crate) fn remote_task_counts(&self, id: &JobId) -> Option<TaskCounts> {
         let open = self.cells.as_ref()?.outbound.get(id)?;
         let (done, running) = open.counts;
         open.record.accepted.then_some(TaskCounts { done, running })
@@ -157,7 +157,7 @@
             return Err(StayReason::NoCellWithRoom);
         };
         let transfer = cells.outbound.new_transfer(&cells.settings.name, self.term.0);
-        self.log.push(|| format!("event=transfer job={id} target={target} transfer={transfer}"));
+        self.log.debug(|| format!("event=transfer job={id} target={target} transfer={transfer}"));
         let mut intended = SpecRecord::clone(&record);
         intended.forward = Some(ForwardRecord { transfer, target, accepted: false });
         // From here on no task of the job is started in this cell, whatever the outcome of the
@@ -195,7 +195,7 @@
         };
         let chosen = choice.choose(spec, &mut self.rng).ok_or(StayReason::NoCellWithRoom)?;
         if let Some(error) = &chosen.policy_error {
-            self.log.push(|| format!("event=policy_failed job={} why=\"{error}\"", spec.id));
+            self.log.debug(|| format!("event=policy_failed job={} why=\"{error}\"", spec.id));
         }
         Ok(chosen.cell)
     }
@@ -212,7 +212,9 @@
         out: &mut ActionSink,
     ) {
         match result {
-            StoreResult::Committed(version) => self.learn_record(now, &Arc::new(*record), *version),
+            StoreResult::Committed(version) => {
+                self.apply_spec_record(now, &Arc::new(*record), *version)
+            }
             StoreResult::Conflict(_) | StoreResult::Rejected => self.read_again(job, out),
             _ => self.retry_later(now, Retry::Intent { job, txn, record }),
         }
@@ -256,11 +258,11 @@
         match result {
             StoreResult::Value(Some(item)) => {
                 if let Ok(record) = from_value::<SpecRecord>(&item.value) {
-                    self.learn_record(now, &Arc::new(record), item.version);
+                    self.apply_spec_record(now, &Arc::new(record), item.version);
                 }
                 // The attempted write did not take effect and never will, because the condition
                 // that it failed on is permanent.
-                self.learn_forward(now, &job);
+                self.apply_forward(now, &job);
                 if let Some(cells) = &mut self.cells {
                     cells.outbound.settle_again(now, &job);
                 }
--- a/crates/core/src/cells/mod.rs
+++ b/crates/core/src/cells/mod.rs
@@ -115,7 +115,7 @@
     /// Why each waiting job is not offered, as of the last scan.
     staying: StayingJobs,
     /// The array restricted to this cell that was last placed before services.
-    pub(crate) served_first: Option<JobId>,
+    pub(crate) starved_array: Option<JobId>,
 }
 
 impl Cells {
@@ -139,7 +139,7 @@
             retries: Vec::new(),
             next_scan: now,
             staying: StayingJobs::default(),
-            served_first: None,
+            starved_array: None,
         }
     }
 }
@@ -194,7 +194,7 @@
         out: &mut ActionSink,
     ) -> WriteOutcome {
         let Some(pending) = self.cells.as_mut().and_then(|cells| cells.pending.remove(&op)) else {
-            return WriteOutcome::NotOurs;
+            return WriteOutcome::Unrelated;
         };
         if let StoreResult::Conflict(keys) = result
             && keys.iter().any(|key| key == records::LEADER)
@@ -224,7 +224,7 @@
             }
             Pending::DeclareLost { reply } => Self::declare_lost_written(reply, result, out),
         }
-        WriteOutcome::Ours
+        WriteOutcome::Handled
     }
 
     /// Returns the overview of this cell that operators request.
--- a/crates/core/src/cells/settle.rs
+++ b/crates/core/src/cells/settle.rs
@@ -64,13 +64,13 @@
         let mut record = SpecRecord::clone(&job.record);
         match settlement {
             Settlement::Accepted(_) => {
-                self.log.push(|| format!("event=transfer_accepted job={id}"));
+                self.log.debug(|| format!("event=transfer_accepted job={id}"));
                 if let Some(forward) = &mut record.forward {
                     forward.accepted = true;
                 }
             }
             Settlement::Refused(_, reason) => {
-                self.log.push(|| format!("event=transfer_refused job={id} why={reason:?}"));
+                self.log.debug(|| format!("event=transfer_refused job={id} why={reason:?}"));
                 record.forward = None;
                 record.refusals = record.refusals.saturating_add(1);
                 job.offer_backoff_until = now + refusal_backoff(record.refusals, *reason);
@@ -109,7 +109,9 @@
         out: &mut ActionSink,
     ) {
         match result {
-            StoreResult::Committed(version) => self.learn_record(now, &Arc::new(record), *version),
+            StoreResult::Committed(version) => {
+                self.apply_spec_record(now, &Arc::new(record), *version)
+            }
             StoreResult::Refused => self.settle_later(now, &job),
             _ => self.read_again(job, out),
         }
@@ -134,7 +136,7 @@
         cells.capacity_reports.update(cell, reply.capacity, sent);
         for GuestStatus { job, transfer, state } in reply.statuses {
             if cells.outbound.apply_status(cell, &job, &transfer, state).is_some() {
-                self.log.push(|| format!("event=end_heard job={job} cell={cell}"));
+                self.log.debug(|| format!("event=end_heard job={job} cell={cell}"));
             }
         }
         self.record_ends(now, replica, out);
@@ -215,7 +217,7 @@
     ) {
         match result {
             StoreResult::Committed(_) => {
-                self.log.push(|| format!("event=end_recorded job={job}"));
+                self.log.debug(|| format!("event=end_recorded job={job}"));
                 self.closed_elsewhere(now, &job, cancelled, tasks);
             }
             StoreResult::Refused => self.settle_later(now, &job),
@@ -241,7 +243,7 @@
             let Some(job) = self.jobs.get(&id).filter(|_| free) else { continue };
             let mut record = SpecRecord::clone(&job.record);
             record.forward = None;
-            self.log.push(|| format!("event=taken_back job={id}"));
+            self.log.debug(|| format!("event=taken_back job={id}"));
             self.write_settlement(&id, record, out);
         }
     }
--- a/crates/core/src/cells/staying.rs
+++ b/crates/core/src/cells/staying.rs
@@ -74,7 +74,8 @@
         for (id, reason) in &staying {
             if cells.staying.0.get(id) != Some(reason) {
                 let waited = self.jobs.get(id).map_or(0.0, |job| now - job.arrived);
-                self.log.push(|| format!("event=stays job={id} why={reason} waited_s={waited:.1}"));
+                self.log
+                    .debug(|| format!("event=stays job={id} why={reason} waited_s={waited:.1}"));
             }
         }
         cells.staying.0 = staying;
--- a/crates/core/src/cells/target.rs
+++ b/crates/core/src/cells/target.rs
@@ -139,7 +139,7 @@
             StoreResult::Committed(version) => {
                 let mut record = SpecRecord::submitted(offer.spec.clone(), offer.at_ms);
                 record.origin = Some(offer.transfer.clone());
-                self.log.push(|| format!("event=accepted job={id} transfer={}", offer.transfer));
+                self.log.debug(|| format!("event=accepted job={id} transfer={}", offer.transfer));
                 self.add_job(now, wall_ms, Arc::new(record), *version, false);
                 answer_offer(reply, offer.transfer, Verdict::Accepted, out);
             }
--- a/crates/core/src/cloud_requests/answers.rs
+++ b/crates/core/src/cloud_requests/answers.rs
@@ -65,7 +65,7 @@
 
     /// Records the machines of a rent request; there may be fewer than requested.
     fn rented(&mut self, now: Secs, rent: Rent, names: Vec<MachineId>) {
-        self.log.push(|| format!("event=rented request={} count={}", rent.request, names.len()));
+        self.log.debug(|| format!("event=rented request={} count={}", rent.request, names.len()));
         if (names.len() as u32) < rent.count {
             self.cloud_requests.no_capacity.insert(offer_of(&rent), now + NO_CAPACITY_S);
         }
@@ -121,7 +121,7 @@
             self.writer.machine_gone(id, m.block, now);
         }
         self.place_due = true;
-        self.log.push(|| format!("event=released machine={id} term={}", self.term.0));
+        self.log.debug(|| format!("event=released machine={id} term={}", self.term.0));
     }
 }
 
--- a/crates/core/src/cloud_requests/boots.rs
+++ b/crates/core/src/cloud_requests/boots.rs
@@ -50,7 +50,7 @@
 impl CloudRequests {
     /// Handles a machine's first report: its boot is over. Updates the boot-time estimate of its
     /// pool.
-    pub(crate) fn heard(&mut self, now: Secs, id: &MachineId) {
+    pub(crate) fn boot_finished(&mut self, now: Secs, id: &MachineId) {
         let Some(machine) = self.booting.remove(id) else { return };
         let nominal = self.nominal_boot(&machine.kind);
         if nominal > 0.0 && !machine.failed {
--- a/crates/core/src/cloud_requests/fleet_log.rs
+++ b/crates/core/src/cloud_requests/fleet_log.rs
@@ -14,7 +14,7 @@
         let ordinary = self.describe_machines("ordinary", false);
         let spot = self.describe_machines("spot", true);
         let waiting: u32 = self.jobs.values().map(|job| job.waiting()).sum();
-        self.log.push(|| format!("event=fleet {ordinary} {spot} waiting={waiting}"));
+        self.log.debug(|| format!("event=fleet {ordinary} {spot} waiting={waiting}"));
     }
 
     fn describe_machines(&self, name: &str, spot: bool) -> String {
--- a/crates/core/src/cloud_requests/mod.rs
+++ b/crates/core/src/cloud_requests/mod.rs
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub(crate) struct ServiceClass {
     /// The spec of its newest job.
-    pub(crate) shape: JobSpec,
+    pub(crate) newest_spec: JobSpec,
     /// Times at which replicas were requested.
     pub(crate) arrivals: Vec<Secs>,
 }
@@ -141,15 +141,15 @@
     }
 
     /// Records a job's arrival. Service arrivals determine the size of the warm reserve.
-    pub(crate) fn saw_job(&mut self, now: Secs, spec: &JobSpec) {
+    pub(crate) fn record_arrival(&mut self, now: Secs, spec: &JobSpec) {
         if spec.kind != Kind::Service {
             return;
         }
         let class = self
             .services
             .entry(spec.class.clone())
-            .or_insert_with(|| ServiceClass { shape: spec.clone(), arrivals: Vec::new() });
-        class.shape = spec.clone();
+            .or_insert_with(|| ServiceClass { newest_spec: spec.clone(), arrivals: Vec::new() });
+        class.newest_spec = spec.clone();
         class.arrivals.extend((0..spec.tasks.min(ARRIVAL_TASKS_MAX)).map(|_| now));
     }
 
--- a/crates/core/src/consts/workers.rs
+++ b/crates/core/src/consts/workers.rs
@@ -56,8 +56,8 @@
 /// Minimum time between the heartbeat of a worker that got no answer and its next one, in seconds
 /// (protocol page: 4 s, then 1 s).
 pub const WORKER_GIVES_UP_S: f64 = 5.0;
-/// Margin on [`WORKER_DROPS_S`] and [`WORKER_GIVES_UP_S`], in seconds: clock differences and the
-/// controller's queueing delay.
+/// Margin on [`WORKER_DROPS_S`] and [`WORKER_GIVES_UP_S`], in seconds: clock
+/// differences and the controller's queueing delay.
 pub const WORKER_MARGIN_S: f64 = 0.2;
 /// Number of heartbeat intervals, plus a worker's timeout, within which a machine must have proven
 /// that answers reach it; otherwise it gets no new tasks.
--- a/crates/core/src/deprovision/consolidation.rs
+++ b/crates/core/src/deprovision/consolidation.rs
@@ -65,7 +65,7 @@
         let fleet_factor = (self.machines.len() as f64 / CONSOLIDATE_FLEET).max(1.0);
         self.cloud_requests.next_consolidation = now + CONSOLIDATE_EVERY_S / fleet_factor;
         let replicas = self.machines.get(&id).map_or(0, |machine| machine.tasks.len());
-        self.log.push(|| format!("event=gather machine={id} replicas={replicas}"));
+        self.log.debug(|| format!("event=gather machine={id} replicas={replicas}"));
         self.evict_all(&id);
     }
 
@@ -129,7 +129,7 @@
             }
             let Some(machine) = self.machines.get(&id) else { continue };
             let tasks = machine.tasks.len();
-            self.log.push(|| format!("event=clear machine={id} tasks={tasks}"));
+            self.log.debug(|| format!("event=clear machine={id} tasks={tasks}"));
             self.evict_all(&id);
         }
     }
--- a/crates/core/src/deprovision/failure_detector.rs
+++ b/crates/core/src/deprovision/failure_detector.rs
@@ -54,8 +54,8 @@
             majority_heard,
             observations_reliable: now - leader_since > GONE_AFTER_S
                 && majority_heard
-                && leader.prompt_for(now, heartbeat_missed_after),
-            undelayed: leader.prompt_for(now, presumed_dead_after),
+                && leader.unstalled_for(now, heartbeat_missed_after),
+            undelayed: leader.unstalled_for(now, presumed_dead_after),
             enough_heard_now: enough_heard_now(&leader.machines, now, heartbeat_interval_s),
             zones: count_zones(&leader.machines, now, heartbeat_missed_after),
         }
@@ -86,9 +86,9 @@
         self.unreachable_for(machine) > self.presumed_dead_after && needs_no_wait && self.undelayed
     }
 
-    /// Whether the machine missed a heartbeat and two probes (`QUIET_PROBES`). It is then dead, hung
-    /// or partitioned; its lease treats all of these alike. Without this rule, dead machines kept a
-    /// tenth of all replicas down for a whole lease.
+    /// Whether the machine missed a heartbeat and two probes (`QUIET_PROBES`). It is then
+    /// dead, hung or partitioned; its lease treats all of these alike. Without this rule, dead
+    /// machines kept a tenth of all replicas down for a whole lease.
     fn is_unresponsive(&self, machine: &Machine) -> bool {
         self.enough_heard_now
             && machine.failed_direct_sends >= QUIET_PROBES
--- a/crates/core/src/deprovision/health.rs
+++ b/crates/core/src/deprovision/health.rs
@@ -17,7 +17,7 @@
 pub(super) fn cordon(id: &MachineId, machine: &mut Machine, log: &mut Log) {
     if !machine.cordoned {
         let (errors, slow) = (machine.error_streak, machine.slow_streak);
-        log.push(|| format!("event=cordon machine={id} errors={errors} slow={slow}"));
+        log.debug(|| format!("event=cordon machine={id} errors={errors} slow={slow}"));
     }
     machine.cordoned = true;
 }
--- a/crates/core/src/deprovision/mod.rs
+++ b/crates/core/src/deprovision/mod.rs
@@ -51,7 +51,7 @@
                 && machine.expired_epoch.is_none()
                 && !machine.releasing
             {
-                self.log.push(|| format!("event=silent machine={id} spot={}", machine.info.spot));
+                self.log.debug(|| format!("event=silent machine={id} spot={}", machine.info.spot));
                 machine.releasing = true;
                 self.cloud_requests.to_release.insert(id.clone());
             }
--- a/crates/core/src/deprovision/spot_notices.rs
+++ b/crates/core/src/deprovision/spot_notices.rs
@@ -10,7 +10,7 @@
 impl Leader {
     /// Evicts, in time, tasks on machines with a notice that can save their work. Other tasks keep
     /// running, and no new ones are placed there.
-    pub(crate) fn drain_noticed(&mut self, now: Secs) {
+    pub(crate) fn drain_machines_with_notice(&mut self, now: Secs) {
         for task in self.due_for_eviction(now) {
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
             let grace = job.eviction_grace();
@@ -42,10 +42,12 @@
 
     /// Withdraws starts that were never sent because their machine got a notice, was cordoned, or
     /// isn't reachable.
-    pub(crate) fn unplace(&mut self, now: Secs) {
+    pub(crate) fn withdraw_unsent_starts(&mut self, now: Secs) {
         let mut unsent = Vec::new();
-        let hears = |m: &Machine| m.is_reachable(now, self.facts.heartbeat_interval_s);
-        for m in self.machines.values().filter(|m| m.notice.is_some() || m.cordoned || !hears(m)) {
+        let reachable = |m: &Machine| m.is_reachable(now, self.facts.heartbeat_interval_s);
+        for m in
+            self.machines.values().filter(|m| m.notice.is_some() || m.cordoned || !reachable(m))
+        {
             for task in &m.tasks {
                 let live = live_attempt(&self.jobs, task);
                 if live.is_some_and(|live| live.never_sent(now)) {
--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -71,7 +71,7 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        self.log.push(|| format!("event=reborn machine={id} term={}", self.term.0));
+        self.log.debug(|| format!("event=reborn machine={id} term={}", self.term.0));
         m.worker_restarted = true;
         m.cordoned = true;
         m.releasing = true;
--- a/crates/core/src/election/candidacy.rs
+++ b/crates/core/src/election/candidacy.rs
@@ -64,8 +64,8 @@
         if self.next_unreachable { NEXT_SILENT_S } else { 0.0 }
     }
 
-    /// Whether this controller hears from no peer and hasn't yet waited [`ALONE_S`] since there is
-    /// no leader. The wait counts from when the leader was lost and not from each attempt;
+    /// Whether this controller hears from no peer and hasn't yet waited [`ALONE_S`] since
+    /// there is no leader. The wait counts from when the leader was lost and not from each attempt;
     /// restarting it with each attempt added 3 s to an election with one lost answer.
     fn waits_while_isolated(&self, now: Secs) -> bool {
         self.isolated_since.is_some_and(|since| now - since.max(self.leader_known_at) < ALONE_S)
--- a/crates/core/src/election/placement.rs
+++ b/crates/core/src/election/placement.rs
@@ -3,10 +3,10 @@
 //!
 //! Workers try the controllers cyclically, in the order of their names. When the leader stops
 //! answering, the last lease renewal may be up to 1.25 heartbeat intervals old, and the worker
-//! spends [`WORKER_GIVES_UP_S`] on each unreachable controller. With a lease of 12 s and heartbeats
-//! every 2 s, two unreachable controllers in a row take 12.5 s, and no election can be short enough
-//! to save the lease. A leader is therefore badly placed if the next controller in the cycle is
-//! down.
+//! spends [`WORKER_GIVES_UP_S`] on each unreachable controller. With a lease of 12 s and
+//! heartbeats every 2 s, two unreachable controllers in a row take 12.5 s, and no election can be
+//! short enough to save the lease. A leader is therefore badly placed if the next controller in the
+//! cycle is down.
 
 use crate::consts::{HEARTBEAT_JITTER, PLACEMENT_MARGIN_S, WORKER_GIVES_UP_S};
 use crate::event::Secs;
@@ -52,7 +52,11 @@
 
     /// The controller that should lead instead of `leader`, if that one is badly placed: the first
     /// reachable one in name order that is well placed.
-    pub fn better(&self, leader: &NodeId, unreachable: &BTreeSet<NodeId>) -> Option<&NodeId> {
+    pub fn better_placed_leader(
+        &self,
+        leader: &NodeId,
+        unreachable: &BTreeSet<NodeId>,
+    ) -> Option<&NodeId> {
         if self.is_safe(leader, unreachable) {
             return None;
         }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -16,7 +16,7 @@
 pub struct ReplyTo(pub u64);
 
 /// Reply id of a request whose answer is discarded.
-pub const NOBODY: ReplyTo = ReplyTo(0);
+pub const DISCARD_REPLY: ReplyTo = ReplyTo(0);
 
 /// Identifies a request that the core made.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -126,7 +126,7 @@
 
 impl Facts {
     /// The tightest completion objective of a class, in seconds, if there is one.
-    pub fn finish_s(&self, class: &str) -> Option<f64> {
+    pub fn finish_objective_s(&self, class: &str) -> Option<f64> {
         let objectives = self.finishes.iter().filter(|a| a.class == class);
         objectives.map(|a| a.within_s).reduce(f64::min)
     }
@@ -159,20 +159,20 @@
 
     /// Minimum interval between two steps with this many machines, in seconds, so that steps take no
     /// more than their share of the processor.
-    pub fn look_pause(&self, machines: usize) -> f64 {
+    pub fn step_interval(&self, machines: usize) -> f64 {
         machines as f64 * LOOK_S / (LOOK_SHARE * self.core_share)
     }
 
     /// How long after a cancellation a leader that doesn't know of it may still renew leases, in
     /// seconds, so that they expire before the cancelled tasks must be gone.
-    pub fn cancel_room(&self) -> f64 {
+    pub fn cancel_slack(&self) -> f64 {
         self.cancel_s * (1.0 - DRIFT) - self.lease_s * (1.0 + DRIFT) - CANCEL_MARGIN_S
     }
 
     /// Age of the replica, in seconds, beyond which a leader that the store serves may no longer
     /// act.
     pub fn replica_age_limit(&self) -> f64 {
-        self.cancel_room().max(WATCH_LAG_S)
+        self.cancel_slack().max(WATCH_LAG_S)
     }
 
     /// Age of the replica, in seconds, at which a leader that the store serves resigns.
@@ -196,7 +196,7 @@
     }
 
     /// The controller that workers try after this one: the next one by name, cyclically.
-    pub fn next_in_turn(&self) -> Option<&NodeId> {
+    pub fn next_controller(&self) -> Option<&NodeId> {
         let after = self.others.iter().filter(|o| **o > self.node).min();
         after.or_else(|| self.others.iter().min())
     }
--- a/crates/core/src/heartbeats/agent_epochs.rs
+++ b/crates/core/src/heartbeats/agent_epochs.rs
@@ -42,7 +42,7 @@
             .machines
             .entry(heartbeat.machine.clone())
             .or_insert_with(|| Machine::new(machine_record(heartbeat), now));
-        self.cloud_requests.heard(now, &heartbeat.machine);
+        self.cloud_requests.boot_finished(now, &heartbeat.machine);
         if machine.last_heard_at.is_none() {
             machine.apply_machine_type(self.cloud_requests.machine_type(&machine.info.kind));
         }
--- a/crates/core/src/heartbeats/outcomes.rs
+++ b/crates/core/src/heartbeats/outcomes.rs
@@ -129,11 +129,11 @@
             }
             Outcome::Error => {
                 machine.error_streak += u32::from(end.job_has_succeeded);
-                self.log.push(|| format!("event=failed task={task} machine={id}"));
+                self.log.debug(|| format!("event=failed task={task} machine={id}"));
             }
             Outcome::Refused => {
                 let why = end.why;
-                self.log.push(|| format!("event=refused task={task} machine={id} why={why:?}"));
+                self.log.debug(|| format!("event=refused task={task} machine={id} why={why:?}"));
             }
             Outcome::Lost => {}
         }
--- a/crates/core/src/heartbeats/tasks.rs
+++ b/crates/core/src/heartbeats/tasks.rs
@@ -87,7 +87,7 @@
             if !live.adopted && job.record.spec.kind == Kind::Array {
                 self.start_lag += (after - self.start_lag) * LAG_WEIGHT;
             }
-            self.log.push(|| format!("event=runs task={task} machine={id} after_s={after:.1}"));
+            self.log.debug(|| format!("event=runs task={task} machine={id} after_s={after:.1}"));
         }
         live.phase = Phase::Running;
         let ran_from = *live.ran_from.get_or_insert(now);
@@ -105,7 +105,7 @@
 
     /// Records an attempt that isn't needed, so that it gets stopped.
     fn note_unneeded_attempt(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=stranger task={task} attempt={} machine={id} term={}",
                 attempt.0, self.term.0
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -347,9 +347,9 @@
 
     /// Notes that a task has run for `run` seconds.
     ///
-    /// A service never completes, so a replica that ran for longer than [`SERVES_S`] counts as
-    /// a success. Otherwise two machine failures in the service's lifetime would make it look
-    /// broken, and lost replicas would not be replaced while the others serve.
+    /// A service never completes, so a replica that ran for longer than [`SERVES_S`]
+    /// counts as a success. Otherwise two machine failures in the service's lifetime would make it
+    /// look broken, and lost replicas would not be replaced while the others serve.
     pub fn note_run_time(&mut self, run: Secs) {
         self.start_counted |= run > CONSOLIDATE_AGE_S;
         if self.spec().kind == Kind::Service && run > SERVES_S {
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,6 +1,6 @@
 //! The state of the leader and its event handlers. The rest of the leader is in these modules:
-//! `recover` (takeover), `heartbeats`, `orders` and `direct_results` (communication with workers),
-//! `attempts` and `revocation` (which attempts may run), `place`, `gangs` and `preempt`
+//! `recover` (takeover), `heartbeats`, `worker_commands` and `direct_results` (communication with
+//! workers), `attempts` and `revocation` (which attempts may run), `place`, `gangs` and `preempt`
 //! (placement), `writer` (records), `cloud_requests`, `provision` and `deprovision` (machines).
 
 use crate::cascade::CascadeLists;
@@ -17,7 +17,7 @@
 use crate::fleet::Machines;
 use crate::jobs::Job;
 use crate::log::Log;
-use crate::place::{Demand, QueueSnapshot};
+use crate::place::{ImageDemand, QueueSnapshot};
 use crate::recover::Loading;
 use crate::replica::{Change, Replica};
 use crate::revocation::RevocationCounters;
@@ -35,9 +35,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
     /// The answer belongs to another part.
-    NotOurs,
+    Unrelated,
     /// The answer belongs to this part.
-    Ours,
+    Handled,
     /// The answer belongs to this part and shows that another controller leads.
     NotLeading,
 }
@@ -82,7 +82,7 @@
     /// The waiting tasks as of the last placement pass.
     pub(crate) queue_snapshot: QueueSnapshot,
     /// The demand of waiting arrays for each image, as of the last placement pass.
-    pub(crate) images: HashMap<String, Demand>,
+    pub(crate) image_demand: HashMap<String, ImageDemand>,
     /// Average time from the placement of an array's task until it runs, including the image fetch,
     /// seconds.
     pub(crate) start_lag: Secs,
@@ -91,7 +91,7 @@
     /// When this controller was elected.
     elected_at: Secs,
     /// Since when this process has been scheduled on a processor without delay.
-    pub(crate) prompt_since: Secs,
+    pub(crate) unstalled_since: Secs,
     pub(crate) next_push: Secs,
     pub(crate) writer: Writer,
     pub(crate) cloud_requests: CloudRequests,
@@ -148,12 +148,12 @@
             backlog: true,
             least_cpus: f64::INFINITY,
             queue_snapshot: QueueSnapshot::default(),
-            images: HashMap::new(),
+            image_demand: HashMap::new(),
             start_lag: 0.0,
             next_step: 0.0,
             next_sweep: 0.0,
             elected_at: now,
-            prompt_since: now,
+            unstalled_since: now,
             next_push: 0.0,
             recovering: true,
             place_due: true,
@@ -187,14 +187,14 @@
         if now < self.next_step {
             return;
         }
-        self.next_step = now + STEP_EVERY_S.max(self.facts.look_pause(self.machines.len()));
+        self.next_step = now + STEP_EVERY_S.max(self.facts.step_interval(self.machines.len()));
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP_EVERY_S;
             self.expire_leases(now);
             self.check_recovered(now);
-            self.drain_noticed(now);
+            self.drain_machines_with_notice(now);
             self.probe_doubtful_machines(now);
-            self.unplace(now);
+            self.withdraw_unsent_starts(now);
             self.revoke_unconfirmed_starts(now, out);
             self.log_unconfirmed_starts(now);
         }
@@ -223,7 +223,7 @@
                 if !Self::written_for_transfer(id, replica) {
                     self.writer.saw_user_changes(1.0);
                 }
-                self.learn_job(now, wall_ms, id, replica);
+                self.apply_job_record(now, wall_ms, id, replica);
             }
             Change::Cancelled(id) => {
                 self.writer.saw_user_changes(2.0);
@@ -232,7 +232,7 @@
             Change::All => {
                 let ids: Vec<JobId> = replica.specs.keys().cloned().collect();
                 for id in ids {
-                    self.learn_job(now, wall_ms, &id, replica);
+                    self.apply_job_record(now, wall_ms, &id, replica);
                 }
                 for id in replica.cancelled() {
                     self.cancel(now, id);
@@ -250,12 +250,18 @@
     }
 
     /// Adds or updates a job from the replica.
-    pub(crate) fn learn_job(&mut self, now: Secs, wall_ms: u64, id: &JobId, replica: &Replica) {
+    pub(crate) fn apply_job_record(
+        &mut self,
+        now: Secs,
+        wall_ms: u64,
+        id: &JobId,
+        replica: &Replica,
+    ) {
         let Some((record, version)) = replica.specs.get(id) else {
             return;
         };
         if self.jobs.contains_key(id) {
-            return self.learn_record(now, record, *version);
+            return self.apply_spec_record(now, record, *version);
         }
         self.add_job(now, wall_ms, record.clone(), *version, replica.is_cancelled(id));
         self.track_dependencies(now, id, replica);
@@ -282,10 +288,10 @@
         let mut job = Job::new(record, version, now - age, &self.facts.tuning, &mut self.rng);
         job.cancelled = cancelled;
         job.has_objective = self.facts.aimed(&job.spec().class);
-        job.finish_objective_s = self.facts.finish_s(&job.spec().class);
+        job.finish_objective_s = self.facts.finish_objective_s(&job.spec().class);
         job.start_within = self.facts.start_within(&job.spec().class);
-        self.cloud_requests.saw_job(now, job.spec());
-        self.log.push(|| {
+        self.cloud_requests.record_arrival(now, job.spec());
+        self.log.debug(|| {
             format!(
                 "event=known job={id} kind={:?} rank={:?} tasks={} age_s={age:.1} term={}",
                 job.spec().kind,
@@ -299,7 +305,7 @@
             self.writer.close(&id, now);
         }
         self.jobs.insert(id.clone(), job);
-        self.learn_forward(now, &id);
+        self.apply_forward(now, &id);
         self.place_due = true;
     }
 
@@ -341,12 +347,12 @@
             return true;
         }
         let mut outcome = self.fencing_token_answered(now, op, &result, out);
-        if outcome == WriteOutcome::NotOurs {
+        if outcome == WriteOutcome::Unrelated {
             outcome = self.cells_written(now, wall_ms, op, &result, replica, out);
         }
         match outcome {
-            WriteOutcome::NotOurs => self.written(now, op, result, out),
-            WriteOutcome::Ours => true,
+            WriteOutcome::Unrelated => self.written(now, op, result, out),
+            WriteOutcome::Handled => true,
             WriteOutcome::NotLeading => false,
         }
     }
@@ -373,7 +379,7 @@
         let mut updates = Vec::new();
         for (id, job) in &self.jobs {
             let local_counts = TaskCounts { done: job.finished.len(), running: job.running() };
-            let counts = self.counts_elsewhere(id).unwrap_or(local_counts);
+            let counts = self.remote_task_counts(id).unwrap_or(local_counts);
             if self.progress_sent.get(id) != Some(&counts) {
                 self.progress_sent.insert(id.clone(), counts);
                 updates.push(JobCounts { job: id.clone(), counts });
@@ -397,7 +403,7 @@
         // Answers to the direct commands of a new leader count as contact, and workers may then
         // wait for their previous leader until they give up on it. A leader that resigned after 3.5
         // s left its workers' leases to expire.
-        if !self.prompt_for(now, silence_limit) || now - self.elected_at < GONE_AFTER_S {
+        if !self.unstalled_for(now, silence_limit) || now - self.elected_at < GONE_AFTER_S {
             return false;
         }
         let mut unreachable = 0;
@@ -425,13 +431,13 @@
 
     /// Whether this process has been scheduled without delay for at least `span` seconds. Before
     /// that, silence doesn't show that the others are unreachable.
-    pub(crate) fn prompt_for(&self, now: Secs, span: Secs) -> bool {
-        now - self.prompt_since > span
+    pub(crate) fn unstalled_for(&self, now: Secs, span: Secs) -> bool {
+        now - self.unstalled_since > span
     }
 
     /// Records that a step ran late.
     pub fn note_late_step(&mut self, now: Secs) {
-        self.prompt_since = now;
+        self.unstalled_since = now;
     }
 
     /// CPUs and GPUs that the tasks of each team use or may use.
--- a/crates/core/src/log.rs
+++ b/crates/core/src/log.rs
@@ -50,7 +50,7 @@
     }
 
     /// Adds a debug line, if these are enabled.
-    pub fn push(&mut self, line: impl FnOnce() -> String) {
+    pub fn debug(&mut self, line: impl FnOnce() -> String) {
         if self.debug_enabled {
             self.lines.push(LogLine { level: Level::Debug, text: line() });
         }
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -28,10 +28,10 @@
         if self.facts.others.is_empty() {
             return Some((term, lease_until));
         }
-        let (known_at, cancel_room) = (self.known_at(), self.facts.cancel_room());
+        let (known_at, cancel_slack) = (self.known_at(), self.facts.cancel_slack());
         // While the state service answers, its watch may still take a while to deliver what is new.
         let served_until = lease_until.min(known_at + self.facts.replica_age_limit());
-        let refused_until = pledged_until.min(known_at + cancel_room);
+        let refused_until = pledged_until.min(known_at + cancel_slack);
         Some((term, served_until.max(refused_until)))
     }
 
@@ -146,7 +146,7 @@
         }
         // The other controller must be well placed also by what was heard in the last seconds.
         let unreachable = self.unreachable_for(now, HEARTBEAT_FRESH_S);
-        let better = self.placement.better(&self.facts.node, &unreachable)?;
+        let better = self.placement.better_placed_leader(&self.facts.node, &unreachable)?;
         let served = self.peers.get(better).is_some_and(|peer| peer.store_ok);
         // A controller that recently gave up its leadership may have done so because its workers
         // couldn't reach it.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -174,7 +174,7 @@
         match event {
             Event::User(to, UserRequest::Health) => self.handle_health_request(now, to),
             Event::User(to, req) => self.with_user_api(now, wall_ms, |user_api, context, out| {
-                user_api.ask(context, to, req, out)
+                user_api.handle_request(context, to, req, out)
             }),
             Event::Heartbeat(to, heartbeat) => self.handle_heartbeat(now, to, heartbeat),
             Event::Store(op, result) => self.handle_store_result(now, wall_ms, op, result),
@@ -233,7 +233,7 @@
         let hears_peers = self.peers.values().any(|peer| now - peer.heard_at < HEARTBEAT_FRESH_S);
         self.election.note_peer_heard(now, hears_peers);
         self.election.note_next_unreachable(
-            hears_peers && !self.recently_heard(now, self.facts.next_in_turn()),
+            hears_peers && !self.recently_heard(now, self.facts.next_controller()),
         );
         let leadership_change = self.election.tick(now, &self.replica, &mut self.out);
         self.change_leadership(now, leadership_change);
@@ -306,7 +306,7 @@
             facts: &self.facts,
             replica: &self.replica,
             types: self.types.as_deref().or(self.replica.types.as_deref()),
-            store_bad: self.store_failures >= STORE_BAD_AFTER,
+            store_unavailable: self.store_failures >= STORE_BAD_AFTER,
             // The version gate: dependencies are allowed only once every controller runs a version
             // that supports them, as a leader of an older version would start such a job at once.
             dependencies_allowed,
@@ -362,7 +362,7 @@
         }
         let mut handled = false;
         self.with_user_api(now, wall_ms, |user_api, context, out| {
-            handled = user_api.store(context, op, &result, out)
+            handled = user_api.handle_store_result(context, op, &result, out)
         });
         if handled {
             return;
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -79,10 +79,10 @@
         self.out.actions.push(Action::CellReply(to, answer));
         self.with_user_api(now, wall_ms, |user_api, context, out| {
             for job in work.cancel {
-                user_api.ask(context, NOBODY, UserRequest::Cancel(job), out);
+                user_api.handle_request(context, DISCARD_REPLY, UserRequest::Cancel(job), out);
             }
             for job in work.read_end {
-                user_api.learn_end(job, out);
+                user_api.read_final_state(job, out);
             }
         });
     }
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -63,7 +63,7 @@
             job.waits_for_dependencies = waits;
         }
         self.inherit_urgency(id);
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=dependencies job={id} named={} waits={waits} term={}",
                 dependencies.len(),
@@ -163,7 +163,7 @@
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.dependencies_done(now);
             self.place_due = true;
-            self.log.push(|| format!("event=dependencies_done job={id} term={}", self.term.0));
+            self.log.debug(|| format!("event=dependencies_done job={id} term={}", self.term.0));
         }
     }
 
@@ -318,7 +318,7 @@
                 return true;
             }
             CascadeOutcome::Removed => {
-                self.log.push(|| format!("event=cascade_list_removed term={}", self.term.0));
+                self.log.debug(|| format!("event=cascade_list_removed term={}", self.term.0));
                 return true;
             }
         }
@@ -357,7 +357,7 @@
         let Some(job) = self.jobs.get(id) else { return };
         let tasks = job.spec().tasks;
         let size = self.dependencies.waiting_count();
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=cascade_cancelled job={id} tasks={tasks} waiting={size} term={}",
                 self.term.0
--- a/crates/core/src/place/assign.rs
+++ b/crates/core/src/place/assign.rs
@@ -68,7 +68,7 @@
             self.writer.touch_task(id, index, pass.now, true);
         }
         if spec.kind == Kind::Array
-            && let Some(demand) = self.images.get_mut(&spec.image)
+            && let Some(demand) = self.image_demand.get_mut(&spec.image)
         {
             demand.waiting -= spec.cpus;
         }
@@ -101,7 +101,7 @@
         else {
             return;
         };
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=place task={id}/{index} attempt={} machine={machine} image={} \
                  fetch_s={fetch:.1} term={}",
@@ -116,7 +116,7 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.direct_send_due = true;
         if machine.expect_image(&spec.image, spec.image_gb, pass.now)
-            && let Some(demand) = self.images.get_mut(&spec.image)
+            && let Some(demand) = self.image_demand.get_mut(&spec.image)
         {
             demand.holders += machine.size[0];
         }
--- a/crates/core/src/place/bound_to_cell.rs
+++ b/crates/core/src/place/bound_to_cell.rs
@@ -26,7 +26,7 @@
     /// one such array is served at a time, so that services lose at most one place.
     pub(super) fn place_starved_array(&mut self, pass: &mut SchedulingPass) {
         let Some(cells) = &self.cells else { return };
-        let served = cells.served_first.as_ref().and_then(|id| self.jobs.get(id));
+        let served = cells.starved_array.as_ref().and_then(|id| self.jobs.get(id));
         if pass.available.is_empty() || served.is_some_and(|job| !job.live.is_empty()) {
             return;
         }
@@ -37,9 +37,9 @@
         if !self.place_task(pass, &id, index, ImagePolicy::Any) {
             return;
         }
-        self.log.push(|| format!("event=served_first job={id}"));
+        self.log.debug(|| format!("event=served_first job={id}"));
         if let Some(cells) = &mut self.cells {
-            cells.served_first = Some(id);
+            cells.starved_array = Some(id);
         }
     }
 
--- a/crates/core/src/place/image_demand.rs
+++ b/crates/core/src/place/image_demand.rs
@@ -11,7 +11,7 @@
 
 /// The demand for an image, in CPUs.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct Demand {
+pub(crate) struct ImageDemand {
     /// CPUs that waiting array tasks need.
     pub(crate) waiting: f64,
     /// Total CPUs of the machines that have the image or are fetching it.
@@ -20,7 +20,7 @@
     pub(crate) held_by_services: f64,
 }
 
-impl Demand {
+impl ImageDemand {
     /// The same demand, counting only the holder CPUs that arrays use or could use.
     fn without_services(self) -> Self {
         let holders = (self.holders - self.held_by_services).max(0.0);
@@ -34,7 +34,7 @@
     machines: &Machines,
     now: Secs,
     heartbeat_interval_s: f64,
-) -> HashMap<String, Demand> {
+) -> HashMap<String, ImageDemand> {
     let mut images = waiting_demand(jobs);
     if !images.is_empty() {
         count_holders(&mut images, machines, now, heartbeat_interval_s);
@@ -43,8 +43,8 @@
 }
 
 /// The CPUs that waiting array tasks need, by image.
-fn waiting_demand(jobs: &Jobs) -> HashMap<String, Demand> {
-    let mut images: HashMap<String, Demand> = HashMap::new();
+fn waiting_demand(jobs: &Jobs) -> HashMap<String, ImageDemand> {
+    let mut images: HashMap<String, ImageDemand> = HashMap::new();
     for job in jobs.values().filter(|job| job.spec().kind == Kind::Array) {
         let waiting = f64::from(job.waiting()) * job.spec().cpus;
         if waiting <= 0.0 {
@@ -53,7 +53,7 @@
         match images.get_mut(&job.spec().image) {
             Some(demand) => demand.waiting += waiting,
             None => {
-                let demand = Demand { waiting, ..Demand::default() };
+                let demand = ImageDemand { waiting, ..ImageDemand::default() };
                 images.insert(job.spec().image.clone(), demand);
             }
         }
@@ -63,7 +63,7 @@
 
 /// Adds the machines that have each image or are fetching it.
 fn count_holders(
-    images: &mut HashMap<String, Demand>,
+    images: &mut HashMap<String, ImageDemand>,
     machines: &Machines,
     now: Secs,
     heartbeat_interval_s: f64,
@@ -85,7 +85,12 @@
 ///
 /// `likely_run` is the task's expected run time in seconds; `fetch_rate` is the highest rate of all
 /// machine types, in GB/s.
-fn fetch_is_worthwhile(spec: &JobSpec, likely_run: f64, demand: Demand, fetch_rate: f64) -> bool {
+fn fetch_is_worthwhile(
+    spec: &JobSpec,
+    likely_run: f64,
+    demand: ImageDemand,
+    fetch_rate: f64,
+) -> bool {
     let fetch = spec.image_gb / fetch_rate.max(1e-3);
     let becoming_free = demand.holders * fetch / likely_run.max(0.1);
     demand.waiting > becoming_free * HOLDERS_FREE_SHARE
@@ -103,12 +108,12 @@
     /// haven't waited, makes a fleet with spare capacity fetch more and lowers the measured results
     /// by 0.01.
     pub(crate) fn worth_fetch_after_wait(&self, id: &JobId) -> bool {
-        self.fetch_is_worthwhile_for(id, Demand::without_services)
+        self.fetch_is_worthwhile_for(id, ImageDemand::without_services)
     }
 
-    fn fetch_is_worthwhile_for(&self, id: &JobId, counted: fn(Demand) -> Demand) -> bool {
+    fn fetch_is_worthwhile_for(&self, id: &JobId, counted: fn(ImageDemand) -> ImageDemand) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
-        let Some(demand) = self.images.get(&job.spec().image) else { return true };
+        let Some(demand) = self.image_demand.get(&job.spec().image) else { return true };
         let rates = self.cloud_requests.types.iter().map(|t| t.fetch_gb_per_s);
         let fetch_rate = rates.fold(0.0, f64::max);
         fetch_is_worthwhile(job.spec(), job.likely_run(), counted(*demand), fetch_rate)
--- a/crates/core/src/place/mod.rs
+++ b/crates/core/src/place/mod.rs
@@ -22,7 +22,7 @@
 mod services;
 
 pub(crate) use candidates::{fits, machine_allowed, matches_spec};
-pub(crate) use image_demand::Demand;
+pub(crate) use image_demand::ImageDemand;
 pub(crate) use pass::{ImagePolicy, PreemptionReason, RequestShape, SchedulingPass};
 pub(crate) use queues::QueueSnapshot;
 pub(crate) use quota::exceeds_limit;
@@ -44,7 +44,7 @@
             return;
         }
         if only_machine.is_none() {
-            self.images =
+            self.image_demand =
                 image_demand(&self.jobs, &self.machines, now, self.facts.heartbeat_interval_s);
             self.queue_snapshot = QueueSnapshot::of(&self.jobs);
         }
--- a/crates/core/src/preempt/mod.rs
+++ b/crates/core/src/preempt/mod.rs
@@ -64,7 +64,7 @@
         pass.unplaceable.clear();
         for victim in &plan.victims {
             let machine = &plan.machine;
-            self.log.push(|| format!("event=preempt task={victim} for={id} machine={machine}"));
+            self.log.debug(|| format!("event=preempt task={victim} for={id} machine={machine}"));
             self.preempt(pass.now, victim);
             self.count_preempted(pass, victim);
         }
--- a/crates/core/src/preempt/quota.rs
+++ b/crates/core/src/preempt/quota.rs
@@ -54,7 +54,7 @@
                 break;
             }
             (0..2).for_each(|i| excess[i] -= frees[i]);
-            self.log.push(|| format!("event=preempt task={task} for={id} why=limit"));
+            self.log.debug(|| format!("event=preempt task={task} for={id} why=limit"));
             self.preempt(now, &task);
         }
     }
--- a/crates/core/src/provision/mod.rs
+++ b/crates/core/src/provision/mod.rs
@@ -194,7 +194,7 @@
         }
         let request = self.cloud_requests.new_request_name(self.term);
         let MachineOffer { machine_type: kind, zone, spot } = offer;
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=rent request={request} type={kind} zone={zone} spot={spot} count={count}"
             )
--- a/crates/core/src/provision/warm_reserve.rs
+++ b/crates/core/src/provision/warm_reserve.rs
@@ -44,9 +44,9 @@
             class.arrivals.retain(|at| now - at < RATE_WINDOW_S);
             // Tasks already waiting at the start are a backlog, not an arrival rate.
             let rate = class.arrivals.len() as f64 / RATE_WINDOW_S;
-            let lead = boot + class.shape.image_gb / fetch_rate.max(1e-3);
+            let lead = boot + class.newest_spec.image_gb / fetch_rate.max(1e-3);
             let tasks = (rate * lead * self.facts.tuning.warm_factor).max(WARM_MIN).ceil();
-            wanted.push(Shortage { spec: class.shape.clone(), tasks: tasks as u32 });
+            wanted.push(Shortage { spec: class.newest_spec.clone(), tasks: tasks as u32 });
         }
         wanted
     }
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -107,7 +107,7 @@
         let Some(l) = self.loading.take() else { return };
         let ids: Vec<JobId> = replica.specs.keys().cloned().collect();
         for id in &ids {
-            self.learn_job(now, wall_ms, id, replica);
+            self.apply_job_record(now, wall_ms, id, replica);
         }
         for item in l.progress_items {
             let Some((id, part)) = parse_progress_key(&item.key) else {
@@ -159,7 +159,7 @@
         let recorded = self.jobs.values().filter_map(|j| j.machines.bounds()).map(|(_, last)| last);
         self.next_number = recorded.fold(self.next_number, u32::max);
         self.apply_machine_types();
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=loaded term={} jobs={} machines={}",
                 self.term.0,
@@ -200,11 +200,11 @@
         }
         if freed > 0 {
             self.place_due = true;
-            self.log.push(|| format!("event=freed term={} tasks={freed}", self.term.0));
+            self.log.debug(|| format!("event=freed term={} tasks={freed}", self.term.0));
         }
         if unaccounted.is_empty() {
             self.recovering = false;
-            self.log.push(|| format!("event=recovered term={}", self.term.0));
+            self.log.debug(|| format!("event=recovered term={}", self.term.0));
         }
     }
 }
--- a/crates/core/src/revocation.rs
+++ b/crates/core/src/revocation.rs
@@ -197,8 +197,8 @@
         out: &mut ActionSink,
     ) -> WriteOutcome {
         match self.fencing.handle_answer(now, op, result, out) {
-            RaiseOutcome::Unrelated => WriteOutcome::NotOurs,
-            RaiseOutcome::Pending => WriteOutcome::Ours,
+            RaiseOutcome::Unrelated => WriteOutcome::Unrelated,
+            RaiseOutcome::Pending => WriteOutcome::Handled,
             RaiseOutcome::NotLeading => WriteOutcome::NotLeading,
             RaiseOutcome::Raised(token) => {
                 self.revocations.raised += 1;
@@ -210,7 +210,7 @@
                     )
                 });
                 self.revoke_unconfirmed_starts(now, out);
-                WriteOutcome::Ours
+                WriteOutcome::Handled
             }
         }
     }
@@ -234,7 +234,7 @@
         let sent = sent.into_iter().flat_map(|sent| &sent.starts);
         let pending = sent.filter_map(|(task, _)| self.jobs.get(&task.job)?.cancelled_at);
         let Some(cancelled_at) = cancelled.chain(pending).reduce(f64::min) else { return true };
-        let renewable_until = cancelled_at + self.facts.cancel_room();
+        let renewable_until = cancelled_at + self.facts.cancel_slack();
         if now <= renewable_until {
             return true;
         }
--- a/crates/core/src/tests/placement.rs
+++ b/crates/core/src/tests/placement.rs
@@ -38,7 +38,7 @@
         let long = placement(3, interval_s, lease_s);
         for leader in 0..3 {
             assert!(long.is_safe(&node(leader), &nodes(&[(leader + 1) % 3])), "{lease_s}");
-            assert_eq!(long.better(&node(leader), &nodes(&[(leader + 1) % 3])), None);
+            assert_eq!(long.better_placed_leader(&node(leader), &nodes(&[(leader + 1) % 3])), None);
         }
     }
 }
@@ -49,15 +49,15 @@
     let short = placement(3, 2.0, 12.0);
     for down in 0..3 {
         let (before, after) = (node((down + 2) % 3), node((down + 1) % 3));
-        assert_eq!(short.better(&before, &nodes(&[down])), Some(&after), "{down}");
-        assert_eq!(short.better(&after, &nodes(&[down])), None, "{down}");
+        assert_eq!(short.better_placed_leader(&before, &nodes(&[down])), Some(&after), "{down}");
+        assert_eq!(short.better_placed_leader(&after, &nodes(&[down])), None, "{down}");
     }
 }
 
 #[test]
 fn no_controller_is_preferred_if_all_others_are_unreachable() {
     let short = placement(3, 2.0, 12.0);
-    assert_eq!(short.better(&node(0), &nodes(&[1, 2])), None);
+    assert_eq!(short.better_placed_leader(&node(0), &nodes(&[1, 2])), None);
 }
 
 #[test]
@@ -68,9 +68,9 @@
     let unreachable = nodes(&[1, 2]);
     assert!(!short.is_safe(&node(0), &unreachable));
     assert!(short.is_safe(&node(3), &unreachable) && short.is_safe(&node(4), &unreachable));
-    assert_eq!(short.better(&node(0), &unreachable), Some(&node(3)));
+    assert_eq!(short.better_placed_leader(&node(0), &unreachable), Some(&node(3)));
     // Three consecutive unreachable controllers outlast a lease of 22 s; other leaders are safe.
     let long = placement(5, 4.0, 22.0);
     assert!(!long.is_safe(&node(0), &nodes(&[1, 2, 3])));
-    assert_eq!(long.better(&node(0), &nodes(&[1, 2, 3])), Some(&node(4)));
+    assert_eq!(long.better_placed_leader(&node(0), &nodes(&[1, 2, 3])), Some(&node(4)));
 }
--- a/crates/core/src/tests/provision.rs
+++ b/crates/core/src/tests/provision.rs
@@ -4,7 +4,7 @@
 
 use crate::facts::{Facts, Tuning};
 use crate::jobs::{Live, Phase};
-use crate::place::Demand;
+use crate::place::ImageDemand;
 use marblebarrow_proto::ids::{Attempt, JobId, MachineId, NodeId, Term};
 use marblebarrow_proto::job::Priority;
 use marblebarrow_proto::records::SpecRecord;
@@ -139,7 +139,9 @@
     let mut leader = leader(0, 10, false);
     let id = JobId::new("req-000002");
     for (waiting, holders, worth) in [(10.0, 0.0, true), (10.0, 16.0, true), (10.0, 800.0, false)] {
-        leader.images.insert("i".into(), Demand { waiting, holders, ..Demand::default() });
+        leader
+            .image_demand
+            .insert("i".into(), ImageDemand { waiting, holders, ..ImageDemand::default() });
         assert_eq!(leader.worth_fetch(&id), worth, "{waiting} {holders}");
     }
 }
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -16,7 +16,7 @@
 use crate::consts::*;
 use crate::dependency_check::{DependencyCheck, FinalState};
 use crate::event::{
-    ActionSink, Answer, NOBODY, OpId, ReplyTo, Secs, StoreRequest, StoreResult, TaskCounts,
+    ActionSink, Answer, DISCARD_REPLY, OpId, ReplyTo, Secs, StoreRequest, StoreResult, TaskCounts,
     UserRequest,
 };
 use crate::facts::Facts;
@@ -111,7 +111,7 @@
     /// The machine types that the cloud offers, if known.
     pub types: Option<&'a [MachineType]>,
     /// Whether the store is refusing this controller's requests.
-    pub store_bad: bool,
+    pub store_unavailable: bool,
     /// Whether submissions may name DAG dependencies: only once every controller runs a version
     /// that supports them.
     pub dependencies_allowed: bool,
@@ -147,7 +147,7 @@
 
 impl UserApi {
     /// Handles a user's request; the answer goes to `to`.
-    pub fn ask(
+    pub fn handle_request(
         &mut self,
         context: &RequestContext<'_>,
         to: ReplyTo,
@@ -163,8 +163,8 @@
     }
 
     /// Reads a job's final state from the store and remembers it.
-    pub fn learn_end(&mut self, id: JobId, out: &mut ActionSink) {
-        self.read_end(id, NOBODY, OnMissing::Retry, out);
+    pub fn read_final_state(&mut self, id: JobId, out: &mut ActionSink) {
+        self.read_end(id, DISCARD_REPLY, OnMissing::Retry, out);
     }
 
     /// The remembered final state of a job, which is confirmed to be in the store.
@@ -178,7 +178,7 @@
     }
 
     /// Handles a store reply if it belongs to a request of the user API. Returns whether it did.
-    pub fn store(
+    pub fn handle_store_result(
         &mut self,
         context: &RequestContext<'_>,
         op: OpId,
--- a/crates/core/src/user_api/cancellations.rs
+++ b/crates/core/src/user_api/cancellations.rs
@@ -24,7 +24,7 @@
         if self.cascaded(context).contains(&id) {
             return out.reply(to, Answer::Job(200, cancelled_status(id)));
         }
-        if context.store_bad {
+        if context.store_unavailable {
             return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
         }
         if self.writes >= USER_WRITES_MAX {
--- a/crates/core/src/user_api/polls.rs
+++ b/crates/core/src/user_api/polls.rs
@@ -45,7 +45,7 @@
         if self.cascaded(context).contains(&id) {
             return out.reply(to, Answer::Job(200, cancelled_status(id)));
         }
-        if context.store_bad || !context.replica.synced {
+        if context.store_unavailable || !context.replica.synced {
             return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
         }
         if self.polls.len() >= POLLS_MAX {
--- a/crates/core/src/user_api/submissions.rs
+++ b/crates/core/src/user_api/submissions.rs
@@ -29,7 +29,7 @@
         if self.cascaded(context).contains(&spec.id) {
             return out.reply(to, Answer::Job(200, cancelled_status(spec.id)));
         }
-        if context.store_bad || !context.replica.synced {
+        if context.store_unavailable || !context.replica.synced {
             return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
         }
         if context.replica.specs.contains_key(&spec.id) {
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/worker_commands.rs
@@ -110,7 +110,7 @@
             return;
         }
         let (term, starts, knowledge) = (self.term.0, starts.len(), self.knowledge);
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=commands machine={id} commands={commands} starts={starts} term={term} \
                  revision={} known_at_s={:.2} authority_until_s={:.2}",
@@ -244,7 +244,7 @@
                 m.probe_due = false;
                 m.confirmed = true;
             }
-            self.log.push(|| format!("event=lapsed machine={id} term={}", self.term.0));
+            self.log.debug(|| format!("event=lapsed machine={id} term={}", self.term.0));
             self.lose_tasks(&id, now);
         }
     }
--- a/crates/core/src/writer/answers.rs
+++ b/crates/core/src/writer/answers.rs
@@ -170,10 +170,10 @@
         }
         self.terminal_states.push((id.clone(), EndRecord { cancelled, tasks }));
         if job.record.origin.is_some() {
-            self.guest_over(id, cancelled);
+            self.record_guest_end(id, cancelled);
         }
         self.dependency_finished(now, id, cancelled);
-        self.log.push(|| format!(
+        self.log.debug(|| format!(
             "event=closed job={id} cancelled={cancelled} after_s={:.1} due_s={:.1} tasks={tasks} mean_s={:.1} guess_s={:.1} term={}",
             now - job.arrived,
             job.spec().deadline_s.unwrap_or(0.0),
--- a/crates/core/tests/log.rs
+++ b/crates/core/tests/log.rs
@@ -28,7 +28,7 @@
 #[test]
 fn disabled_debug_lines_are_not_formatted() {
     let mut log = Log::new(false);
-    log.push(|| unreachable!("debug lines are disabled"));
+    log.debug(|| unreachable!("debug lines are disabled"));
     assert!(log.take().is_empty());
 }
 
--- a/crates/core/tests/stuck_watch.rs
+++ b/crates/core/tests/stuck_watch.rs
@@ -99,7 +99,9 @@
             let api = &mut self.api;
             let request_context = context(&self.facts, &self.replica, self.now);
             match request.take() {
-                Some(request) => api.ask(&request_context, ReplyTo(1), request, &mut out),
+                Some(request) => {
+                    api.handle_request(&request_context, ReplyTo(1), request, &mut out)
+                }
                 None => api.tick(&request_context, &mut out),
             }
             self.now += STEP_S;
@@ -109,7 +111,7 @@
                     Action::Store(op, request) => {
                         let result = self.store(&request);
                         let request_context = context(&self.facts, &self.replica, self.now);
-                        self.api.store(&request_context, op, &result, &mut out);
+                        self.api.handle_store_result(&request_context, op, &result, &mut out);
                     }
                     other => panic!("{other:?}"),
                 }
@@ -167,7 +169,7 @@
         facts,
         replica,
         types: None,
-        store_bad: false,
+        store_unavailable: false,
         dependencies_allowed: true,
     }
 }
--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -264,15 +264,17 @@
         facts: &facts,
         replica,
         types: Some(&types),
-        store_bad: false,
+        store_unavailable: false,
         dependencies_allowed: !matches!(&request, UserRequest::Submit(s) if s.id == id(GATED)),
     };
     let mut out = ActionSink::default();
-    api.ask(&context, ReplyTo(1), request, &mut out);
+    api.handle_request(&context, ReplyTo(1), request, &mut out);
     loop {
         match out.actions.pop().expect("the user gets an answer") {
             Action::Reply(_, answer) => return answer,
-            Action::Store(op, request) => api.store(&context, op, &store(request), &mut out),
+            Action::Store(op, request) => {
+                api.handle_store_result(&context, op, &store(request), &mut out)
+            }
             other => panic!("{other:?}"),
         };
     }
@@ -424,8 +426,8 @@
     let dependent = ask(&mut api, &current, &mut store, submit(2, &[1]));
     assert_eq!(dependent, reply(201, 2, Stage::Cancelled, vec![]));
 
-    // `ask` doesn't advance the clock, and with a copy that is behind, a poll waits for the
-    // watch; so the requests are made step by step here.
+    // `handle_request` doesn't advance the clock, and with a copy that is behind, a poll waits for
+    // the watch; so the requests are made step by step here.
     let mut behind = UserApi::default();
     let (mut out, facts) = (ActionSink::default(), facts());
     let old = watched(vec![spec]);
@@ -436,10 +438,10 @@
             facts: &facts,
             replica: &old,
             types: None,
-            store_bad: false,
+            store_unavailable: false,
             dependencies_allowed: true,
         };
-        behind.ask(&context(now), ReplyTo(1), request, &mut out);
+        behind.handle_request(&context(now), ReplyTo(1), request, &mut out);
         let (mut at, mut answer) = (now, None);
         while answer.is_none() {
             at += 0.2;
@@ -450,7 +452,7 @@
                     Action::Reply(_, reply) => answer = Some(reply),
                     Action::Store(op, request) => {
                         let result = simulate_store(&mut store, request);
-                        behind.store(&context(at), op, &result, &mut out);
+                        behind.handle_store_result(&context(at), op, &result, &mut out);
                     }
                     other => panic!("{other:?}"),
                 }
