--- a/crates/core/src/consts/cascades.rs
+++ b/crates/core/src/consts/cascades.rs
@@ -19,12 +19,12 @@
 pub const CASCADE_READ_AFTER_S: f64 = 0.3;
 /// Delay before the check behind a poll is retried while the replica lacks the latest cascade, in
 /// seconds; 0.1 s makes ten requests a second.
-pub const CASCADE_LOOK_S: f64 = 0.1;
+pub const CASCADE_RECHECK_S: f64 = 0.1;
 /// Number of jobs queued for cancellation from which they are recorded in lists instead of one by
 /// one. With fewer jobs, individual writes take at most 16 changes, one second of the smallest
 /// store's rate, while lists cost three extra changes in total (the generation, a list and its
 /// removal). The operators' pipelines have 4 to 6 jobs.
-pub const CASCADE_LISTED_LEAST: usize = 9;
+pub const CASCADE_LIST_MIN_JOBS: usize = 9;
 /// Maximum number of cascade lists in one transaction. With the generation this makes five changes,
 /// the smallest transaction limit that was announced; the lists hold some 500 jobs.
 pub const CASCADE_LISTS_PER_TXN: usize = 4;
--- a/crates/core/src/consts/election.rs
+++ b/crates/core/src/consts/election.rs
@@ -18,24 +18,24 @@
 pub const DRIFT: f64 = 0.001;
 /// Number of heartbeat intervals without any worker heartbeat after which a leader, if several
 /// workers reported to it before, considers itself partitioned from them and resigns.
-pub const WORKERS_SILENT_HEARTBEATS: f64 = 1.3;
-/// Added to [`WORKERS_SILENT_HEARTBEATS`] intervals, in seconds.
-pub const WORKERS_SILENT_MARGIN_S: f64 = 0.6;
+pub const WORKERS_UNREACHABLE_HEARTBEATS: f64 = 1.3;
+/// Added to [`WORKERS_UNREACHABLE_HEARTBEATS`] intervals, in seconds.
+pub const WORKERS_UNREACHABLE_MARGIN_S: f64 = 0.6;
 /// A step that runs this many seconds late shows that the process had no processor time; heartbeats
 /// missed in that time say nothing about the other processes.
 pub const LATE_STEP_S: f64 = 0.25;
 /// Minimum number of workers that must have been heard from before the absence of all heartbeats
 /// counts as a partition of the leader.
-pub const WORKERS_SILENT_LEAST: usize = 3;
+pub const WORKERS_UNREACHABLE_MIN: usize = 3;
 /// How long a controller doesn't stand for election after it resigned, in seconds, so that another
 /// one can win.
-pub const RESIGNED_S: f64 = 8.0;
+pub const RESIGN_BACKOFF_S: f64 = 8.0;
 /// Extra delay before a controller that hears from no other controller stands for election, in
 /// seconds. If the others are alive, this controller is the partitioned one, and they stand within
 /// less than this. It must not be longer: with one controller down and the leader stalled, the
 /// third waited 4 s; hundreds of workers that contacted it meanwhile moved on to the controller
 /// that was down, and their leases expired.
-pub const ALONE_S: f64 = 1.0;
+pub const ISOLATED_DELAY_S: f64 = 1.0;
 /// Duration of a pledge not to stand for election, in seconds. A restarted process waits this long
 /// before it stands, so the value must stay short.
 pub const PLEDGE_S: f64 = 1.6;
@@ -55,10 +55,10 @@
 pub const WATCH_LAG_S: f64 = 4.5;
 /// A leader that the store serves but whose replica gets no updates resigns before the worker
 /// leases would have to run out. This is the lead time, as a share of the permitted replica age; it
-/// leaves room for an election. [`STALE_MOST_S`] caps it.
+/// leaves room for an election. [`STALE_MAX_S`] caps it.
 pub const STALE_SHARE: f64 = 0.4;
 /// Upper bound of the lead time given by [`STALE_SHARE`], in seconds.
-pub const STALE_MOST_S: f64 = 6.0;
+pub const STALE_MAX_S: f64 = 6.0;
 /// Share of the replica age at which a leader resigns that a watch may block; its answer may be
 /// late by the same share after that. The replica gets as old as two blocking times on a quiet
 /// store, and as two blocking times, the wait for a lost answer and a retry when one answer is
@@ -66,9 +66,9 @@
 pub const WATCH_TIMING_SHARE: f64 = 0.2;
 /// Maximum blocking time of a watch, in seconds: short, so that a watch stuck behind a partition is
 /// soon given up.
-pub const WATCH_BLOCK_MOST_S: f64 = 2.5;
+pub const WATCH_BLOCK_MAX_S: f64 = 2.5;
 /// Maximum wait for the answer of a watch beyond its blocking time, in seconds.
-pub const WATCH_SLACK_MOST_S: f64 = 1.5;
+pub const WATCH_SLACK_MAX_S: f64 = 1.5;
 /// Interval at which the leader asks for pledges while the store refuses its requests, in seconds.
 pub const PLEDGE_EVERY_S: f64 = 0.35;
 /// Upper bound of the random delay before a follower stands for election, in seconds, so that
@@ -78,7 +78,7 @@
 /// it is unreachable, in seconds. Workers without an answer try the controllers in turn. If this
 /// controller won and then stalled, workers would spend two timeouts before they reach the third
 /// controller, more than the shortest leases last.
-pub const NEXT_SILENT_S: f64 = 0.5;
+pub const NEXT_UNREACHABLE_DELAY_S: f64 = 0.5;
 /// Share of its interval by which a worker's heartbeat may be late (protocol page).
 pub const HEARTBEAT_JITTER: f64 = 0.25;
 /// Time that must remain on a worker's lease when the worker finds the leader, in seconds; it
--- a/crates/core/src/consts/fleet.rs
+++ b/crates/core/src/consts/fleet.rs
@@ -52,7 +52,7 @@
 /// the rest is a reserve for faults.
 pub const FINISH_SHARE: f64 = 0.6;
 /// Minimum billed time of a machine (protocol page), in seconds.
-pub const LEAST_BILL_S: f64 = 60.0;
+pub const MIN_BILLING_S: f64 = 60.0;
 /// Weight of the latest boot in the moving average of boot times. It is high because machines boot
 /// by the dozen and slow boots end as suddenly as they begin.
 pub const BOOT_WEIGHT: f64 = 0.3;
@@ -73,7 +73,7 @@
 /// bound limits the cost, as warm capacity is paid for also while boots are slow.
 pub const BOOT_WARM: (f64, f64) = (0.5, 2.0);
 /// A boot that takes more than this many times the usual one is given up.
-pub const BOOT_GIVE_UP: f64 = 4.0;
+pub const BOOT_TIMEOUT_FACTOR: f64 = 4.0;
 /// A zone that had no capacity isn't asked again for this long, in seconds.
 pub const NO_CAPACITY_S: f64 = 15.0;
 /// Minimum interval between two consolidations, which move replicas together to return a machine,
@@ -128,7 +128,7 @@
 pub const RUN_SPREAD: f64 = 2.0;
 /// Tasks with a start objective are due to start after this share of it, as a machine may have to
 /// fetch an image and some boots take longer.
-pub const START_AIM_SHARE: f64 = 0.5;
+pub const START_OBJECTIVE_SHARE: f64 = 0.5;
 /// Time between the end of a job's last task and the start of a dependent job, in seconds: the
 /// heartbeat that reports the end, the write of the final state, placement and the start command.
 /// Each stage of a pipeline takes this long in addition to its tasks.
@@ -139,11 +139,11 @@
 pub const RENT_SPREAD: f64 = 2.5;
 /// Minimum number of waiting tasks that a rental plan considers, as a job may have 100,000 tasks; a
 /// large fleet starts this many within a boot.
-pub const LAID_OUT_MIN: u32 = 4_000;
+pub const PROJECTED_TASKS_MIN: u32 = 4_000;
 /// Waiting tasks that a rental plan considers per CPU of the fleet: as many as start within two run
 /// times. With fewer, a backlog longer than a boot is never seen; a limit of 4,000 tasks for 8,800
 /// CPUs hid every one.
-pub const LAID_OUT_SHARE: f64 = 2.0;
+pub const PROJECTED_TASKS_SHARE: f64 = 2.0;
 /// A task that already runs longer than the mean is expected to take this share of the mean longer.
 pub const OVERDUE_SHARE: f64 = 0.3;
 /// Weight of a new sample in the moving average of the time from placement to running.
--- a/crates/core/src/consts/queues.rs
+++ b/crates/core/src/consts/queues.rs
@@ -42,10 +42,10 @@
 pub const PREEMPTIONS_PER_PASS: usize = 24;
 /// A job of which nothing has started for this long is placed ahead of all queues with one task, in
 /// seconds. Queue weights share the machines but don't guarantee that a job ever starts.
-pub const BEGIN_LATEST_S: f64 = 60.0;
+pub const FIRST_TASK_DEADLINE_S: f64 = 60.0;
 /// A job that has missed all its deadlines is placed last until this long after its arrival, in
 /// seconds; then in its normal order again.
-pub const MISSED_LAST_S: f64 = 120.0;
+pub const MISSED_DEADLINE_DELAY_S: f64 = 120.0;
 /// Maximum interval between two steps of a leader, in seconds; placement and commands need this
 /// rate.
 pub const LEADER_STEP_S: f64 = 0.05;
--- a/crates/core/src/consts/state_service.rs
+++ b/crates/core/src/consts/state_service.rs
@@ -42,7 +42,7 @@
 pub const REFUSALS_PER_HALVING: u32 = 3;
 /// Lower bound of the value limit that the writer falls back to after rejections, in bytes: a
 /// submission and a machine's record need about half of it.
-pub const VALUE_BYTES_LEAST: usize = 1024;
+pub const VALUE_BYTES_MIN: usize = 1024;
 /// Share of the store's change rate available to records that change only in their list of images;
 /// a new leader that lacks these fetches an image again. Without this limit, at 15 changes a second
 /// and six machines a block, a fleet of hundreds would use up the whole rate.
--- a/crates/core/src/consts/users.rs
+++ b/crates/core/src/consts/users.rs
@@ -12,7 +12,7 @@
 pub const RETRY_STORE_S: u32 = 1;
 /// `Retry-After` value for a cancellation that another cell must confirm, in seconds: that cell's
 /// leader is asked once a second and has to write its record.
-pub const RETRY_ELSEWHERE_S: u32 = 2;
+pub const RETRY_OTHER_CELL_S: u32 = 2;
 /// `Retry-After` value when this controller is overloaded, in seconds.
 pub const RETRY_FULL_S: u32 = 2;
 /// Number of final answers cached; others are read from the store. A fleet of four thousand
@@ -31,6 +31,6 @@
 pub const HEARTBEAT_FIRST_S: f64 = 0.3;
 /// Maximum transit time assumed for a peer's message, in seconds: a message received later than
 /// this after a watch update was sent after that update.
-pub const PEER_WORD_DELAY_S: f64 = 0.5;
+pub const PEER_REPORT_DELAY_S: f64 = 0.5;
 /// How long a peer's report on whether the store serves it is trusted, in seconds.
 pub const HEARTBEAT_FRESH_S: f64 = 2.5;
--- a/crates/core/src/consts/workers.rs
+++ b/crates/core/src/consts/workers.rs
@@ -4,16 +4,16 @@
 /// answer may leave a little after its time was noted.
 pub const LEASE_MARGIN_S: f64 = 0.5;
 /// A machine not heard from for this many heartbeat intervals gets no new tasks.
-pub const SILENT_HEARTBEATS: f64 = 2.5;
+pub const UNREACHABLE_HEARTBEATS: f64 = 2.5;
 /// How long a machine is kept after its lease expired, in seconds. Partitions end, and a machine
 /// that holds its images is worth more than a new one.
 pub const LAPSED_KEPT_S: f64 = 30.0;
 /// A spot machine that sends nothing for this many heartbeat intervals while others report is
 /// returned. Usually it was reclaimed by the cloud, and a completed release proves its tasks gone
 /// long before their lease does.
-pub const GONE_HEARTBEATS: f64 = 2.5;
-/// Added to [`GONE_HEARTBEATS`] intervals, in seconds.
-pub const GONE_MARGIN_S: f64 = 1.0;
+pub const PRESUMED_DEAD_HEARTBEATS: f64 = 2.5;
+/// Added to [`PRESUMED_DEAD_HEARTBEATS`] intervals, in seconds.
+pub const PRESUMED_DEAD_MARGIN_S: f64 = 1.0;
 /// Number of failed direct commands by a new leader after which a spot machine is returned,
 /// provided most others answered. Usually it was reclaimed by the cloud, and its jobs wait for
 /// proof that their tasks are gone.
@@ -22,23 +22,23 @@
 pub const PROBE_AGAIN_S: f64 = 0.8;
 /// A machine that reported before and sends nothing for this many heartbeat intervals is probed
 /// directly; heartbeats come within 1.25 intervals.
-pub const QUIET_HEARTBEATS: f64 = 1.3;
-/// Added to [`QUIET_HEARTBEATS`] intervals, in seconds.
-pub const QUIET_MARGIN_S: f64 = 0.6;
+pub const MISSED_HEARTBEAT_INTERVALS: f64 = 1.3;
+/// Added to [`MISSED_HEARTBEAT_INTERVALS`] intervals, in seconds.
+pub const MISSED_HEARTBEAT_MARGIN_S: f64 = 0.6;
 /// Number of direct probes that must fail before a machine that runs services is given up early.
-pub const QUIET_PROBES: u32 = 2;
+pub const FAILED_PROBES_MIN: u32 = 2;
 /// Window, in heartbeat intervals, in which a leader counts the machines heard from, to tell
 /// whether it receives heartbeats at all; each machine sends one per interval. See
-/// [`HEARING_SHARE`].
-pub const HEARING_HEARTBEATS: f64 = 0.6;
-/// Share of all machines that must have been heard from within [`HEARING_HEARTBEATS`] for the
+/// [`HEARD_NOW_SHARE`].
+pub const HEARD_NOW_HEARTBEATS: f64 = 0.6;
+/// Share of all machines that must have been heard from within [`HEARD_NOW_HEARTBEATS`] for the
 /// leader to be sure that it receives heartbeats: half of what is expected, as a part of the
 /// machines may have failed.
-pub const HEARING_SHARE: f64 = 0.3;
+pub const HEARD_NOW_SHARE: f64 = 0.3;
 /// Share of a zone's machines that must be unreachable for the zone to count as partitioned rather
 /// than its machines as failed, if there are other zones. The replicas of a partitioned zone serve
 /// on until their leases expire, and its machines are worth waiting for.
-pub const ZONE_CUT_SHARE: f64 = 0.5;
+pub const ZONE_PARTITION_SHARE: f64 = 0.5;
 /// Share of the direct commands in flight that may go to machines which did not answer the last
 /// one, so that many unreachable machines don't delay the others.
 pub const UNREACHED_SHARE: f64 = 0.5;
@@ -46,17 +46,17 @@
 pub const PUSH_EVERY_S: f64 = 0.02;
 /// No machine is given up as unreachable within this time after a takeover, in seconds: workers
 /// need a heartbeat timeout and one or two attempts to find the new leader.
-pub const GONE_AFTER_S: f64 = 6.5;
+pub const PRESUMED_DEAD_AFTER_S: f64 = 6.5;
 /// Backoff after a failed direct command, in seconds; until then, heartbeat answers carry the
 /// commands.
 pub const DIRECT_BACKOFF_S: f64 = 3.0;
 /// A worker discards an answer that arrives later than this after it sent its heartbeat, in seconds
 /// (protocol page).
-pub const WORKER_DROPS_S: f64 = 4.0;
+pub const WORKER_REPLY_EXPIRY_S: f64 = 4.0;
 /// Minimum time between the heartbeat of a worker that got no answer and its next one, in seconds
 /// (protocol page: 4 s, then 1 s).
-pub const WORKER_GIVES_UP_S: f64 = 5.0;
-/// Margin on [`WORKER_DROPS_S`] and [`WORKER_GIVES_UP_S`], in seconds: clock
+pub const WORKER_REPORT_TIMEOUT_S: f64 = 5.0;
+/// Margin on [`WORKER_REPLY_EXPIRY_S`] and [`WORKER_REPORT_TIMEOUT_S`], in seconds: clock
 /// differences and the controller's queueing delay.
 pub const WORKER_MARGIN_S: f64 = 0.2;
 /// Number of heartbeat intervals, plus a worker's timeout, within which a machine must have proven
@@ -77,14 +77,14 @@
 pub const REFUSED_BACKOFF_S: f64 = 0.5;
 /// Number of different machines on which a job must have failed, without a success, to count as
 /// submitted with a mistake.
-pub const BAD_JOB_MACHINES: usize = 2;
+pub const BROKEN_JOB_MACHINES: usize = 2;
 /// Run time after which a replica shows that its service works, in seconds; services submitted with
 /// a mistake fail within seconds.
-pub const SERVES_S: f64 = 20.0;
+pub const SERVICE_ESTABLISHED_S: f64 = 20.0;
 /// Multiple of the job's declared save time that an evicted task is given.
 pub const SAVE_GRACE: f64 = 2.0;
 /// Maximum number of concurrent tasks of a job that counts as submitted with a mistake.
-pub const BAD_JOB_TASKS: usize = 1;
+pub const BROKEN_JOB_TASKS: usize = 1;
 /// A machine is slow if its tasks take this many times the mean of their jobs.
 pub const SLOW_FACTOR: f64 = 2.2;
 /// Number of consecutive slow tasks after which a machine counts as slow.
--- a/crates/core/src/deprovision/boots.rs
+++ b/crates/core/src/deprovision/boots.rs
@@ -34,7 +34,7 @@
         let cloud = &self.cloud_requests;
         cloud.machine_type(&machine.kind).map_or(0.0, |t| {
             let expected = cloud.boot(t, &machine.zone) * BOOT_COUNTED;
-            (t.boot_s * BOOT_GIVE_UP).max(expected)
+            (t.boot_s * BOOT_TIMEOUT_FACTOR).max(expected)
         })
     }
 }
--- a/crates/core/src/deprovision/failure_detector.rs
+++ b/crates/core/src/deprovision/failure_detector.rs
@@ -41,8 +41,10 @@
 impl FailureDetector {
     pub(super) fn new(leader: &Leader, now: Secs) -> Self {
         let heartbeat_interval_s = leader.facts.heartbeat_interval_s;
-        let presumed_dead_after = heartbeat_interval_s * GONE_HEARTBEATS + GONE_MARGIN_S;
-        let heartbeat_missed_after = heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
+        let presumed_dead_after =
+            heartbeat_interval_s * PRESUMED_DEAD_HEARTBEATS + PRESUMED_DEAD_MARGIN_S;
+        let heartbeat_missed_after =
+            heartbeat_interval_s * MISSED_HEARTBEAT_INTERVALS + MISSED_HEARTBEAT_MARGIN_S;
         let leader_since = leader.cloud_requests.leader_since;
         let majority_heard = majority_heard(&leader.machines, now, heartbeat_interval_s);
         Self {
@@ -52,7 +54,7 @@
             heartbeat_missed_after,
             lost_after: leader.facts.lease_s + LAPSED_KEPT_S,
             majority_heard,
-            observations_reliable: now - leader_since > GONE_AFTER_S
+            observations_reliable: now - leader_since > PRESUMED_DEAD_AFTER_S
                 && majority_heard
                 && leader.unstalled_for(now, heartbeat_missed_after),
             undelayed: leader.unstalled_for(now, presumed_dead_after),
@@ -86,12 +88,12 @@
         self.unreachable_for(machine) > self.presumed_dead_after && needs_no_wait && self.undelayed
     }
 
-    /// Whether the machine missed a heartbeat and two probes (`QUIET_PROBES`). It is then
+    /// Whether the machine missed a heartbeat and two probes (`FAILED_PROBES_MIN`). It is then
     /// dead, hung or partitioned; its lease treats all of these alike. Without this rule, dead
     /// machines kept a tenth of all replicas down for a whole lease.
     fn is_unresponsive(&self, machine: &Machine) -> bool {
         self.enough_heard_now
-            && machine.failed_direct_sends >= QUIET_PROBES
+            && machine.failed_direct_sends >= FAILED_PROBES_MIN
             && self.unreachable_for(machine) > self.heartbeat_missed_after
             && !self.is_zone_partitioned(&machine.info.zone)
     }
@@ -112,7 +114,7 @@
     fn is_zone_partitioned(&self, zone: &str) -> bool {
         let count = self.zones.get(zone).copied().unwrap_or_default();
         let mostly_unreachable =
-            f64::from(count.unreachable) > f64::from(count.all) * ZONE_CUT_SHARE;
+            f64::from(count.unreachable) > f64::from(count.all) * ZONE_PARTITION_SHARE;
         self.zones.len() > 1 && mostly_unreachable
     }
 
@@ -136,25 +138,25 @@
     }
 }
 
-/// Whether more than half of all machines were heard within `SILENT_HEARTBEATS` intervals.
+/// Whether more than half of all machines were heard within `UNREACHABLE_HEARTBEATS` intervals.
 fn majority_heard(machines: &Machines, now: Secs, heartbeat_interval_s: f64) -> bool {
     let heard = |m: &&Machine| {
-        m.last_heard_at.is_some_and(|at| now - at < heartbeat_interval_s * SILENT_HEARTBEATS)
+        m.last_heard_at.is_some_and(|at| now - at < heartbeat_interval_s * UNREACHABLE_HEARTBEATS)
     };
     machines.values().filter(heard).count() * 2 > machines.len()
 }
 
-/// Whether the share of machines heard within `HEARING_HEARTBEATS` intervals exceeds
-/// `HEARING_SHARE`. Machines whose lease lapsed aren't counted.
+/// Whether the share of machines heard within `HEARD_NOW_HEARTBEATS` intervals exceeds
+/// `HEARD_NOW_SHARE`. Machines whose lease lapsed aren't counted.
 fn enough_heard_now(machines: &Machines, now: Secs, heartbeat_interval_s: f64) -> bool {
-    let window = heartbeat_interval_s * HEARING_HEARTBEATS;
+    let window = heartbeat_interval_s * HEARD_NOW_HEARTBEATS;
     let mut all = 0u32;
     let mut heard = 0u32;
     for machine in machines.values().filter(|m| m.expired_epoch.is_none()) {
         all += 1;
         heard += u32::from(machine.last_heard_at.is_some_and(|at| now - at < window));
     }
-    f64::from(heard) > f64::from(all) * HEARING_SHARE
+    f64::from(heard) > f64::from(all) * HEARD_NOW_SHARE
 }
 
 /// Counts the machines of each zone, except those whose lease lapsed.
--- a/crates/core/src/deprovision/idle.rs
+++ b/crates/core/src/deprovision/idle.rs
@@ -54,7 +54,7 @@
         && machine.direct_in_flight.is_none()
         && !machine.releasing
         && machine.confirmed
-        && now - machine.first_heard > LEAST_BILL_S / 2.0
+        && now - machine.first_heard > MIN_BILLING_S / 2.0
 }
 
 /// How long an idle machine is kept, in seconds; longer if it holds images that few others have.
--- a/crates/core/src/election/candidacy.rs
+++ b/crates/core/src/election/candidacy.rs
@@ -61,14 +61,15 @@
     /// another controller sooner if it failed too. Without it, when one controller was down and
     /// then the leader stalled, half of the workers outlived their leases in between.
     fn placement_delay(&self) -> Secs {
-        if self.next_unreachable { NEXT_SILENT_S } else { 0.0 }
+        if self.next_unreachable { NEXT_UNREACHABLE_DELAY_S } else { 0.0 }
     }
 
-    /// Whether this controller hears from no peer and hasn't yet waited [`ALONE_S`] since
+    /// Whether this controller hears from no peer and hasn't yet waited [`ISOLATED_DELAY_S`] since
     /// there is no leader. The wait counts from when the leader was lost and not from each attempt;
     /// restarting it with each attempt added 3 s to an election with one lost answer.
     fn waits_while_isolated(&self, now: Secs) -> bool {
-        self.isolated_since.is_some_and(|since| now - since.max(self.leader_known_at) < ALONE_S)
+        self.isolated_since
+            .is_some_and(|since| now - since.max(self.leader_known_at) < ISOLATED_DELAY_S)
     }
 
     /// Delays candidacy at least until `at`.
--- a/crates/core/src/election/mod.rs
+++ b/crates/core/src/election/mod.rs
@@ -253,7 +253,7 @@
         let change = self.lose_leadership(now, reason);
         let pause = match reason {
             LossReason::Transferred => TRANSFER_GRACE_S,
-            _ => RESIGNED_S,
+            _ => RESIGN_BACKOFF_S,
         };
         self.candidacy.wait_until(now + pause);
         change
--- a/crates/core/src/election/placement.rs
+++ b/crates/core/src/election/placement.rs
@@ -3,12 +3,12 @@
 //!
 //! Workers try the controllers cyclically, in the order of their names. When the leader stops
 //! answering, the last lease renewal may be up to 1.25 heartbeat intervals old, and the worker
-//! spends [`WORKER_GIVES_UP_S`] on each unreachable controller. With a lease of 12 s and
+//! spends [`WORKER_REPORT_TIMEOUT_S`] on each unreachable controller. With a lease of 12 s and
 //! heartbeats every 2 s, two unreachable controllers in a row take 12.5 s, and no election can be
 //! short enough to save the lease. A leader is therefore badly placed if the next controller in the
 //! cycle is down.
 
-use crate::consts::{HEARTBEAT_JITTER, PLACEMENT_MARGIN_S, WORKER_GIVES_UP_S};
+use crate::consts::{HEARTBEAT_JITTER, PLACEMENT_MARGIN_S, WORKER_REPORT_TIMEOUT_S};
 use crate::event::Secs;
 use marblebarrow_proto::ids::NodeId;
 use std::collections::BTreeSet;
@@ -34,13 +34,13 @@
     /// stalled while the controllers in `unreachable` are unreachable.
     pub fn is_safe(&self, leader: &NodeId, unreachable: &BTreeSet<NodeId>) -> bool {
         let unreachable_controllers = 1 + self.unreachable_after(leader, unreachable);
-        unreachable_controllers as f64 * WORKER_GIVES_UP_S <= self.search_budget_s
+        unreachable_controllers as f64 * WORKER_REPORT_TIMEOUT_S <= self.search_budget_s
     }
 
     /// Whether leases are too short for two unreachable controllers in a row, so that no worker may
     /// be redirected needlessly.
     pub fn has_short_leases(&self) -> bool {
-        2.0 * WORKER_GIVES_UP_S > self.search_budget_s
+        2.0 * WORKER_REPORT_TIMEOUT_S > self.search_budget_s
     }
 
     /// How many unreachable controllers in a row workers try after `leader`.
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -1,9 +1,8 @@
 //! The settings that the core uses, and values derived from them.
 
 use crate::consts::{
-    CANCEL_MARGIN_S, DRIFT, IDLE_S, LOOK_S, LOOK_SHARE, PILOT_SHARE, STALE_MOST_S, STALE_SHARE,
-    THIN_LIMIT, WARM_FACTOR, WATCH_BLOCK_MOST_S, WATCH_LAG_S, WATCH_SLACK_MOST_S,
-    WATCH_TIMING_SHARE,
+    CANCEL_MARGIN_S, DRIFT, IDLE_S, LOOK_S, LOOK_SHARE, PILOT_SHARE, STALE_MAX_S, STALE_SHARE,
+    THIN_LIMIT, WARM_FACTOR, WATCH_BLOCK_MAX_S, WATCH_LAG_S, WATCH_SLACK_MAX_S, WATCH_TIMING_SHARE,
 };
 use marblebarrow_cells::settings::CellsSettings;
 use marblebarrow_proto::ids::NodeId;
@@ -178,7 +177,7 @@
     /// Age of the replica, in seconds, at which a leader that the store serves resigns.
     pub fn replica_age_to_resign(&self) -> f64 {
         let limit = self.replica_age_limit();
-        limit - (limit * STALE_SHARE).min(STALE_MOST_S)
+        limit - (limit * STALE_SHARE).min(STALE_MAX_S)
     }
 
     /// Timing of watches that keeps a leader's replica younger than
@@ -190,8 +189,8 @@
     pub fn watch_timing(&self) -> WatchTiming {
         let share = self.replica_age_to_resign() * WATCH_TIMING_SHARE;
         WatchTiming {
-            block: Duration::from_secs_f64(share.min(WATCH_BLOCK_MOST_S)),
-            slack: Duration::from_secs_f64(share.min(WATCH_SLACK_MOST_S)),
+            block: Duration::from_secs_f64(share.min(WATCH_BLOCK_MAX_S)),
+            slack: Duration::from_secs_f64(share.min(WATCH_SLACK_MAX_S)),
         }
     }
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -177,7 +177,7 @@
 
     /// Whether new tasks may be placed on it.
     pub fn usable(&self, now: Secs, heartbeat_interval_s: f64) -> bool {
-        self.last_heard_at.is_some_and(|h| now - h < heartbeat_interval_s * SILENT_HEARTBEATS)
+        self.last_heard_at.is_some_and(|h| now - h < heartbeat_interval_s * UNREACHABLE_HEARTBEATS)
             && self.is_reachable(now, heartbeat_interval_s)
             && self.confirmed
             && self.expired_epoch.is_none()
@@ -191,7 +191,7 @@
     pub fn has_just_booted(&self, now: Secs) -> bool {
         self.last_heard_at.is_some()
             && !self.confirmed
-            && now - self.first_heard < WORKER_GIVES_UP_S
+            && now - self.first_heard < WORKER_REPORT_TIMEOUT_S
             && self.expired_epoch.is_none()
             && !self.cordoned
             && !self.releasing
@@ -201,7 +201,7 @@
     /// Whether commands are known to have reached it recently.
     pub fn is_reachable(&self, now: Secs, heartbeat_interval_s: f64) -> bool {
         self.last_reached_at.is_some_and(|at| {
-            now - at < heartbeat_interval_s * REACH_HEARTBEATS + WORKER_GIVES_UP_S
+            now - at < heartbeat_interval_s * REACH_HEARTBEATS + WORKER_REPORT_TIMEOUT_S
         })
     }
 
--- a/crates/core/src/heartbeats/absence.rs
+++ b/crates/core/src/heartbeats/absence.rs
@@ -1,7 +1,7 @@
 //! Reconciliation of placed tasks that are missing from a heartbeat. They are gone, unless their
 //! start command may still arrive.
 
-use crate::consts::{WORKER_DROPS_S, WORKER_MARGIN_S};
+use crate::consts::{WORKER_MARGIN_S, WORKER_REPLY_EXPIRY_S};
 use crate::event::Secs;
 use crate::jobs::{Live, Outcome, Phase, live_attempt_mut};
 use crate::leader::Leader;
@@ -43,7 +43,7 @@
 
 /// Whether a heartbeat answer that carries the start command may still arrive.
 fn may_be_in_flight(live: &Live, now: Secs) -> bool {
-    live.start_sent_at.is_some_and(|at| now < at + WORKER_DROPS_S + WORKER_MARGIN_S)
+    live.start_sent_at.is_some_and(|at| now < at + WORKER_REPLY_EXPIRY_S + WORKER_MARGIN_S)
 }
 
 impl Leader {
--- a/crates/core/src/heartbeats/mod.rs
+++ b/crates/core/src/heartbeats/mod.rs
@@ -131,7 +131,7 @@
     fn note_heartbeat_interval(&mut self, now: Secs, heartbeat: &Heartbeat) {
         let Some(m) = self.machines.get_mut(&heartbeat.machine) else { return };
         let soon =
-            m.last_heartbeat.is_some_and(|at| now - at < WORKER_GIVES_UP_S - WORKER_MARGIN_S);
+            m.last_heartbeat.is_some_and(|at| now - at < WORKER_REPORT_TIMEOUT_S - WORKER_MARGIN_S);
         if soon && m.heartbeat_seq != 0 && m.confirmed {
             m.last_reached_at = Some(now);
         }
@@ -162,7 +162,7 @@
         && (m.heartbeat_seq..m.seq).contains(&heartbeat.seq)
         && heartbeat.seq != m.heartbeat_seq
         && heartbeat.fencing_token < m.fencing_token
-        && now - m.token_raised_at < WORKER_DROPS_S
+        && now - m.token_raised_at < WORKER_REPLY_EXPIRY_S
 }
 
 /// Whether a heartbeat comes from an epoch whose lease expired, or from before the worker
--- a/crates/core/src/heartbeats/outcomes.rs
+++ b/crates/core/src/heartbeats/outcomes.rs
@@ -9,7 +9,7 @@
 use marblebarrow_proto::wire::Why;
 
 /// How many tasks of a job must have ended before a much slower one counts as slow.
-const SLOW_LEAST_SAMPLES: u32 = 2;
+const SLOW_SAMPLES_MIN: u32 = 2;
 
 /// The run time of an attempt, compared with the other tasks of its job.
 struct RunTime {
@@ -31,7 +31,7 @@
     /// Whether the attempt took much longer than the others; `None` if there is too little data.
     fn is_slow(&self) -> Option<bool> {
         let (run, mean) = (self.run?, self.mean?);
-        (self.samples >= SLOW_LEAST_SAMPLES).then_some(run > mean * SLOW_FACTOR)
+        (self.samples >= SLOW_SAMPLES_MIN).then_some(run > mean * SLOW_FACTOR)
     }
 }
 
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -61,7 +61,9 @@
     pub fn never_sent(&self, now: Secs) -> bool {
         matches!(self.phase, Phase::Placed | Phase::Ready)
             && !self.unconfirmed
-            && self.start_sent_at.is_none_or(|at| now > at + WORKER_DROPS_S + WORKER_MARGIN_S)
+            && self
+                .start_sent_at
+                .is_none_or(|at| now > at + WORKER_REPLY_EXPIRY_S + WORKER_MARGIN_S)
     }
 }
 
@@ -318,14 +320,14 @@
         {
             return false;
         }
-        // A job suspected to be broken keeps retrying, with `BAD_JOB_TASKS` tasks at a time.
-        !(self.suspected_broken() && self.live.len() >= BAD_JOB_TASKS)
+        // A job suspected to be broken keeps retrying, with `BROKEN_JOB_TASKS` tasks at a time.
+        !(self.suspected_broken() && self.live.len() >= BROKEN_JOB_TASKS)
     }
 
     /// Whether the job itself is suspected to be broken: it failed on at least
-    /// [`BAD_JOB_MACHINES`] machines and succeeded on none.
+    /// [`BROKEN_JOB_MACHINES`] machines and succeeded on none.
     pub fn suspected_broken(&self) -> bool {
-        !self.has_succeeded() && self.failed_on.len() >= BAD_JOB_MACHINES
+        !self.has_succeeded() && self.failed_on.len() >= BROKEN_JOB_MACHINES
     }
 
     /// Whether some task is known to have succeeded, under this leader or an earlier one.
@@ -347,12 +349,12 @@
 
     /// Notes that a task has run for `run` seconds.
     ///
-    /// A service never completes, so a replica that ran for longer than [`SERVES_S`]
+    /// A service never completes, so a replica that ran for longer than [`SERVICE_ESTABLISHED_S`]
     /// counts as a success. Otherwise two machine failures in the service's lifetime would make it
     /// look broken, and lost replicas would not be replaced while the others serve.
     pub fn note_run_time(&mut self, run: Secs) {
         self.start_counted |= run > CONSOLIDATE_AGE_S;
-        if self.spec().kind == Kind::Service && run > SERVES_S {
+        if self.spec().kind == Kind::Service && run > SERVICE_ESTABLISHED_S {
             self.successes = self.successes.max(1);
             self.failed_on.clear();
         }
--- a/crates/core/src/jobs/deadlines.rs
+++ b/crates/core/src/jobs/deadlines.rs
@@ -2,7 +2,7 @@
 
 use super::Job;
 use crate::consts::{
-    DRAIN_S, FINISH_SHARE, OVERDUE_SHARE, RENT_SPREAD, START_AIM_SHARE, WAVES_MAX,
+    DRAIN_S, FINISH_SHARE, OVERDUE_SHARE, RENT_SPREAD, START_OBJECTIVE_SHARE, WAVES_MAX,
 };
 use crate::event::Secs;
 use crate::inheritance::{DeadlineAhead, Urgency};
@@ -18,7 +18,7 @@
     /// minutes were left.
     pub fn due(&self) -> Secs {
         let start = self.start_within.map(|within| {
-            self.ready_since + within * START_AIM_SHARE + self.likely_run() * RENT_SPREAD
+            self.ready_since + within * START_OBJECTIVE_SHARE + self.likely_run() * RENT_SPREAD
         });
         if let Some(due) = self.deadline_at() {
             return start.map_or(due, |start| start.min(due));
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -398,12 +398,13 @@
     /// processor for seconds, and so heard no worker, resigned, and so did its successor, which
     /// also had the work of the takeover.
     pub fn workers_unreachable(&self, now: Secs) -> bool {
-        let silence_limit =
-            self.facts.heartbeat_interval_s * WORKERS_SILENT_HEARTBEATS + WORKERS_SILENT_MARGIN_S;
+        let silence_limit = self.facts.heartbeat_interval_s * WORKERS_UNREACHABLE_HEARTBEATS
+            + WORKERS_UNREACHABLE_MARGIN_S;
         // Answers to the direct commands of a new leader count as contact, and workers may then
         // wait for their previous leader until they give up on it. A leader that resigned after 3.5
         // s left its workers' leases to expire.
-        if !self.unstalled_for(now, silence_limit) || now - self.elected_at < GONE_AFTER_S {
+        if !self.unstalled_for(now, silence_limit) || now - self.elected_at < PRESUMED_DEAD_AFTER_S
+        {
             return false;
         }
         let mut unreachable = 0;
@@ -420,7 +421,7 @@
             }
             unreachable += 1;
         }
-        unreachable >= WORKERS_SILENT_LEAST
+        unreachable >= WORKERS_UNREACHABLE_MIN
     }
 
     /// Whether the takeover has been complete, with every recorded machine accounted for, and the
--- a/crates/core/src/node/worker_heartbeats.rs
+++ b/crates/core/src/node/worker_heartbeats.rs
@@ -1,7 +1,7 @@
 //! Handling of worker heartbeats by any controller, leader or not.
 
 use super::Node;
-use crate::consts::{LEADER_LEASE_S, PEER_WORD_DELAY_S, WAITING_HEARTBEATS_PER_STEP};
+use crate::consts::{LEADER_LEASE_S, PEER_REPORT_DELAY_S, WAITING_HEARTBEATS_PER_STEP};
 use crate::event::{Answer, ReplyTo, Secs};
 use marblebarrow_proto::ids::NodeId;
 use marblebarrow_proto::wire::Heartbeat;
@@ -71,7 +71,7 @@
         let Some(watched) = &self.watched_leader else { return false };
         let not_leading_at = self.peers.get(leader).and_then(|state| state.not_leading_at);
         // A report from before its election may arrive after the watch has shown the election.
-        not_leading_at.is_some_and(|at| at > watched.since + PEER_WORD_DELAY_S)
+        not_leading_at.is_some_and(|at| at > watched.since + PEER_REPORT_DELAY_S)
     }
 
     fn answer_heartbeat(&mut self, now: Secs, to: ReplyTo, heartbeat: &Heartbeat) {
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -190,7 +190,7 @@
     /// does, as an upgraded controller never returns to an older version.
     fn uses_cascade_lists(&self, replica: &Replica) -> bool {
         let allowed = self.cascade_lists_allowed || replica.cascaded.generation() != 0;
-        let large = self.dependencies.cascade_count() >= CASCADE_LISTED_LEAST;
+        let large = self.dependencies.cascade_count() >= CASCADE_LIST_MIN_JOBS;
         self.cascade_lists.is_writing() || (allowed && large)
     }
 
--- a/crates/core/src/place/array_jobs.rs
+++ b/crates/core/src/place/array_jobs.rs
@@ -103,7 +103,7 @@
     /// Array jobs that have waited too long for their first task, in order of arrival.
     fn overdue_arrays(&self, now: Secs) -> Vec<JobId> {
         let overdue = |job: &Job| {
-            job.started.is_empty() && now - job.arrived > BEGIN_LATEST_S && job.waiting() > 0
+            job.started.is_empty() && now - job.arrived > FIRST_TASK_DEADLINE_S && job.waiting() > 0
         };
         let mut jobs: Vec<(Secs, &JobId)> = self
             .queue_snapshot
--- a/crates/core/src/place/deadlines.rs
+++ b/crates/core/src/place/deadlines.rs
@@ -32,7 +32,7 @@
     }
     let slack = deadline_slacks(job, facts, now).into_iter().filter(|slack| *slack >= 0.0);
     match slack.min_by(f64::total_cmp) {
-        None if now - job.arrived > MISSED_LAST_S => Urgency::Normal,
+        None if now - job.arrived > MISSED_DEADLINE_DELAY_S => Urgency::Normal,
         None => Urgency::Missed,
         // The job's last task takes longer than the mean, by the factor `RUN_SPREAD`.
         Some(slack) if slack - job.likely_run() * (RUN_SPREAD - 1.0) < URGENT_SLACK_S => {
--- a/crates/core/src/provision/late_tasks.rs
+++ b/crates/core/src/provision/late_tasks.rs
@@ -131,7 +131,8 @@
     ) -> LateTasks {
         let cpus = self.cpu_timeline(now, capacity);
         // Tasks beyond this number need no projection: they wait longer than a boot in any case.
-        let left = LAID_OUT_MIN.max((f64::from(cpus.total()) * LAID_OUT_SHARE) as u32);
+        let left =
+            PROJECTED_TASKS_MIN.max((f64::from(cpus.total()) * PROJECTED_TASKS_SHARE) as u32);
         let boot = self.shortest_boot(now);
         let start_lag = self.start_lag;
         let mut projection = Projection { now, cpus, start_lag, boot, left, cpus_wanted: 0.0 };
--- a/crates/core/src/provision/spare_work.rs
+++ b/crates/core/src/provision/spare_work.rs
@@ -45,7 +45,7 @@
         let mut planned: Vec<Capacity> = Vec::new();
         for job in self.spare_jobs() {
             let needs = self.task_needs(&job.spec);
-            let tasks = quota.reserve_up_to(&job.spec, job.waiting.min(LAID_OUT_MIN));
+            let tasks = quota.reserve_up_to(&job.spec, job.waiting.min(PROJECTED_TASKS_MIN));
             let unpacked = needs.pack(capacity, tasks);
             let worth = (f64::from(unpacked) * job.busy_share).ceil() as u32;
             let age = now - job.arrived;
--- a/crates/core/src/record_shape.rs
+++ b/crates/core/src/record_shape.rs
@@ -2,7 +2,7 @@
 //! blocks, coarsens progress records and shrinks transactions. Does no I/O.
 
 use crate::consts::{
-    BLOCK_MACHINES, CHANGES_LEAST, MACHINE_RECORD_BYTES, MACHINE_RECORD_SHARE, VALUE_BYTES_LEAST,
+    BLOCK_MACHINES, CHANGES_LEAST, MACHINE_RECORD_BYTES, MACHINE_RECORD_SHARE, VALUE_BYTES_MIN,
     VALUE_FILL,
 };
 use crate::facts::Facts;
@@ -46,7 +46,7 @@
             return;
         }
         let half = rejected.largest_value / 2;
-        self.value_bytes = self.value_bytes.min(half.max(VALUE_BYTES_LEAST));
+        self.value_bytes = self.value_bytes.min(half.max(VALUE_BYTES_MIN));
     }
 }
 
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -2,7 +2,7 @@
 //! until every recorded machine that may run it has reported under the new term, was released, or
 //! has had its lease expire since this leader was elected.
 
-use crate::consts::{LEAST_BILL_S, STORE_RETRY_S};
+use crate::consts::{MIN_BILLING_S, STORE_RETRY_S};
 use crate::event::{ActionSink, OpId, Secs, StoreRequest, StoreResult};
 use crate::fleet::Machine;
 use crate::jobs::Job;
@@ -147,7 +147,7 @@
                 m.block = Some(block);
                 // Assumes that the minimum bill is mostly paid. Otherwise a fleet that idles
                 // after a takeover is kept for half a minute too long.
-                m.first_heard = now - LEAST_BILL_S;
+                m.first_heard = now - MIN_BILLING_S;
                 // Shows the worker the new token, so that it refuses older commands still in
                 // flight and answers with a complete report.
                 m.probe_due = true;
--- a/crates/core/src/tests/jobs.rs
+++ b/crates/core/src/tests/jobs.rs
@@ -88,7 +88,7 @@
     for (n, m) in [(0, "a"), (1, "b"), (2, "c")] {
         place(&mut j, n, m, 0.0);
     }
-    j.note_run_time(SERVES_S + 1.0);
+    j.note_run_time(SERVICE_ESTABLISHED_S + 1.0);
     j.end_attempt(0, Outcome::Error, 40.0);
     j.end_attempt(1, Outcome::Error, 80.0);
     assert!(!j.suspected_broken() && j.next_task(200.0).is_some());
@@ -189,7 +189,7 @@
     assert_eq!(waiting.waiting(), 0, "it holds no part of a quota and rents nothing");
     waiting.dependencies_done(100.0);
     assert_eq!(waiting.waiting(), 10);
-    let start = 100.0 + 40.0 * START_AIM_SHARE;
+    let start = 100.0 + 40.0 * START_OBJECTIVE_SHARE;
     assert_eq!(waiting.due(), start + 10.0 * RENT_SPREAD);
 }
 
--- a/crates/core/src/user_api/cancellations.rs
+++ b/crates/core/src/user_api/cancellations.rs
@@ -63,7 +63,7 @@
         if !wanted {
             self.request_remote_cancel(&id, version, out);
         }
-        out.reply(to, Answer::Unavailable(RETRY_ELSEWHERE_S));
+        out.reply(to, Answer::Unavailable(RETRY_OTHER_CELL_S));
     }
 
     /// Records for the leader that a job in another cell is to be cancelled.
--- a/crates/core/src/user_api/polls.rs
+++ b/crates/core/src/user_api/polls.rs
@@ -169,7 +169,7 @@
         if context.now - poll.since > CASCADE_READ_AFTER_S {
             self.read_cascades(context, out);
         }
-        self.next_check = self.next_check.max(context.now + CASCADE_LOOK_S);
+        self.next_check = self.next_check.max(context.now + CASCADE_RECHECK_S);
         self.polls.push_back(poll);
     }
 
--- a/crates/core/src/worker_commands.rs
+++ b/crates/core/src/worker_commands.rs
@@ -213,15 +213,17 @@
     /// Schedules probes of machines whose heartbeats arrive but that haven't shown for long that
     /// answers reach them, and of machines that missed a heartbeat.
     pub(crate) fn probe_doubtful_machines(&mut self, now: Secs) {
-        let probe_after =
-            (self.facts.heartbeat_interval_s * REACH_HEARTBEATS + WORKER_GIVES_UP_S) * PROBE_SHARE;
-        let quiet_limit = self.facts.heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
+        let probe_after = (self.facts.heartbeat_interval_s * REACH_HEARTBEATS
+            + WORKER_REPORT_TIMEOUT_S)
+            * PROBE_SHARE;
+        let quiet_limit = self.facts.heartbeat_interval_s * MISSED_HEARTBEAT_INTERVALS
+            + MISSED_HEARTBEAT_MARGIN_S;
         for m in self.machines.values_mut() {
             let Some(since) = m.last_heard_at.map(|h| now - h) else { continue };
-            let heard = since < self.facts.heartbeat_interval_s * SILENT_HEARTBEATS;
+            let heard = since < self.facts.heartbeat_interval_s * UNREACHABLE_HEARTBEATS;
             let unconfirmed = heard && m.last_reached_at.is_none_or(|at| now - at > probe_after);
             let missed = since > quiet_limit
-                && m.failed_direct_sends < QUIET_PROBES
+                && m.failed_direct_sends < FAILED_PROBES_MIN
                 && m.expired_epoch.is_none();
             if unconfirmed || missed && !m.releasing {
                 m.probe_due = true;
