--- a/crates/core/src/consts/queues.rs
+++ b/crates/core/src/consts/queues.rs
@@ -56,10 +56,10 @@
 pub const STEP_EVERY_S: f64 = 0.005;
 /// Processor time of a step per known machine, in seconds of a core (measured: some 150 us for 400
 /// machines).
-pub const LOOK_S: f64 = 0.000_000_4;
+pub const STEP_COST_PER_MACHINE_S: f64 = 0.000_000_4;
 /// Share of the controller's processor time that steps may take. With hundreds of heartbeats a
 /// second, a step after each one took as much processor time as the heartbeats themselves.
-pub const LOOK_SHARE: f64 = 0.06;
+pub const STEP_CPU_SHARE: f64 = 0.06;
 /// Minimum interval between two placement passes, in seconds.
 pub const PLACE_EVERY_S: f64 = 0.04;
 /// Additional interval between placement passes per known machine, in seconds. A pass scans all
--- a/crates/core/src/consts/state_service.rs
+++ b/crates/core/src/consts/state_service.rs
@@ -2,7 +2,7 @@
 
 /// Number of consecutive failures after which the controller considers that the store doesn't serve
 /// it.
-pub const STORE_BAD_AFTER: u32 = 2;
+pub const STORE_UNAVAILABLE_AFTER: u32 = 2;
 /// Interval at which a controller without other store traffic probes the store, in seconds.
 pub const STORE_PROBE_S: f64 = 1.0;
 /// Share of the store's change rate that is always available to the leader's records; the rest is
--- a/crates/core/src/consts/workers.rs
+++ b/crates/core/src/consts/workers.rs
@@ -7,7 +7,7 @@
 pub const UNREACHABLE_HEARTBEATS: f64 = 2.5;
 /// How long a machine is kept after its lease expired, in seconds. Partitions end, and a machine
 /// that holds its images is worth more than a new one.
-pub const LAPSED_KEPT_S: f64 = 30.0;
+pub const EXPIRED_LEASE_KEPT_S: f64 = 30.0;
 /// A spot machine that sends nothing for this many heartbeat intervals while others report is
 /// returned. Usually it was reclaimed by the cloud, and a completed release proves its tasks gone
 /// long before their lease does.
@@ -19,7 +19,7 @@
 /// proof that their tasks are gone.
 pub const PROBES: u32 = 2;
 /// Delay between two such direct commands, in seconds.
-pub const PROBE_AGAIN_S: f64 = 0.8;
+pub const PROBE_RETRY_DELAY_S: f64 = 0.8;
 /// A machine that reported before and sends nothing for this many heartbeat intervals is probed
 /// directly; heartbeats come within 1.25 intervals.
 pub const MISSED_HEARTBEAT_INTERVALS: f64 = 1.3;
@@ -41,9 +41,9 @@
 pub const ZONE_PARTITION_SHARE: f64 = 0.5;
 /// Share of the direct commands in flight that may go to machines which did not answer the last
 /// one, so that many unreachable machines don't delay the others.
-pub const UNREACHED_SHARE: f64 = 0.5;
+pub const UNANSWERED_SHARE: f64 = 0.5;
 /// Minimum interval between two rounds of direct commands, in seconds: a round scans all machines.
-pub const PUSH_EVERY_S: f64 = 0.02;
+pub const DIRECT_ROUND_INTERVAL_S: f64 = 0.02;
 /// No machine is given up as unreachable within this time after a takeover, in seconds: workers
 /// need a heartbeat timeout and one or two attempts to find the new leader.
 pub const PRESUMED_DEAD_AFTER_S: f64 = 6.5;
--- a/crates/core/src/deprovision/failure_detector.rs
+++ b/crates/core/src/deprovision/failure_detector.rs
@@ -52,7 +52,7 @@
             leader_since,
             presumed_dead_after,
             heartbeat_missed_after,
-            lost_after: leader.facts.lease_s + LAPSED_KEPT_S,
+            lost_after: leader.facts.lease_s + EXPIRED_LEASE_KEPT_S,
             majority_heard,
             observations_reliable: now - leader_since > PRESUMED_DEAD_AFTER_S
                 && majority_heard
--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -1,6 +1,6 @@
 //! Tracks direct commands in flight, and handles their answers or the lack of one.
 
-use crate::consts::{DIRECT_BACKOFF_S, PROBE_AGAIN_S, PROBES};
+use crate::consts::{DIRECT_BACKOFF_S, PROBE_RETRY_DELAY_S, PROBES};
 use crate::event::{DirectResult, OpId, Secs};
 use crate::jobs::{Phase, live_attempt_mut};
 use crate::leader::Leader;
@@ -21,7 +21,7 @@
     /// The attempts that it starts.
     pub starts: Vec<AttemptKey>,
     /// The machine didn't answer the previous message.
-    pub unreached: bool,
+    pub unanswered: bool,
 }
 
 impl Leader {
@@ -87,7 +87,8 @@
         };
         m.failed_direct_sends += 1;
         m.direct_failed = Some(now);
-        let backoff = if m.failed_direct_sends < PROBES { PROBE_AGAIN_S } else { DIRECT_BACKOFF_S };
+        let backoff =
+            if m.failed_direct_sends < PROBES { PROBE_RETRY_DELAY_S } else { DIRECT_BACKOFF_S };
         m.next_direct_at = now + backoff;
         if m.agent_epoch != sent.agent_epoch {
             return;
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -1,8 +1,9 @@
 //! The settings that the core uses, and values derived from them.
 
 use crate::consts::{
-    CANCEL_MARGIN_S, DRIFT, IDLE_S, LOOK_S, LOOK_SHARE, PILOT_SHARE, STALE_MAX_S, STALE_SHARE,
-    THIN_LIMIT, WARM_FACTOR, WATCH_BLOCK_MAX_S, WATCH_LAG_S, WATCH_SLACK_MAX_S, WATCH_TIMING_SHARE,
+    CANCEL_MARGIN_S, DRIFT, IDLE_S, PILOT_SHARE, STALE_MAX_S, STALE_SHARE, STEP_COST_PER_MACHINE_S,
+    STEP_CPU_SHARE, THIN_LIMIT, WARM_FACTOR, WATCH_BLOCK_MAX_S, WATCH_LAG_S, WATCH_SLACK_MAX_S,
+    WATCH_TIMING_SHARE,
 };
 use marblebarrow_cells::settings::CellsSettings;
 use marblebarrow_proto::ids::NodeId;
@@ -159,7 +160,7 @@
     /// Minimum interval between two steps with this many machines, in seconds, so that steps take no
     /// more than their share of the processor.
     pub fn step_interval(&self, machines: usize) -> f64 {
-        machines as f64 * LOOK_S / (LOOK_SHARE * self.core_share)
+        machines as f64 * STEP_COST_PER_MACHINE_S / (STEP_CPU_SHARE * self.core_share)
     }
 
     /// How long after a cancellation a leader that doesn't know of it may still renew leases, in
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -92,7 +92,7 @@
     elected_at: Secs,
     /// Since when this process has been scheduled on a processor without delay.
     pub(crate) unstalled_since: Secs,
-    pub(crate) next_push: Secs,
+    pub(crate) next_direct_round_at: Secs,
     pub(crate) writer: Writer,
     pub(crate) cloud_requests: CloudRequests,
     pub(crate) cells: Option<Cells>,
@@ -154,7 +154,7 @@
             next_sweep: 0.0,
             elected_at: now,
             unstalled_since: now,
-            next_push: 0.0,
+            next_direct_round_at: 0.0,
             recovering: true,
             place_due: true,
             placed_at: 0.0,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -160,7 +160,7 @@
     }
 
     fn store_unavailable(&self) -> bool {
-        self.store_failures >= STORE_BAD_AFTER
+        self.store_failures >= STORE_UNAVAILABLE_AFTER
     }
 
     /// The latest time for the next call of [`Node::tick`].
@@ -306,7 +306,7 @@
             facts: &self.facts,
             replica: &self.replica,
             types: self.types.as_deref().or(self.replica.types.as_deref()),
-            store_unavailable: self.store_failures >= STORE_BAD_AFTER,
+            store_unavailable: self.store_failures >= STORE_UNAVAILABLE_AFTER,
             // The version gate: dependencies are allowed only once every controller runs a version
             // that supports them, as a leader of an older version would start such a job at once.
             dependencies_allowed,
--- a/crates/core/src/worker_commands.rs
+++ b/crates/core/src/worker_commands.rs
@@ -14,7 +14,7 @@
 /// A machine that waits for a direct command.
 struct WaitingDirectCommand {
     /// Whether it left the last direct command unanswered.
-    unreached: bool,
+    unanswered: bool,
     /// Whether there is no command to send, only a probe of whether the machine can be reached.
     only_probe: bool,
     /// The earliest time from which it may have been waiting.
@@ -29,8 +29,8 @@
     /// were served in the order of their names, the last ones of a fleet with few threads were
     /// never contacted at all.
     fn compare(&self, other: &Self) -> Ordering {
-        self.unreached
-            .cmp(&other.unreached)
+        self.unanswered
+            .cmp(&other.unanswered)
             .then(self.only_probe.cmp(&other.only_probe))
             .then(self.since.total_cmp(&other.since))
     }
@@ -121,10 +121,10 @@
 
     /// Sends commands directly to machines that shouldn't wait for their next heartbeat.
     pub(crate) fn push_direct(&mut self, now: Secs, out: &mut ActionSink) {
-        if now < self.next_push {
+        if now < self.next_direct_round_at {
             return;
         }
-        self.next_push = now + PUSH_EVERY_S;
+        self.next_direct_round_at = now + DIRECT_ROUND_INTERVAL_S;
         let limit = self.facts.direct_most;
         if self.directs.len() >= limit {
             return;
@@ -139,17 +139,17 @@
                         || m.probe_due)
             })
             .map(|(id, m)| WaitingDirectCommand {
-                unreached: m.failed_direct_sends > 0,
+                unanswered: m.failed_direct_sends > 0,
                 only_probe: !m.direct_send_due,
                 since: m.commands_waiting_since(),
                 machine: id.clone(),
             })
             .collect();
         ready.sort_by(WaitingDirectCommand::compare);
-        let mut unreached = self.directs.values().filter(|d| d.unreached).count();
-        let unreached_limit = ((limit as f64 * UNREACHED_SHARE) as usize).max(1);
-        for WaitingDirectCommand { unreached: is_unreached, machine: id, .. } in ready {
-            if self.directs.len() >= limit || is_unreached && unreached >= unreached_limit {
+        let mut unanswered = self.directs.values().filter(|d| d.unanswered).count();
+        let unanswered_limit = ((limit as f64 * UNANSWERED_SHARE) as usize).max(1);
+        for WaitingDirectCommand { unanswered: is_unanswered, machine: id, .. } in ready {
+            if self.directs.len() >= limit || is_unanswered && unanswered >= unanswered_limit {
                 break;
             }
             let Some((agent_epoch, probe_due)) =
@@ -163,7 +163,7 @@
                 (Vec::new(), Vec::new())
             };
             if probe_due || commands.iter().any(is_urgent) {
-                unreached += usize::from(is_unreached);
+                unanswered += usize::from(is_unanswered);
                 // The worker refuses an unknown epoch and returns its heartbeat, which is what is
                 // needed.
                 self.send_direct(now, &id, agent_epoch.max(1), commands, starts, out);
@@ -189,7 +189,7 @@
         let op = out.op();
         m.direct_in_flight = Some(op);
         let known = (m.agent_epoch, m.seq);
-        let unreached = m.failed_direct_sends > 0;
+        let unanswered = m.failed_direct_sends > 0;
         out.actions.push(Action::Direct {
             op,
             addr: m.info.addr.clone(),
@@ -205,7 +205,7 @@
             at: now,
             known,
             starts,
-            unreached,
+            unanswered,
         };
         self.directs.insert(op, sent);
     }
