--- a/crates/core/src/cells/staying.rs
+++ b/crates/core/src/cells/staying.rs
@@ -46,7 +46,7 @@
             Some(StayReason::Dependencies)
         } else if now - job.arrived <= cells.settings.patience_s {
             Some(StayReason::Patience)
-        } else if now < job.rests_until {
+        } else if now < job.offer_backoff_until {
             Some(StayReason::Resting)
         } else if !self.team_has_room(job.spec()) {
             Some(StayReason::TeamLimit)
@@ -74,7 +74,8 @@
         for (id, reason) in &staying {
             if cells.staying.0.get(id) != Some(reason) {
                 let waited = self.jobs.get(id).map_or(0.0, |job| now - job.arrived);
-                self.log.push(|| format!("event=stays job={id} why={reason} waited_s={waited:.1}"));
+                self.log
+                    .debug(|| format!("event=stays job={id} why={reason} waited_s={waited:.1}"));
             }
         }
         cells.staying.0 = staying;
--- a/crates/core/src/consts/queues.rs
+++ b/crates/core/src/consts/queues.rs
@@ -42,10 +42,10 @@
 pub const PREEMPTIONS_PER_PASS: usize = 24;
 /// A job of which nothing has started for this long is placed ahead of all queues with one task, in
 /// seconds. Queue weights share the machines but don't guarantee that a job ever starts.
-pub const BEGIN_LATEST_S: f64 = 60.0;
+pub const FIRST_TASK_DEADLINE_S: f64 = 60.0;
 /// A job that has missed all its deadlines is placed last until this long after its arrival, in
 /// seconds; then in its normal order again.
-pub const MISSED_LAST_S: f64 = 120.0;
+pub const MISSED_DEADLINE_DELAY_S: f64 = 120.0;
 /// Maximum interval between two steps of a leader, in seconds; placement and commands need this
 /// rate.
 pub const LEADER_STEP_S: f64 = 0.05;
@@ -56,10 +56,10 @@
 pub const STEP_EVERY_S: f64 = 0.005;
 /// Processor time of a step per known machine, in seconds of a core (measured: some 150 us for 400
 /// machines).
-pub const LOOK_S: f64 = 0.000_000_4;
+pub const STEP_COST_PER_MACHINE_S: f64 = 0.000_000_4;
 /// Share of the controller's processor time that steps may take. With hundreds of heartbeats a
 /// second, a step after each one took as much processor time as the heartbeats themselves.
-pub const LOOK_SHARE: f64 = 0.06;
+pub const STEP_CPU_SHARE: f64 = 0.06;
 /// Minimum interval between two placement passes, in seconds.
 pub const PLACE_EVERY_S: f64 = 0.04;
 /// Additional interval between placement passes per known machine, in seconds. A pass scans all
--- a/crates/core/src/consts/state_service.rs
+++ b/crates/core/src/consts/state_service.rs
@@ -2,7 +2,7 @@
 
 /// Number of consecutive failures after which the controller considers that the store doesn't serve
 /// it.
-pub const STORE_BAD_AFTER: u32 = 2;
+pub const STORE_UNAVAILABLE_AFTER: u32 = 2;
 /// Interval at which a controller without other store traffic probes the store, in seconds.
 pub const STORE_PROBE_S: f64 = 1.0;
 /// Share of the store's change rate that is always available to the leader's records; the rest is
@@ -42,7 +42,7 @@
 pub const REFUSALS_PER_HALVING: u32 = 3;
 /// Lower bound of the value limit that the writer falls back to after rejections, in bytes: a
 /// submission and a machine's record need about half of it.
-pub const VALUE_BYTES_LEAST: usize = 1024;
+pub const VALUE_BYTES_MIN: usize = 1024;
 /// Share of the store's change rate available to records that change only in their list of images;
 /// a new leader that lacks these fetches an image again. Without this limit, at 15 changes a second
 /// and six machines a block, a fleet of hundreds would use up the whole rate.
--- a/crates/core/src/deprovision/consolidation.rs
+++ b/crates/core/src/deprovision/consolidation.rs
@@ -37,7 +37,7 @@
     let spec = job.spec();
     let settled = |live: &Live| {
         let ran_long = live.ran_from.is_some_and(|from| now - from > CONSOLIDATE_AGE_S);
-        live.stop.is_none() && !live.unconfirmed && ran_long
+        live.stop_grace_s.is_none() && !live.unconfirmed && ran_long
     };
     spec.kind == Kind::Service
         && !spec.spread
@@ -55,7 +55,7 @@
         // No consolidation while spare-capacity work is waiting either, as it would fill the
         // capacity that the replicas free. Mistaken jobs are ignored: they wait until their users
         // act, and counting them blocked all consolidation.
-        if self.jobs.values().any(|job| job.waiting() > 0 && !job.mistaken()) {
+        if self.jobs.values().any(|job| job.waiting() > 0 && !job.suspected_broken()) {
             return;
         }
         let Some(id) = self.least_used(now) else { return };
@@ -65,7 +65,7 @@
         let fleet_factor = (self.machines.len() as f64 / CONSOLIDATE_FLEET).max(1.0);
         self.cloud_requests.next_consolidation = now + CONSOLIDATE_EVERY_S / fleet_factor;
         let replicas = self.machines.get(&id).map_or(0, |machine| machine.tasks.len());
-        self.log.push(|| format!("event=gather machine={id} replicas={replicas}"));
+        self.log.debug(|| format!("event=gather machine={id} replicas={replicas}"));
         self.evict_all(&id);
     }
 
@@ -79,7 +79,9 @@
         self.machines
             .iter()
             .filter(|(_, m)| {
-                self.is_replica_host(m, now) && m.direct.is_none() && m.tasks.iter().all(movable)
+                self.is_replica_host(m, now)
+                    && m.direct_in_flight.is_none()
+                    && m.tasks.iter().all(movable)
             })
             .map(|(id, m)| (share(m), id))
             .filter(|(share, _)| *share <= CONSOLIDATE_SHARE)
@@ -127,13 +129,15 @@
             }
             let Some(machine) = self.machines.get(&id) else { continue };
             let tasks = machine.tasks.len();
-            self.log.push(|| format!("event=clear machine={id} tasks={tasks}"));
+            self.log.debug(|| format!("event=clear machine={id} tasks={tasks}"));
             self.evict_all(&id);
         }
     }
 
-    /// Whether any work is waiting other than spare-capacity work and mistaken jobs.
+    /// Whether any work is waiting other than spare-capacity work and jobs suspected to be broken.
     fn has_waiting_regular_work(&self) -> bool {
-        self.jobs.values().any(|job| job.waiting() > 0 && !job.spare() && !job.mistaken())
+        self.jobs.values().any(|job| {
+            job.waiting() > 0 && !job.is_spare_capacity_work() && !job.suspected_broken()
+        })
     }
 }
--- a/crates/core/src/deprovision/health.rs
+++ b/crates/core/src/deprovision/health.rs
@@ -10,14 +10,14 @@
 
 /// Whether tasks fail or run slowly on the machine more often than chance would explain.
 pub(super) fn is_faulty(machine: &Machine) -> bool {
-    machine.errors >= MACHINE_ERRORS || machine.slow >= SLOW_SAMPLES
+    machine.error_streak >= MACHINE_ERRORS || machine.slow_streak >= SLOW_SAMPLES
 }
 
 /// Cordons a machine, so that it gets no new tasks.
 pub(super) fn cordon(id: &MachineId, machine: &mut Machine, log: &mut Log) {
     if !machine.cordoned {
-        let (errors, slow) = (machine.errors, machine.slow);
-        log.push(|| format!("event=cordon machine={id} errors={errors} slow={slow}"));
+        let (errors, slow) = (machine.error_streak, machine.slow_streak);
+        log.debug(|| format!("event=cordon machine={id} errors={errors} slow={slow}"));
     }
     machine.cordoned = true;
 }
@@ -25,9 +25,10 @@
 /// Whether all that is left on a cordoned machine is unconfirmed starts that are to be stopped.
 /// Releasing the machine proves that they are gone.
 pub(super) fn is_stuck(machine: &Machine, jobs: &Jobs) -> bool {
-    let stuck = |live: &Live| live.unconfirmed && live.stop.is_some() && live.phase == Phase::Sent;
+    let stuck =
+        |live: &Live| live.unconfirmed && live.stop_grace_s.is_some() && live.phase == Phase::Sent;
     machine.cordoned
-        && machine.direct.is_none()
+        && machine.direct_in_flight.is_none()
         && !machine.releasing
         && machine.tasks.iter().all(|task| {
             let live = live_attempt(jobs, task);
@@ -49,7 +50,7 @@
 fn runs_only_spare_work(machine: &Machine, jobs: &Jobs, now: Secs) -> bool {
     let evictable = |job: &Job, index: u32| {
         let confirmed = job.live.get(&index).is_some_and(|live| !live.unconfirmed);
-        job.cheap_only(now) && confirmed && !job.keeps(now)
+        job.spot_only(now) && confirmed && !job.exempt_from_eviction(now)
     };
     !machine.info.spot
         && !machine.tasks.is_empty()
--- a/crates/core/src/deprovision/mod.rs
+++ b/crates/core/src/deprovision/mod.rs
@@ -47,9 +47,11 @@
         let holders = ImageHolders::of(&self.machines);
         let mut candidates = Candidates::default();
         for (id, machine) in &mut self.machines {
-            if detector.is_presumed_dead(machine) && machine.lapsed.is_none() && !machine.releasing
+            if detector.is_presumed_dead(machine)
+                && machine.expired_epoch.is_none()
+                && !machine.releasing
             {
-                self.log.push(|| format!("event=silent machine={id} spot={}", machine.info.spot));
+                self.log.debug(|| format!("event=silent machine={id} spot={}", machine.info.spot));
                 machine.releasing = true;
                 self.cloud_requests.to_release.insert(id.clone());
             }
@@ -91,7 +93,7 @@
     fn evict_all(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.cordoned = true;
-        machine.push = true;
+        machine.direct_send_due = true;
         for task in machine.tasks.clone() {
             self.evict(&task);
         }
@@ -102,7 +104,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let grace = job.eviction_grace();
         if let Some(live) = job.live.get_mut(&task.index) {
-            live.stop.get_or_insert(grace);
+            live.stop_grace_s.get_or_insert(grace);
         }
     }
 }
--- a/crates/core/src/direct_results.rs
+++ b/crates/core/src/direct_results.rs
@@ -1,6 +1,6 @@
 //! Tracks direct commands in flight, and handles their answers or the lack of one.
 
-use crate::consts::{DIRECT_BACKOFF_S, PROBE_AGAIN_S, PROBES};
+use crate::consts::{DIRECT_BACKOFF_S, PROBE_RETRY_DELAY_S, PROBES};
 use crate::event::{DirectResult, OpId, Secs};
 use crate::jobs::{Phase, live_attempt_mut};
 use crate::leader::Leader;
@@ -21,7 +21,7 @@
     /// The attempts that it starts.
     pub starts: Vec<AttemptKey>,
     /// The machine didn't answer the previous message.
-    pub unreached: bool,
+    pub unanswered: bool,
 }
 
 impl Leader {
@@ -33,8 +33,8 @@
         let Some(m) = self.machines.get_mut(&sent.machine) else {
             return;
         };
-        if m.direct == Some(op) {
-            m.direct = None;
+        if m.direct_in_flight == Some(op) {
+            m.direct_in_flight = None;
         }
         match result {
             DirectResult::Heartbeat(_, heartbeat) => self.direct_answered(now, &sent, &heartbeat),
@@ -51,8 +51,8 @@
         let Some(m) = self.machines.get_mut(&sent.machine) else {
             return;
         };
-        m.reached = Some(now);
-        m.unreached = 0;
+        m.last_reached_at = Some(now);
+        m.failed_direct_sends = 0;
         m.probe_due = false;
         if (heartbeat.agent_epoch, heartbeat.seq) <= sent.known {
             return self.worker_was_reset(now, &sent.machine);
@@ -71,12 +71,12 @@
         let Some(m) = self.machines.get_mut(id) else {
             return;
         };
-        self.log.push(|| format!("event=reborn machine={id} term={}", self.term.0));
-        m.reborn = true;
+        self.log.debug(|| format!("event=reborn machine={id} term={}", self.term.0));
+        m.worker_restarted = true;
         m.cordoned = true;
         m.releasing = true;
         m.probe_due = false;
-        m.answered = now;
+        m.last_answered_at = now;
         self.cloud_requests.to_release.insert(id.clone());
     }
 
@@ -85,10 +85,11 @@
         let Some(m) = self.machines.get_mut(&sent.machine) else {
             return;
         };
-        m.unreached += 1;
+        m.failed_direct_sends += 1;
         m.direct_failed = Some(now);
-        let backoff = if m.unreached < PROBES { PROBE_AGAIN_S } else { DIRECT_BACKOFF_S };
-        m.direct_after = now + backoff;
+        let backoff =
+            if m.failed_direct_sends < PROBES { PROBE_RETRY_DELAY_S } else { DIRECT_BACKOFF_S };
+        m.next_direct_at = now + backoff;
         if m.agent_epoch != sent.agent_epoch {
             return;
         }
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -1,8 +1,8 @@
 //! The settings that the core uses, and values derived from them.
 
 use crate::consts::{
-    CANCEL_MARGIN_S, DRIFT, IDLE_S, LOOK_S, LOOK_SHARE, PILOT_SHARE, STALE_MOST_S, STALE_SHARE,
-    THIN_LIMIT, WARM_FACTOR, WATCH_BLOCK_MOST_S, WATCH_LAG_S, WATCH_SLACK_MOST_S,
+    CANCEL_MARGIN_S, DRIFT, IDLE_S, PILOT_SHARE, STALE_MAX_S, STALE_SHARE, STEP_COST_PER_MACHINE_S,
+    STEP_CPU_SHARE, THIN_LIMIT, WARM_FACTOR, WATCH_BLOCK_MAX_S, WATCH_LAG_S, WATCH_SLACK_MAX_S,
     WATCH_TIMING_SHARE,
 };
 use marblebarrow_cells::settings::CellsSettings;
@@ -126,7 +126,7 @@
 
 impl Facts {
     /// The tightest completion objective of a class, in seconds, if there is one.
-    pub fn finish_s(&self, class: &str) -> Option<f64> {
+    pub fn finish_objective_s(&self, class: &str) -> Option<f64> {
         let objectives = self.finishes.iter().filter(|a| a.class == class);
         objectives.map(|a| a.within_s).reduce(f64::min)
     }
@@ -159,26 +159,26 @@
 
     /// Minimum interval between two steps with this many machines, in seconds, so that steps take no
     /// more than their share of the processor.
-    pub fn look_pause(&self, machines: usize) -> f64 {
-        machines as f64 * LOOK_S / (LOOK_SHARE * self.core_share)
+    pub fn step_interval(&self, machines: usize) -> f64 {
+        machines as f64 * STEP_COST_PER_MACHINE_S / (STEP_CPU_SHARE * self.core_share)
     }
 
     /// How long after a cancellation a leader that doesn't know of it may still renew leases, in
     /// seconds, so that they expire before the cancelled tasks must be gone.
-    pub fn cancel_room(&self) -> f64 {
+    pub fn cancel_slack(&self) -> f64 {
         self.cancel_s * (1.0 - DRIFT) - self.lease_s * (1.0 + DRIFT) - CANCEL_MARGIN_S
     }
 
     /// Age of the replica, in seconds, beyond which a leader that the store serves may no longer
     /// act.
     pub fn replica_age_limit(&self) -> f64 {
-        self.cancel_room().max(WATCH_LAG_S)
+        self.cancel_slack().max(WATCH_LAG_S)
     }
 
     /// Age of the replica, in seconds, at which a leader that the store serves resigns.
     pub fn replica_age_to_resign(&self) -> f64 {
         let limit = self.replica_age_limit();
-        limit - (limit * STALE_SHARE).min(STALE_MOST_S)
+        limit - (limit * STALE_SHARE).min(STALE_MAX_S)
     }
 
     /// Timing of watches that keeps a leader's replica younger than
@@ -190,13 +190,13 @@
     pub fn watch_timing(&self) -> WatchTiming {
         let share = self.replica_age_to_resign() * WATCH_TIMING_SHARE;
         WatchTiming {
-            block: Duration::from_secs_f64(share.min(WATCH_BLOCK_MOST_S)),
-            slack: Duration::from_secs_f64(share.min(WATCH_SLACK_MOST_S)),
+            block: Duration::from_secs_f64(share.min(WATCH_BLOCK_MAX_S)),
+            slack: Duration::from_secs_f64(share.min(WATCH_SLACK_MAX_S)),
         }
     }
 
     /// The controller that workers try after this one: the next one by name, cyclically.
-    pub fn next_in_turn(&self) -> Option<&NodeId> {
+    pub fn next_controller(&self) -> Option<&NodeId> {
         let after = self.others.iter().filter(|o| **o > self.node).min();
         after.or_else(|| self.others.iter().min())
     }
--- a/crates/core/src/heartbeats/outcomes.rs
+++ b/crates/core/src/heartbeats/outcomes.rs
@@ -9,7 +9,7 @@
 use marblebarrow_proto::wire::Why;
 
 /// How many tasks of a job must have ended before a much slower one counts as slow.
-const SLOW_LEAST_SAMPLES: u32 = 2;
+const SLOW_SAMPLES_MIN: u32 = 2;
 
 /// The run time of an attempt, compared with the other tasks of its job.
 struct RunTime {
@@ -31,7 +31,7 @@
     /// Whether the attempt took much longer than the others; `None` if there is too little data.
     fn is_slow(&self) -> Option<bool> {
         let (run, mean) = (self.run?, self.mean?);
-        (self.samples >= SLOW_LEAST_SAMPLES).then_some(run > mean * SLOW_FACTOR)
+        (self.samples >= SLOW_SAMPLES_MIN).then_some(run > mean * SLOW_FACTOR)
     }
 }
 
@@ -68,7 +68,7 @@
         let run_time = RunTime::of(job, task.index, now);
         let outcome = outcome_of(why);
         if why == Why::Alone {
-            job.whole_gang = true;
+            job.restart_whole_gang = true;
         }
         if placed && outcome != Outcome::Done && job.spec().kind == Kind::Gang {
             self.stop_gang(&task.job, task.index);
@@ -77,12 +77,13 @@
         // The job has now succeeded, so its earlier failures were faults of the machines. Until
         // then failures aren't attributed: jobs submitted with a mistake fail everywhere, and many
         // of them would have caused sound machines to be returned.
-        let faulty = if outcome == Outcome::Done { job.unexplained() } else { Vec::new() };
-        let end = TaskEnd { outcome, why, job_has_succeeded: job.sound(), run_time };
+        let faulty =
+            if outcome == Outcome::Done { job.unattributed_failures() } else { Vec::new() };
+        let end = TaskEnd { outcome, why, job_has_succeeded: job.has_succeeded(), run_time };
         self.record_outcome(now, task, outcome, placed);
         for other in faulty {
             if let Some(machine) = self.machines.get_mut(&other) {
-                machine.errors += 1;
+                machine.error_streak += 1;
             }
         }
         if placed {
@@ -99,7 +100,7 @@
             self.stop_duplicate(task);
         }
         if is_result || placed {
-            self.over(&task.job, task.index, outcome, now);
+            self.end_attempt(&task.job, task.index, outcome, now);
         }
     }
 
@@ -107,10 +108,10 @@
     fn stop_duplicate(&mut self, task: &TaskId) {
         let live = live_attempt_mut(&mut self.jobs, task);
         let Some(live) = live else { return };
-        live.stop = Some(0.0);
+        live.stop_grace_s = Some(0.0);
         if let Some(machine) = self.machines.get_mut(&live.machine) {
-            machine.strangers.insert((task.clone(), live.attempt));
-            machine.push = true;
+            machine.unknown_attempts.insert((task.clone(), live.attempt));
+            machine.direct_send_due = true;
         }
     }
 
@@ -119,20 +120,20 @@
         let Some(machine) = self.machines.get_mut(id) else { return };
         match end.outcome {
             Outcome::Done => {
-                machine.errors = 0;
+                machine.error_streak = 0;
                 // A machine that takes much longer than others for the same job is slow, whichever
                 // job that is.
                 if let Some(slow) = end.run_time.is_slow() {
-                    machine.slow = if slow { machine.slow + 1 } else { 0 };
+                    machine.slow_streak = if slow { machine.slow_streak + 1 } else { 0 };
                 }
             }
             Outcome::Error => {
-                machine.errors += u32::from(end.job_has_succeeded);
-                self.log.push(|| format!("event=failed task={task} machine={id}"));
+                machine.error_streak += u32::from(end.job_has_succeeded);
+                self.log.debug(|| format!("event=failed task={task} machine={id}"));
             }
             Outcome::Refused => {
                 let why = end.why;
-                self.log.push(|| format!("event=refused task={task} machine={id} why={why:?}"));
+                self.log.debug(|| format!("event=refused task={task} machine={id} why={why:?}"));
             }
             Outcome::Lost => {}
         }
@@ -143,11 +144,12 @@
     fn stop_gang(&mut self, id: &JobId, lost_index: u32) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let grace = job.eviction_grace();
-        for (_, live) in job.live.iter_mut().filter(|(n, l)| **n != lost_index && l.stop.is_none())
+        for (_, live) in
+            job.live.iter_mut().filter(|(n, l)| **n != lost_index && l.stop_grace_s.is_none())
         {
-            live.stop = Some(grace);
+            live.stop_grace_s = Some(grace);
             if let Some(machine) = self.machines.get_mut(&live.machine) {
-                machine.push = true;
+                machine.direct_send_due = true;
             }
         }
     }
--- a/crates/core/src/heartbeats/tasks.rs
+++ b/crates/core/src/heartbeats/tasks.rs
@@ -28,9 +28,9 @@
         let Some(job) = job else {
             // The job is over and closed, or was never known to this cell.
             if let Some(why) = exit {
-                m.exited.insert(key, why);
+                m.ended_attempts.insert(key, why);
             } else {
-                m.strangers.insert(key);
+                m.unknown_attempts.insert(key);
             }
             return;
         };
@@ -38,9 +38,9 @@
         let placed = job.live.get(&task.index).is_some_and(is_placed);
         if let Some(why) = exit {
             if placed {
-                m.reached = Some(now);
+                m.last_reached_at = Some(now);
             }
-            m.exited.insert(key, why);
+            m.ended_attempts.insert(key, why);
             self.task_ended(now, id, &task, why, placed);
         } else if placed {
             self.confirm_attempt(now, id, &task, entry.state);
@@ -58,7 +58,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(live) = job.live.get_mut(&task.index) else { return };
         if live.phase == Phase::Sent {
-            m.reached = Some(now);
+            m.last_reached_at = Some(now);
         }
         if !matches!(state, TaskState::Running | TaskState::Waiting) {
             if live.phase != Phase::Running {
@@ -83,15 +83,15 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(live) = job.live.get_mut(&task.index) else { return };
         if live.ran_from.is_none() {
-            let after = now - live.since;
+            let after = now - live.placed_at;
             if !live.adopted && job.record.spec.kind == Kind::Array {
                 self.start_lag += (after - self.start_lag) * LAG_WEIGHT;
             }
-            self.log.push(|| format!("event=runs task={task} machine={id} after_s={after:.1}"));
+            self.log.debug(|| format!("event=runs task={task} machine={id} after_s={after:.1}"));
         }
         live.phase = Phase::Running;
         let ran_from = *live.ran_from.get_or_insert(now);
-        job.ran_for(now - ran_from);
+        job.note_run_time(now - ran_from);
     }
 
     /// Whether an attempt is newer than the placed one. Attempts are ordered: a later one is
@@ -105,14 +105,14 @@
 
     /// Records an attempt that isn't needed, so that it gets stopped.
     fn note_unneeded_attempt(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=stranger task={task} attempt={} machine={id} term={}",
                 attempt.0, self.term.0
             )
         });
         if let Some(m) = self.machines.get_mut(id) {
-            m.strangers.insert((task, attempt));
+            m.unknown_attempts.insert((task, attempt));
         }
     }
 
@@ -125,13 +125,13 @@
         entry: &HeartbeatTask,
     ) -> Option<()> {
         if self.jobs.get(&task.job)?.live.contains_key(&task.index) {
-            self.over(&task.job, task.index, Outcome::Lost, now);
+            self.end_attempt(&task.job, task.index, Outcome::Lost, now);
         }
         let number = self.machine_number(id)?;
         let job = self.jobs.get_mut(&task.job)?;
         let m = self.machines.get_mut(id)?;
         job.maybe_running.remove(&task.index);
-        job.again.remove(&task.index);
+        job.retry_at.remove(&task.index);
         job.started.insert(task.index);
         job.machines.insert(number);
         self.writer.want_machine(id, m, now);
@@ -157,11 +157,11 @@
         machine: id.clone(),
         attempt: entry.attempt,
         phase: if running { Phase::Running } else { Phase::Seen },
-        since: now,
+        placed_at: now,
         ran_from: None,
         unconfirmed: false,
-        stop: cancelled.then_some(0.0),
-        sent: None,
+        stop_grace_s: cancelled.then_some(0.0),
+        start_sent_at: None,
         adopted: true,
     }
 }
--- a/crates/core/src/jobs/deadlines.rs
+++ b/crates/core/src/jobs/deadlines.rs
@@ -2,7 +2,7 @@
 
 use super::Job;
 use crate::consts::{
-    DRAIN_S, FINISH_SHARE, OVERDUE_SHARE, RENT_SPREAD, START_AIM_SHARE, WAVES_MAX,
+    DRAIN_S, FINISH_SHARE, OVERDUE_SHARE, RENT_SPREAD, START_OBJECTIVE_SHARE, WAVES_MAX,
 };
 use crate::event::Secs;
 use crate::inheritance::{DeadlineAhead, Urgency};
@@ -18,12 +18,12 @@
     /// minutes were left.
     pub fn due(&self) -> Secs {
         let start = self.start_within.map(|within| {
-            self.ready_since + within * START_AIM_SHARE + self.likely_run() * RENT_SPREAD
+            self.ready_since + within * START_OBJECTIVE_SHARE + self.likely_run() * RENT_SPREAD
         });
         if let Some(due) = self.deadline_at() {
             return start.map_or(due, |start| start.min(due));
         }
-        let objective = self.finish_s.map(|s| s * FINISH_SHARE);
+        let objective = self.finish_objective_s.map(|s| s * FINISH_SHARE);
         let waves = self.likely_run() * (1.0 + WAVES_MAX);
         start.unwrap_or_else(|| self.arrived + objective.unwrap_or(waves))
     }
@@ -92,8 +92,8 @@
 
     /// Whether its backlog needs no extra machines yet: it has no deadline, and enough time is
     /// left until an objective's time.
-    pub fn unhurried(&self, now: Secs) -> bool {
+    pub fn has_time_left(&self, now: Secs) -> bool {
         let left = self.due() - self.likely_run() * RENT_SPREAD - now;
-        self.spec().deadline_s.is_none() && self.finish_s.is_some() && left > DRAIN_S
+        self.spec().deadline_s.is_none() && self.finish_objective_s.is_some() && left > DRAIN_S
     }
 }
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -63,7 +63,7 @@
             job.waits_for_dependencies = waits;
         }
         self.inherit_urgency(id);
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=dependencies job={id} named={} waits={waits} term={}",
                 dependencies.len(),
@@ -100,7 +100,8 @@
     pub(crate) fn next_stages(&self, now: Secs, until: Secs) -> Vec<NextStage<'_>> {
         let waiting = self.dependencies.waiting().filter_map(|id| {
             let job = self.jobs.get(id)?;
-            let counts = job.spec().kind == Kind::Array && !job.cancelled && !job.spare();
+            let counts =
+                job.spec().kind == Kind::Array && !job.cancelled && !job.is_spare_capacity_work();
             let ready_at = counts.then(|| self.ready_at(id, now)).flatten()?;
             let due = match job.deadline_at() {
                 Some(_) => job.due(),
@@ -162,7 +163,7 @@
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.dependencies_done(now);
             self.place_due = true;
-            self.log.push(|| format!("event=dependencies_done job={id} term={}", self.term.0));
+            self.log.debug(|| format!("event=dependencies_done job={id} term={}", self.term.0));
         }
     }
 
@@ -189,7 +190,7 @@
     /// does, as an upgraded controller never returns to an older version.
     fn uses_cascade_lists(&self, replica: &Replica) -> bool {
         let allowed = self.cascade_lists_allowed || replica.cascaded.generation() != 0;
-        let large = self.dependencies.cascade_count() >= CASCADE_LISTED_LEAST;
+        let large = self.dependencies.cascade_count() >= CASCADE_LIST_MIN_JOBS;
         self.cascade_lists.is_writing() || (allowed && large)
     }
 
@@ -317,7 +318,7 @@
                 return true;
             }
             CascadeOutcome::Removed => {
-                self.log.push(|| format!("event=cascade_list_removed term={}", self.term.0));
+                self.log.debug(|| format!("event=cascade_list_removed term={}", self.term.0));
                 return true;
             }
         }
@@ -356,7 +357,7 @@
         let Some(job) = self.jobs.get(id) else { return };
         let tasks = job.spec().tasks;
         let size = self.dependencies.waiting_count();
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=cascade_cancelled job={id} tasks={tasks} waiting={size} term={}",
                 self.term.0
--- a/crates/core/src/place/array_jobs.rs
+++ b/crates/core/src/place/array_jobs.rs
@@ -103,7 +103,7 @@
     /// Array jobs that have waited too long for their first task, in order of arrival.
     fn overdue_arrays(&self, now: Secs) -> Vec<JobId> {
         let overdue = |job: &Job| {
-            job.started.is_empty() && now - job.arrived > BEGIN_LATEST_S && job.waiting() > 0
+            job.started.is_empty() && now - job.arrived > FIRST_TASK_DEADLINE_S && job.waiting() > 0
         };
         let mut jobs: Vec<(Secs, &JobId)> = self
             .queue_snapshot
@@ -165,7 +165,7 @@
     fn is_in_round(&self, pass: &SchedulingPass, round: ArrayRound, job: &Job) -> bool {
         match round {
             ArrayRound::Guaranteed => self.within_guarantee(pass, job),
-            ArrayRound::Regular => !job.spare(),
+            ArrayRound::Regular => !job.is_spare_capacity_work(),
             ArrayRound::SpareCapacity => true,
         }
     }
@@ -225,7 +225,7 @@
         index: u32,
         images: ImagePolicy,
     ) -> Option<bool> {
-        if pass.preemptions_left == 0 || self.jobs.get(id)?.spare() {
+        if pass.preemptions_left == 0 || self.jobs.get(id)?.is_spare_capacity_work() {
             return Some(false);
         }
         let reason = PreemptionReason::SpareCapacity;
--- a/crates/core/src/place/assign.rs
+++ b/crates/core/src/place/assign.rs
@@ -68,7 +68,7 @@
             self.writer.touch_task(id, index, pass.now, true);
         }
         if spec.kind == Kind::Array
-            && let Some(demand) = self.images.get_mut(&spec.image)
+            && let Some(demand) = self.image_demand.get_mut(&spec.image)
         {
             demand.waiting -= spec.cpus;
         }
@@ -101,7 +101,7 @@
         else {
             return;
         };
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=place task={id}/{index} attempt={} machine={machine} image={} \
                  fetch_s={fetch:.1} term={}",
@@ -114,9 +114,9 @@
     /// worker, and refreshes the free capacity.
     fn prepare_machine(&mut self, pass: &mut SchedulingPass, id: &MachineId, spec: &JobSpec) {
         let Some(machine) = self.machines.get_mut(id) else { return };
-        machine.push = true;
+        machine.direct_send_due = true;
         if machine.expect_image(&spec.image, spec.image_gb, pass.now)
-            && let Some(demand) = self.images.get_mut(&spec.image)
+            && let Some(demand) = self.image_demand.get_mut(&spec.image)
         {
             demand.holders += machine.size[0];
         }
@@ -136,11 +136,11 @@
         machine: machine.clone(),
         attempt,
         phase: Phase::Placed,
-        since: now,
+        placed_at: now,
         ran_from: None,
         unconfirmed: false,
-        stop: None,
-        sent: None,
+        stop_grace_s: None,
+        start_sent_at: None,
         adopted: false,
     }
 }
--- a/crates/core/src/preempt/mod.rs
+++ b/crates/core/src/preempt/mod.rs
@@ -64,7 +64,7 @@
         pass.unplaceable.clear();
         for victim in &plan.victims {
             let machine = &plan.machine;
-            self.log.push(|| format!("event=preempt task={victim} for={id} machine={machine}"));
+            self.log.debug(|| format!("event=preempt task={victim} for={id} machine={machine}"));
             self.preempt(pass.now, victim);
             self.count_preempted(pass, victim);
         }
@@ -118,7 +118,7 @@
         let runs_others = machine.tasks.len() > machine.services as usize;
         // While the machine still lists an earlier attempt of the task, its worker refuses a new
         // one. Without this check the task was sent to such a machine again and again.
-        let listed = machine.exited.keys().any(|(ended, _)| ended == task);
+        let listed = machine.ended_attempts.keys().any(|(ended, _)| ended == task);
         runs_others
             && !listed
             && machine.usable(pass.now, self.facts.heartbeat_interval_s)
@@ -139,20 +139,20 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(live) = job.live.get_mut(&task.index) else { return };
         if live.never_sent(now) {
-            return self.over(&task.job, task.index, Outcome::Lost, now);
+            return self.end_attempt(&task.job, task.index, Outcome::Lost, now);
         }
-        live.stop = Some(0.0);
+        live.stop_grace_s = Some(0.0);
         // A task that is told to stop at once releases its capacity before the worker executes the
         // command that follows the stop, so the capacity already counts as free.
         let Some(machine) = self.machines.get_mut(&live.machine) else { return };
-        machine.unbook(&job.record.spec);
-        machine.freed.insert(task.clone());
+        machine.unreserve(&job.record.spec);
+        machine.freed_tasks.insert(task.clone());
     }
 
     /// Adds to `free` the CPUs, GPUs and memory (GB) that preemptible array tasks occupy on a
     /// machine.
     pub(crate) fn add_preemptible(&self, machine: &Machine, free: &mut [f64; 3]) {
-        for task in machine.tasks.difference(&machine.freed) {
+        for task in machine.tasks.difference(&machine.freed_tasks) {
             let Some(spec) = self.jobs.get(&task.job).map(|job| job.spec()) else { continue };
             if spec.kind == Kind::Array && spec.priority < Priority::Production {
                 free[0] += spec.cpus;
--- a/crates/core/src/provision/mod.rs
+++ b/crates/core/src/provision/mod.rs
@@ -125,8 +125,10 @@
     }
 
     fn gang_shortages(&self, capacity: &mut [Capacity], quota: &mut QuotaBudget) -> Vec<Shortage> {
-        let gangs =
-            self.jobs.values().filter(|job| job.spec().kind == Kind::Gang && !job.mistaken());
+        let gangs = self
+            .jobs
+            .values()
+            .filter(|job| job.spec().kind == Kind::Gang && !job.suspected_broken());
         gangs.map(|job| self.shortage(job, capacity, quota)).collect()
     }
 
@@ -192,7 +194,7 @@
         }
         let request = self.cloud_requests.new_request_name(self.term);
         let MachineOffer { machine_type: kind, zone, spot } = offer;
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=rent request={request} type={kind} zone={zone} spot={spot} count={count}"
             )
--- a/crates/core/src/provision/spare_work.rs
+++ b/crates/core/src/provision/spare_work.rs
@@ -45,7 +45,7 @@
         let mut planned: Vec<Capacity> = Vec::new();
         for job in self.spare_jobs() {
             let needs = self.task_needs(&job.spec);
-            let tasks = quota.reserve_up_to(&job.spec, job.waiting.min(LAID_OUT_MIN));
+            let tasks = quota.reserve_up_to(&job.spec, job.waiting.min(PROJECTED_TASKS_MIN));
             let unpacked = needs.pack(capacity, tasks);
             let worth = (f64::from(unpacked) * job.busy_share).ceil() as u32;
             let age = now - job.arrived;
@@ -69,7 +69,9 @@
 
     /// Spare-capacity jobs with waiting tasks, by arrival.
     fn spare_jobs(&self) -> Vec<SpareJob> {
-        let waits = |job: &&Job| job.spare() && job.waiting() > 0 && !job.mistaken();
+        let waits = |job: &&Job| {
+            job.is_spare_capacity_work() && job.waiting() > 0 && !job.suspected_broken()
+        };
         let mut jobs: Vec<SpareJob> = self.jobs.values().filter(waits).map(SpareJob::of).collect();
         jobs.sort_by(|a, b| a.arrived.total_cmp(&b.arrived).then(a.spec.id.cmp(&b.spec.id)));
         jobs
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -2,7 +2,7 @@
 //! until every recorded machine that may run it has reported under the new term, was released, or
 //! has had its lease expire since this leader was elected.
 
-use crate::consts::{LEAST_BILL_S, STORE_RETRY_S};
+use crate::consts::{MIN_BILLING_S, STORE_RETRY_S};
 use crate::event::{ActionSink, OpId, Secs, StoreRequest, StoreResult};
 use crate::fleet::Machine;
 use crate::jobs::Job;
@@ -107,7 +107,7 @@
         let Some(l) = self.loading.take() else { return };
         let ids: Vec<JobId> = replica.specs.keys().cloned().collect();
         for id in &ids {
-            self.learn_job(now, wall_ms, id, replica);
+            self.apply_job_record(now, wall_ms, id, replica);
         }
         for item in l.progress_items {
             let Some((id, part)) = parse_progress_key(&item.key) else {
@@ -147,7 +147,7 @@
                 m.block = Some(block);
                 // Assumes that the minimum bill is mostly paid. Otherwise a fleet that idles
                 // after a takeover is kept for half a minute too long.
-                m.first_heard = now - LEAST_BILL_S;
+                m.first_heard = now - MIN_BILLING_S;
                 // Shows the worker the new token, so that it refuses older commands still in
                 // flight and answers with a complete report.
                 m.probe_due = true;
@@ -158,8 +158,8 @@
         // are not assigned again.
         let recorded = self.jobs.values().filter_map(|j| j.machines.bounds()).map(|(_, last)| last);
         self.next_number = recorded.fold(self.next_number, u32::max);
-        self.learn_types();
-        self.log.push(|| {
+        self.apply_machine_types();
+        self.log.debug(|| {
             format!(
                 "event=loaded term={} jobs={} machines={}",
                 self.term.0,
@@ -191,7 +191,7 @@
                 continue;
             }
             for n in std::mem::take(&mut job.maybe_running) {
-                job.again.insert(n, now);
+                job.retry_at.insert(n, now);
                 freed += 1;
             }
             if job.cancelled {
@@ -200,11 +200,11 @@
         }
         if freed > 0 {
             self.place_due = true;
-            self.log.push(|| format!("event=freed term={} tasks={freed}", self.term.0));
+            self.log.debug(|| format!("event=freed term={} tasks={freed}", self.term.0));
         }
         if unaccounted.is_empty() {
             self.recovering = false;
-            self.log.push(|| format!("event=recovered term={}", self.term.0));
+            self.log.debug(|| format!("event=recovered term={}", self.term.0));
         }
     }
 }
--- a/crates/core/src/user_api/polls.rs
+++ b/crates/core/src/user_api/polls.rs
@@ -45,7 +45,7 @@
         if self.cascaded(context).contains(&id) {
             return out.reply(to, Answer::Job(200, cancelled_status(id)));
         }
-        if context.store_bad || !context.replica.synced {
+        if context.store_unavailable || !context.replica.synced {
             return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
         }
         if self.polls.len() >= POLLS_MAX {
@@ -169,7 +169,7 @@
         if context.now - poll.since > CASCADE_READ_AFTER_S {
             self.read_cascades(context, out);
         }
-        self.next_check = self.next_check.max(context.now + CASCADE_LOOK_S);
+        self.next_check = self.next_check.max(context.now + CASCADE_RECHECK_S);
         self.polls.push_back(poll);
     }
 
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/worker_commands.rs
@@ -14,7 +14,7 @@
 /// A machine that waits for a direct command.
 struct WaitingDirectCommand {
     /// Whether it left the last direct command unanswered.
-    unreached: bool,
+    unanswered: bool,
     /// Whether there is no command to send, only a probe of whether the machine can be reached.
     only_probe: bool,
     /// The earliest time from which it may have been waiting.
@@ -29,8 +29,8 @@
     /// were served in the order of their names, the last ones of a fleet with few threads were
     /// never contacted at all.
     fn compare(&self, other: &Self) -> Ordering {
-        self.unreached
-            .cmp(&other.unreached)
+        self.unanswered
+            .cmp(&other.unanswered)
             .then(self.only_probe.cmp(&other.only_probe))
             .then(self.since.total_cmp(&other.since))
     }
@@ -49,11 +49,11 @@
             grace_s,
         };
         let wanted = |task: &TaskId| of(self.jobs.get(&task.job));
-        let unneeded = m.strangers.iter().filter(|(task, _)| wanted(task));
+        let unneeded = m.unknown_attempts.iter().filter(|(task, _)| wanted(task));
         let unneeded = unneeded.map(|(task, attempt)| stop(task, *attempt, 0.0));
         let stopping = m.tasks.iter().filter(|task| wanted(task)).filter_map(|task| {
             let live = live_attempt(&self.jobs, task)?;
-            Some(stop(task, live.attempt, live.stop?))
+            Some(stop(task, live.attempt, live.stop_grace_s?))
         });
         unneeded.chain(stopping).collect()
     }
@@ -66,8 +66,8 @@
         let Some(m) = self.machines.get_mut(id) else {
             return (commands, starts);
         };
-        m.push = false;
-        for (key, why) in &m.exited {
+        m.direct_send_due = false;
+        for (key, why) in &m.ended_attempts {
             let (task, attempt) = key;
             let safe = match self.jobs.get(&task.job) {
                 None => true,
@@ -77,11 +77,12 @@
                 commands.push(Command::Forget { task: task.to_string(), attempt: *attempt });
             }
         }
-        let startable = m.recorded && m.lapsed.is_none() && !m.releasing && m.reached.is_some();
+        let startable =
+            m.recorded && m.expired_epoch.is_none() && !m.releasing && m.last_reached_at.is_some();
         let number = m.info.number;
         for task in m.tasks.iter().filter(|_| startable) {
             if commands.len() >= COMMANDS_MAX {
-                m.push = true;
+                m.direct_send_due = true;
                 break;
             }
             let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -93,7 +94,7 @@
             let Some(live) = job.live.get_mut(&task.index) else {
                 continue;
             };
-            if live.stop.is_none() && matches!(live.phase, Phase::Placed | Phase::Ready) {
+            if live.stop_grace_s.is_none() && matches!(live.phase, Phase::Placed | Phase::Ready) {
                 live.phase = Phase::Sent;
                 commands.push(Command::Start { task: task.to_string(), attempt: live.attempt });
                 starts.push((task.clone(), live.attempt));
@@ -109,7 +110,7 @@
             return;
         }
         let (term, starts, knowledge) = (self.term.0, starts.len(), self.knowledge);
-        self.log.push(|| {
+        self.log.debug(|| {
             format!(
                 "event=commands machine={id} commands={commands} starts={starts} term={term} \
                  revision={} known_at_s={:.2} authority_until_s={:.2}",
@@ -120,10 +121,10 @@
 
     /// Sends commands directly to machines that shouldn't wait for their next heartbeat.
     pub(crate) fn push_direct(&mut self, now: Secs, out: &mut ActionSink) {
-        if now < self.next_push {
+        if now < self.next_direct_round_at {
             return;
         }
-        self.next_push = now + PUSH_EVERY_S;
+        self.next_direct_round_at = now + DIRECT_ROUND_INTERVAL_S;
         let limit = self.facts.direct_most;
         if self.directs.len() >= limit {
             return;
@@ -132,22 +133,23 @@
             .machines
             .iter()
             .filter(|(_, m)| {
-                m.direct.is_none()
-                    && now >= m.direct_after
-                    && (m.push && m.agent_epoch != 0 && m.lapsed.is_none() || m.probe_due)
+                m.direct_in_flight.is_none()
+                    && now >= m.next_direct_at
+                    && (m.direct_send_due && m.agent_epoch != 0 && m.expired_epoch.is_none()
+                        || m.probe_due)
             })
             .map(|(id, m)| WaitingDirectCommand {
-                unreached: m.unreached > 0,
-                only_probe: !m.push,
-                since: m.waiting_since(),
+                unanswered: m.failed_direct_sends > 0,
+                only_probe: !m.direct_send_due,
+                since: m.commands_waiting_since(),
                 machine: id.clone(),
             })
             .collect();
         ready.sort_by(WaitingDirectCommand::compare);
-        let mut unreached = self.directs.values().filter(|d| d.unreached).count();
-        let unreached_limit = ((limit as f64 * UNREACHED_SHARE) as usize).max(1);
-        for WaitingDirectCommand { unreached: is_unreached, machine: id, .. } in ready {
-            if self.directs.len() >= limit || is_unreached && unreached >= unreached_limit {
+        let mut unanswered = self.directs.values().filter(|d| d.unanswered).count();
+        let unanswered_limit = ((limit as f64 * UNANSWERED_SHARE) as usize).max(1);
+        for WaitingDirectCommand { unanswered: is_unanswered, machine: id, .. } in ready {
+            if self.directs.len() >= limit || is_unanswered && unanswered >= unanswered_limit {
                 break;
             }
             let Some((agent_epoch, probe_due)) =
@@ -161,7 +163,7 @@
                 (Vec::new(), Vec::new())
             };
             if probe_due || commands.iter().any(is_urgent) {
-                unreached += usize::from(is_unreached);
+                unanswered += usize::from(is_unanswered);
                 // The worker refuses an unknown epoch and returns its heartbeat, which is what is
                 // needed.
                 self.send_direct(now, &id, agent_epoch.max(1), commands, starts, out);
@@ -185,9 +187,9 @@
             return;
         };
         let op = out.op();
-        m.direct = Some(op);
+        m.direct_in_flight = Some(op);
         let known = (m.agent_epoch, m.seq);
-        let unreached = m.unreached > 0;
+        let unanswered = m.failed_direct_sends > 0;
         out.actions.push(Action::Direct {
             op,
             addr: m.info.addr.clone(),
@@ -203,7 +205,7 @@
             at: now,
             known,
             starts,
-            unreached,
+            unanswered,
         };
         self.directs.insert(op, sent);
     }
@@ -211,14 +213,18 @@
     /// Schedules probes of machines whose heartbeats arrive but that haven't shown for long that
     /// answers reach them, and of machines that missed a heartbeat.
     pub(crate) fn probe_doubtful_machines(&mut self, now: Secs) {
-        let probe_after =
-            (self.facts.heartbeat_interval_s * REACH_HEARTBEATS + WORKER_GIVES_UP_S) * PROBE_SHARE;
-        let quiet_limit = self.facts.heartbeat_interval_s * QUIET_HEARTBEATS + QUIET_MARGIN_S;
+        let probe_after = (self.facts.heartbeat_interval_s * REACH_HEARTBEATS
+            + WORKER_REPORT_TIMEOUT_S)
+            * PROBE_SHARE;
+        let quiet_limit = self.facts.heartbeat_interval_s * MISSED_HEARTBEAT_INTERVALS
+            + MISSED_HEARTBEAT_MARGIN_S;
         for m in self.machines.values_mut() {
-            let Some(since) = m.heard.map(|h| now - h) else { continue };
-            let heard = since < self.facts.heartbeat_interval_s * SILENT_HEARTBEATS;
-            let unconfirmed = heard && m.reached.is_none_or(|at| now - at > probe_after);
-            let missed = since > quiet_limit && m.unreached < QUIET_PROBES && m.lapsed.is_none();
+            let Some(since) = m.last_heard_at.map(|h| now - h) else { continue };
+            let heard = since < self.facts.heartbeat_interval_s * UNREACHABLE_HEARTBEATS;
+            let unconfirmed = heard && m.last_reached_at.is_none_or(|at| now - at > probe_after);
+            let missed = since > quiet_limit
+                && m.failed_direct_sends < FAILED_PROBES_MIN
+                && m.expired_epoch.is_none();
             if unconfirmed || missed && !m.releasing {
                 m.probe_due = true;
             }
@@ -231,16 +237,16 @@
         let expired: Vec<MachineId> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.lapsed.is_none() && now > m.answered + lease_life)
+            .filter(|(_, m)| m.expired_epoch.is_none() && now > m.last_answered_at + lease_life)
             .map(|(id, _)| id.clone())
             .collect();
         for id in expired {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.lapsed = Some(m.agent_epoch);
+                m.expired_epoch = Some(m.agent_epoch);
                 m.probe_due = false;
                 m.confirmed = true;
             }
-            self.log.push(|| format!("event=lapsed machine={id} term={}", self.term.0));
+            self.log.debug(|| format!("event=lapsed machine={id} term={}", self.term.0));
             self.lose_tasks(&id, now);
         }
     }
--- a/crates/core/src/writer/answers.rs
+++ b/crates/core/src/writer/answers.rs
@@ -125,7 +125,7 @@
                 for live in j.live.values_mut().filter(|l| l.phase == Phase::Placed) {
                     live.phase = Phase::Ready;
                     if let Some(m) = self.machines.get_mut(&live.machine) {
-                        m.push = true;
+                        m.direct_send_due = true;
                     }
                 }
             }
@@ -136,7 +136,7 @@
                 for id in names {
                     if let Some(m) = self.machines.get_mut(&id).filter(|m| !m.recorded) {
                         m.recorded = true;
-                        m.push = true;
+                        m.direct_send_due = true;
                     }
                 }
             }
@@ -152,10 +152,10 @@
             j.live.iter().map(|(n, l)| (*n, l.machine.clone(), l.attempt)).collect()
         });
         for (n, machine, attempt) in leftover {
-            self.over(id, n, Outcome::Lost, now);
+            self.end_attempt(id, n, Outcome::Lost, now);
             if let Some(m) = self.machines.get_mut(&machine) {
-                m.strangers.insert((TaskId { job: id.clone(), index: n }, attempt));
-                m.push = true;
+                m.unknown_attempts.insert((TaskId { job: id.clone(), index: n }, attempt));
+                m.direct_send_due = true;
             }
         }
         let Some(job) = self.jobs.remove(id) else {
@@ -170,10 +170,10 @@
         }
         self.terminal_states.push((id.clone(), EndRecord { cancelled, tasks }));
         if job.record.origin.is_some() {
-            self.guest_over(id, cancelled);
+            self.record_guest_end(id, cancelled);
         }
         self.dependency_finished(now, id, cancelled);
-        self.log.push(|| format!(
+        self.log.debug(|| format!(
             "event=closed job={id} cancelled={cancelled} after_s={:.1} due_s={:.1} tasks={tasks} mean_s={:.1} guess_s={:.1} term={}",
             now - job.arrived,
             job.spec().deadline_s.unwrap_or(0.0),
