--- a/crates/core/tests/cluster/fault_combinations.rs
+++ b/crates/core/tests/cluster/fault_combinations.rs
@@ -2,14 +2,14 @@
 //! can't pass because they missed each other.
 
 use crate::at_leader;
-use marblebarrow_rehearsal::world::{Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, World};
 
 /// Runs a combination of faults for 12 seeds, at the given times or some seconds later, with
 /// jobs whose tasks end far apart. `configure` prepares each world; `occurrences` counts after
 /// each run how often the faults coincided, which must be at least `min_total` in all runs
 /// together.
 fn run_and_count(
-    faults: &[(u32, Trouble)],
+    faults: &[(u32, Fault)],
     configure: impl Fn(&mut World),
     occurrences: impl Fn(&World) -> usize,
     min_total: usize,
@@ -43,11 +43,11 @@
 fn a_zone_is_partitioned_with_its_controller() {
     run_and_count(
         &[
-            (200, at_leader(Trouble::ZoneApart("a", 0, 160))),
-            (204, Trouble::CancelNow(4)),
-            (240, Trouble::CancelNow(3)),
-            (420, Trouble::ZoneApart("b", 1, 160)),
-            (430, Trouble::CancelNow(3)),
+            (200, at_leader(Fault::ZonePartitionedWithController("a", 0, 160))),
+            (204, Fault::CancelNow(4)),
+            (240, Fault::CancelNow(3)),
+            (420, Fault::ZonePartitionedWithController("b", 1, 160)),
+            (430, Fault::CancelNow(3)),
         ],
         no_setup,
         |w| w.met.cancelled_apart as usize,
@@ -61,10 +61,10 @@
 fn jobs_cancelled_through_the_new_leader_while_the_old_still_serves() {
     run_and_count(
         &[
-            (200, at_leader(Trouble::Isolated(0, 250))),
-            (215, Trouble::CancelNow(4)),
-            (245, Trouble::CancelNow(4)),
-            (300, Trouble::CloseLooks(60)),
+            (200, at_leader(Fault::CutFromStoreAndPeers(0, 250))),
+            (215, Fault::CancelNow(4)),
+            (245, Fault::CancelNow(4)),
+            (300, Fault::ClosePolling(60)),
         ],
         no_setup,
         |w| cancelled_between(w, 200, 300),
@@ -77,14 +77,14 @@
 fn jobs_cancelled_during_a_change_of_leader() {
     run_and_count(
         &[
-            (199, Trouble::CancelNow(2)),
-            (200, at_leader(Trouble::Crash(0, 60))),
-            (201, Trouble::CancelNow(2)),
-            (225, Trouble::CancelNow(2)),
-            (236, Trouble::CancelNow(2)),
-            (400, at_leader(Trouble::Freeze(0, 60))),
-            (401, Trouble::CancelNow(2)),
-            (430, Trouble::CancelNow(2)),
+            (199, Fault::CancelNow(2)),
+            (200, at_leader(Fault::Crash(0, 60))),
+            (201, Fault::CancelNow(2)),
+            (225, Fault::CancelNow(2)),
+            (236, Fault::CancelNow(2)),
+            (400, at_leader(Fault::Pause(0, 60))),
+            (401, Fault::CancelNow(2)),
+            (430, Fault::CancelNow(2)),
         ],
         no_setup,
         |w| cancelled_between(w, 199, 250).min(w.met.changes_of_leader.len() * 10),
@@ -98,11 +98,11 @@
 fn more_work_than_capacity_with_a_slow_store() {
     run_and_count(
         &[
-            (120, Trouble::StoreSlow(250)),
-            (130, Trouble::Boots(30, 200)),
-            (260, at_leader(Trouble::Crash(0, 40))),
-            (270, Trouble::CancelNow(6)),
-            (280, Trouble::PollStorm(40)),
+            (120, Fault::StoreSlow(250)),
+            (130, Fault::BootTimes(30, 200)),
+            (260, at_leader(Fault::Crash(0, 40))),
+            (270, Fault::CancelNow(6)),
+            (280, Fault::PollStorm(40)),
         ],
         |w| (w.pace, w.gap_s) = ((8, 360), 4.0),
         |w| w.met.changes_of_leader.len(),
@@ -116,12 +116,12 @@
 fn a_slow_store_then_an_outage_under_close_polling() {
     run_and_count(
         &[
-            (150, Trouble::StoreSlow(60)),
-            (200, at_leader(Trouble::StoreRefuses(0, 140))),
-            (200, Trouble::CloseLooks(400)),
-            (201, Trouble::CancelNow(4)),
-            (219, Trouble::StoreDown(260)),
-            (530, Trouble::CancelNow(2)),
+            (150, Fault::StoreSlow(60)),
+            (200, at_leader(Fault::StoreRefuses(0, 140))),
+            (200, Fault::ClosePolling(400)),
+            (201, Fault::CancelNow(4)),
+            (219, Fault::StoreDown(260)),
+            (530, Fault::CancelNow(2)),
         ],
         no_setup,
         |w| cancelled_between(w, 200, 220).min(w.met.looks as usize),
@@ -134,13 +134,13 @@
 #[test]
 fn at_the_team_limit_with_unreachable_machines_as_the_leader_changes() {
     let unreachable =
-        |at, m, s| [(at, Trouble::MachineCut(m, s)), (at, Trouble::MachineHangs(m + 1, s))];
+        |at, m, s| [(at, Fault::MachinePartitioned(m, s)), (at, Fault::MachineHangs(m + 1, s))];
     let mut faults = vec![
-        (204, Trouble::CancelNow(6)),
-        (206, at_leader(Trouble::Crash(0, 30))),
-        (236, Trouble::CancelNow(3)),
-        (425, Trouble::CancelNow(4)),
-        (430, at_leader(Trouble::Freeze(0, 50))),
+        (204, Fault::CancelNow(6)),
+        (206, at_leader(Fault::Crash(0, 30))),
+        (236, Fault::CancelNow(3)),
+        (425, Fault::CancelNow(4)),
+        (430, at_leader(Fault::Pause(0, 50))),
     ];
     for (at, s) in [(200, 50), (420, 130)] {
         faults.extend([0, 2].into_iter().flat_map(|m| unreachable(at, m, s)));
@@ -159,7 +159,7 @@
 #[test]
 fn close_polling_around_job_ends_without_other_faults() {
     run_and_count(
-        &[(1, Trouble::CloseLooks(900)), (1, Trouble::CancelAtEnd(900))],
+        &[(1, Fault::ClosePolling(900)), (1, Fault::CancelAtEnd(900))],
         no_setup,
         |w| w.met.cancelled_at_end as usize * usize::from(w.met.looks > 40),
         80,
@@ -172,12 +172,12 @@
 fn answers_lost_while_others_read_what_was_written() {
     run_and_count(
         &[
-            (100, Trouble::AnswersLost(400)),
-            (100, Trouble::CloseLooks(400)),
-            (150, Trouble::CancelAtEnd(300)),
-            (220, Trouble::CancelNow(5)),
-            (230, at_leader(Trouble::Crash(0, 10))),
-            (330, at_leader(Trouble::StoreRefuses(0, 60))),
+            (100, Fault::AnswersLost(400)),
+            (100, Fault::ClosePolling(400)),
+            (150, Fault::CancelAtEnd(300)),
+            (220, Fault::CancelNow(5)),
+            (230, at_leader(Fault::Crash(0, 10))),
+            (330, at_leader(Fault::StoreRefuses(0, 60))),
         ],
         no_setup,
         |w| w.met.answers_lost.min(w.met.looks) as usize,
@@ -190,10 +190,10 @@
 fn all_controllers_are_down_for_longer_than_a_lease() {
     run_and_count(
         &[
-            (198, Trouble::CancelNow(3)),
-            (200, Trouble::CrashAll(130)),
-            (420, Trouble::KeptHeartbeats(30)),
-            (440, Trouble::CrashAll(100)),
+            (198, Fault::CancelNow(3)),
+            (200, Fault::CrashAll(130)),
+            (420, Fault::HeldHeartbeats(30)),
+            (440, Fault::CrashAll(100)),
         ],
         no_setup,
         |w| w.lapses as usize,
@@ -207,11 +207,11 @@
 fn workers_reach_no_controller_while_commands_reach_them() {
     run_and_count(
         &[
-            (200, Trouble::AllMute(60)),
-            (205, Trouble::CancelNow(4)),
-            (215, at_leader(Trouble::Crash(0, 10))),
-            (400, Trouble::AllMute(150)),
-            (410, Trouble::CancelNow(4)),
+            (200, Fault::NoMachineReachesController(60)),
+            (205, Fault::CancelNow(4)),
+            (215, at_leader(Fault::Crash(0, 10))),
+            (400, Fault::NoMachineReachesController(150)),
+            (410, Fault::CancelNow(4)),
         ],
         no_setup,
         |w| w.met.mute_orders as usize,
@@ -222,16 +222,16 @@
 /// Jobs bound to a zone lose their machines as the leader changes, and a zone is partitioned.
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
-    let dies = |m| (210, Trouble::MachineDies(m));
+    let machine_fails = |m| (210, Fault::MachineFails(m));
     run_and_count(
         &[
-            dies(0),
-            dies(1),
-            dies(2),
-            (212, at_leader(Trouble::Crash(0, 20))),
-            (300, Trouble::ZoneCut("b", 120)),
-            (310, Trouble::CancelNow(4)),
-            (350, Trouble::MachineReborn(1)),
+            machine_fails(0),
+            machine_fails(1),
+            machine_fails(2),
+            (212, at_leader(Fault::Crash(0, 20))),
+            (300, Fault::ZonePartitioned("b", 120)),
+            (310, Fault::CancelNow(4)),
+            (350, Fault::AgentRestarts(1)),
         ],
         |w| w.zoned = true,
         |w| w.met.zoned_starts as usize,
@@ -243,12 +243,12 @@
 /// cancelled.
 #[test]
 fn leaders_change_ten_times_in_two_minutes() {
-    let mut faults: Vec<(u32, Trouble)> = (0..10)
-        .map(|n| (150 + n * 110, at_leader(Trouble::Crash(0, if n % 3 == 0 { 3 } else { 45 }))))
+    let mut faults: Vec<(u32, Fault)> = (0..10)
+        .map(|n| (150 + n * 110, at_leader(Fault::Crash(0, if n % 3 == 0 { 3 } else { 45 }))))
         .collect();
-    faults.extend((0..10).map(|n| (155 + n * 110, Trouble::CancelNow(1))));
-    faults.push((470, Trouble::StoreDown(120)));
-    faults.push((900, Trouble::StoreDown(90)));
+    faults.extend((0..10).map(|n| (155 + n * 110, Fault::CancelNow(1))));
+    faults.push((470, Fault::StoreDown(120)));
+    faults.push((900, Fault::StoreDown(90)));
     run_and_count(
         &faults,
         |w| (w.pace, w.width) = ((16, 500), 2),
@@ -262,13 +262,13 @@
 fn old_heartbeats_reach_every_controller_as_a_new_leader_begins() {
     run_and_count(
         &[
-            (150, Trouble::KeptHeartbeats(400)),
-            (200, at_leader(Trouble::Crash(0, 30))),
-            (215, Trouble::CancelNow(3)),
-            (300, Trouble::MachineCut(0, 120)),
-            (310, at_leader(Trouble::StoreRefuses(0, 80))),
-            (430, Trouble::CrashAll(20)),
-            (500, at_leader(Trouble::Crash(0, 4))),
+            (150, Fault::HeldHeartbeats(400)),
+            (200, at_leader(Fault::Crash(0, 30))),
+            (215, Fault::CancelNow(3)),
+            (300, Fault::MachinePartitioned(0, 120)),
+            (310, at_leader(Fault::StoreRefuses(0, 80))),
+            (430, Fault::CrashAll(20)),
+            (500, at_leader(Fault::Crash(0, 4))),
         ],
         no_setup,
         |w| w.met.kept as usize,
@@ -282,9 +282,9 @@
 fn one_task_jobs_four_a_second_a_quarter_cancelled() {
     run_and_count(
         &[
-            (300, at_leader(Trouble::Crash(0, 20))),
-            (400, Trouble::CloseLooks(100)),
-            (600, Trouble::AnswersLost(100)),
+            (300, at_leader(Fault::Crash(0, 20))),
+            (400, Fault::ClosePolling(100)),
+            (600, Fault::AnswersLost(100)),
         ],
         |w| {
             (w.pace, w.width, w.gaps, w.quarter) = ((3, 1_200), 1, false, true);
@@ -301,12 +301,12 @@
 fn machines_boot_at_once_while_writes_lag_and_the_leader_crashes() {
     run_and_count(
         &[
-            (30, Trouble::Boots(5, 500)),
-            (60, Trouble::StoreSlow(200)),
-            (80, Trouble::LateWrites(200)),
-            (110, at_leader(Trouble::Crash(0, 20))),
-            (180, at_leader(Trouble::Crash(0, 3))),
-            (250, Trouble::CancelNow(4)),
+            (30, Fault::BootTimes(5, 500)),
+            (60, Fault::StoreSlow(200)),
+            (80, Fault::LateWrites(200)),
+            (110, at_leader(Fault::Crash(0, 20))),
+            (180, at_leader(Fault::Crash(0, 3))),
+            (250, Fault::CancelNow(4)),
         ],
         |w| (w.pace, w.size) = ((10, 400), (24, 40.0)),
         |w| w.met.changes_of_leader.len(),
@@ -320,10 +320,10 @@
 #[test]
 fn an_idle_machine_in_another_zone_delays_no_zone_bound_job() {
     let faults = vec![
-        (60, Trouble::CancelNow(2)),
-        (72, Trouble::Crash(1, 2)),
-        (319, Trouble::MachineDies(1)),
-        (417, Trouble::CancelNow(2)),
+        (60, Fault::CancelNow(2)),
+        (72, Fault::Crash(1, 2)),
+        (319, Fault::MachineFails(1)),
+        (417, Fault::CancelNow(2)),
     ];
     let mut world = World::new(8_195_287_890_673_818_304, faults);
     (world.gaps, world.zoned, world.odd, world.width) = (true, true, true, 3);
--- a/crates/core/tests/cluster/gap.rs
+++ b/crates/core/tests/cluster/gap.rs
@@ -3,7 +3,7 @@
 //! leader that gets no such pledge lets the leases expire in time.
 
 use crate::at_leader;
-use marblebarrow_rehearsal::world::{Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, World};
 
 /// Twice: the store refuses only the leader, users cancel running jobs through the other
 /// controllers about a second later, and then, `outage_delay` steps after the refusals began, the
@@ -11,9 +11,9 @@
 fn cancellations_before_outage(seed: u64, outage_delay: u32) -> World {
     let mut faults = Vec::new();
     for at in [200, 560] {
-        faults.push((at, at_leader(Trouble::StoreRefuses(0, 140))));
-        faults.push((at + outage_delay / 2, Trouble::CancelNow(4)));
-        faults.push((at + outage_delay, Trouble::StoreDown(300)));
+        faults.push((at, at_leader(Fault::StoreRefuses(0, 140))));
+        faults.push((at + outage_delay / 2, Fault::CancelNow(4)));
+        faults.push((at + outage_delay, Fault::StoreDown(300)));
     }
     let mut world = World::new(seed, faults);
     (world.gaps, world.width, world.pace) = (true, 3, (18, 640));
@@ -61,9 +61,9 @@
     let mut occurrences = 0;
     for seed in 0..12 {
         let faults = vec![
-            (200, at_leader(Trouble::WatchStuck(0, 700))),
-            (203, Trouble::CancelNow(5)),
-            (230, Trouble::CancelNow(5)),
+            (200, at_leader(Fault::WatchStuck(0, 700))),
+            (203, Fault::CancelNow(5)),
+            (230, Fault::CancelNow(5)),
         ];
         let mut world = World::new(seed, faults);
         (world.gaps, world.width, world.pace) = (true, 2, (18, 400));
--- a/crates/core/tests/cluster/generated_faults.rs
+++ b/crates/core/tests/cluster/generated_faults.rs
@@ -1,34 +1,34 @@
 //! Property tests with faults of generated kinds and times; the simulation checks all its rules.
 
 use crate::at_leader;
-use marblebarrow_rehearsal::world::{Held, Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, Held, World};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn fault() -> impl Strategy<Value = (u32, Trouble)> {
+fn fault() -> impl Strategy<Value = (u32, Fault)> {
     let kind = prop_oneof![
-        (0usize..3, 1u32..60).prop_map(|(n, s)| Trouble::Crash(n, s)),
-        (1u32..60).prop_map(Trouble::CrashAll),
+        (0usize..3, 1u32..60).prop_map(|(n, s)| Fault::Crash(n, s)),
+        (1u32..60).prop_map(Fault::CrashAll),
         // Restarts within a fraction of a second, also during an election.
-        (0usize..3, 1u32..5).prop_map(|(n, s)| Trouble::Crash(n, s)),
-        (1u32..5).prop_map(Trouble::CrashAll),
-        (0usize..3, 1u32..200).prop_map(|(n, s)| Trouble::Isolated(n, s)),
-        (0usize..3, 1u32..400).prop_map(|(n, s)| Trouble::Freeze(n, s)),
-        (0usize..8, 1u32..400).prop_map(|(m, s)| Trouble::MachineDeaf(m, s)),
-        (0usize..8).prop_map(Trouble::MachineReborn),
-        (10u32..400).prop_map(Trouble::LateCopies),
-        (1u32..200).prop_map(Trouble::StoreSlow),
-        (1u32..200).prop_map(Trouble::PeersRefuse),
-        (10u32..200).prop_map(Trouble::LateWrites),
-        (0u32..60, 1u32..300).prop_map(|(f, s)| Trouble::Boots(f, s)),
-        (1u32..60).prop_map(Trouble::PollStorm),
-        (0usize..8, 1u32..300).prop_map(|(m, s)| Trouble::MachineSlow(m, s)),
-        (1u32..150).prop_map(Trouble::StoreDown),
-        (0usize..3, 1u32..200).prop_map(|(n, s)| Trouble::StoreRefuses(n, s)),
-        (0usize..3, 1u32..200).prop_map(|(n, s)| Trouble::WorkersCut(n, s)),
-        (0usize..8, 1u32..400).prop_map(|(m, s)| Trouble::MachineCut(m, s)),
-        (0usize..8).prop_map(Trouble::MachineDies),
-        (1u32..200).prop_map(Trouble::CloudDown),
+        (0usize..3, 1u32..5).prop_map(|(n, s)| Fault::Crash(n, s)),
+        (1u32..5).prop_map(Fault::CrashAll),
+        (0usize..3, 1u32..200).prop_map(|(n, s)| Fault::CutFromStoreAndPeers(n, s)),
+        (0usize..3, 1u32..400).prop_map(|(n, s)| Fault::Pause(n, s)),
+        (0usize..8, 1u32..400).prop_map(|(m, s)| Fault::MachineReceivesNothing(m, s)),
+        (0usize..8).prop_map(Fault::AgentRestarts),
+        (10u32..400).prop_map(Fault::LateHeartbeatCopies),
+        (1u32..200).prop_map(Fault::StoreSlow),
+        (1u32..200).prop_map(Fault::PeersRefuse),
+        (10u32..200).prop_map(Fault::LateWrites),
+        (0u32..60, 1u32..300).prop_map(|(f, s)| Fault::BootTimes(f, s)),
+        (1u32..60).prop_map(Fault::PollStorm),
+        (0usize..8, 1u32..300).prop_map(|(m, s)| Fault::MachineSlow(m, s)),
+        (1u32..150).prop_map(Fault::StoreDown),
+        (0usize..3, 1u32..200).prop_map(|(n, s)| Fault::StoreRefuses(n, s)),
+        (0usize..3, 1u32..200).prop_map(|(n, s)| Fault::WorkersCut(n, s)),
+        (0usize..8, 1u32..400).prop_map(|(m, s)| Fault::MachinePartitioned(m, s)),
+        (0usize..8).prop_map(Fault::MachineFails),
+        (1u32..200).prop_map(Fault::CloudDown),
         held_commands(),
     ];
     (10u32..500, kind)
@@ -36,10 +36,10 @@
 
 /// Single direct commands and answers are held for less or more than the time that a
 /// cancellation may take.
-fn held_commands() -> impl Strategy<Value = Trouble> {
+fn held_commands() -> impl Strategy<Value = Fault> {
     let kind = (2u32..12, 1u32..300, 1u32..700, any::<bool>(), 1u32..400);
     kind.prop_map(|(one_in, least, more, called_off, steps)| {
-        Trouble::HeldCommands(Held { one_in, least, most: least + more, called_off }, steps)
+        Fault::HeldCommands(Held { one_in, least, most: least + more, called_off }, steps)
     })
 }
 
@@ -68,21 +68,21 @@
 }
 
 /// The rarer faults, which the test below combines with the others.
-fn rarer_fault() -> impl Strategy<Value = (u32, Trouble)> {
+fn rarer_fault() -> impl Strategy<Value = (u32, Fault)> {
     let kind = prop_oneof![
-        (1u32..400).prop_map(|s| at_leader(Trouble::WatchStuck(0, s))),
-        (1u32..200).prop_map(|s| at_leader(Trouble::StoreRefuses(0, s))),
-        (1u32..200).prop_map(|s| at_leader(Trouble::ZoneApart("a", 0, s))),
-        (1u32..60).prop_map(|s| at_leader(Trouble::Crash(0, s))),
-        (1u32..250).prop_map(Trouble::StoreDown),
-        (1usize..8).prop_map(Trouble::CancelNow),
-        (1u32..200).prop_map(Trouble::AnswersLost),
-        (1u32..200).prop_map(Trouble::KeptHeartbeats),
-        (1u32..100).prop_map(Trouble::CloseLooks),
-        (1u32..300).prop_map(Trouble::CancelAtEnd),
-        (0usize..8, 1u32..300).prop_map(|(m, s)| Trouble::MachineMute(m, s)),
-        (0usize..8, 1u32..200).prop_map(|(m, s)| Trouble::MachineHangs(m, s)),
-        (1u32..150).prop_map(Trouble::AllMute),
+        (1u32..400).prop_map(|s| at_leader(Fault::WatchStuck(0, s))),
+        (1u32..200).prop_map(|s| at_leader(Fault::StoreRefuses(0, s))),
+        (1u32..200).prop_map(|s| at_leader(Fault::ZonePartitionedWithController("a", 0, s))),
+        (1u32..60).prop_map(|s| at_leader(Fault::Crash(0, s))),
+        (1u32..250).prop_map(Fault::StoreDown),
+        (1usize..8).prop_map(Fault::CancelNow),
+        (1u32..200).prop_map(Fault::AnswersLost),
+        (1u32..200).prop_map(Fault::HeldHeartbeats),
+        (1u32..100).prop_map(Fault::ClosePolling),
+        (1u32..300).prop_map(Fault::CancelAtEnd),
+        (0usize..8, 1u32..300).prop_map(|(m, s)| Fault::MachineReachesNoController(m, s)),
+        (0usize..8, 1u32..200).prop_map(|(m, s)| Fault::MachineHangs(m, s)),
+        (1u32..150).prop_map(Fault::NoMachineReachesController),
         held_commands(),
     ];
     (10u32..500, kind)
--- a/crates/core/tests/cluster/held_commands.rs
+++ b/crates/core/tests/cluster/held_commands.rs
@@ -3,10 +3,10 @@
 //! token of a machine before an unanswered start can be executed too late.
 
 use marblebarrow_rehearsal::held_commands::{HELD, day, leaders_end, outage};
-use marblebarrow_rehearsal::world::{Met, Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, Met, World};
 
 /// Runs the workload with held commands for 12 seeds and sums what `occurrences` counts.
-fn sum_over_seeds(other_faults: &[(u32, Trouble)], occurrences: impl Fn(&World) -> u32) -> u32 {
+fn sum_over_seeds(other_faults: &[(u32, Fault)], occurrences: impl Fn(&World) -> u32) -> u32 {
     let run_seed = |seed| {
         let mut world = day(seed, HELD, other_faults);
         world.run(2_200);
@@ -17,7 +17,7 @@
     (0..12).map(run_seed).sum()
 }
 
-fn run_and_count(other_faults: &[(u32, Trouble)], occurrences: impl Fn(&Met) -> u32) -> u32 {
+fn run_and_count(other_faults: &[(u32, Fault)], occurrences: impl Fn(&Met) -> u32) -> u32 {
     sum_over_seeds(other_faults, |world| occurrences(&world.met))
 }
 
@@ -97,11 +97,11 @@
 #[test]
 fn held_starts_with_unreachable_and_hung_machines() {
     let other_faults = [
-        (200, Trouble::MachineDeaf(0, 60)),
-        (230, Trouble::MachineHangs(1, 50)),
-        (300, Trouble::MachineDeaf(2, 160)),
-        (330, Trouble::MachineMute(3, 40)),
-        (400, Trouble::MachineHangs(0, 120)),
+        (200, Fault::MachineReceivesNothing(0, 60)),
+        (230, Fault::MachineHangs(1, 50)),
+        (300, Fault::MachineReceivesNothing(2, 160)),
+        (330, Fault::MachineReachesNoController(3, 40)),
+        (400, Fault::MachineHangs(0, 120)),
     ];
     let unreceived = run_and_count(&other_faults, |met| met.unheard);
     assert!(unreceived >= 12, "only {unreceived} answers failed to reach their machine");
--- a/crates/core/tests/cluster/large_fleet.rs
+++ b/crates/core/tests/cluster/large_fleet.rs
@@ -1,7 +1,7 @@
 //! Four thousand machines: a takeover while a quarter of them fails, and a cascade of a thousand
 //! cancelled jobs, with bounds on the load of the state service and the network.
 
-use marblebarrow_rehearsal::world::{CascadePlan, StoreLimits, Trouble, World};
+use marblebarrow_rehearsal::world::{CascadePlan, Fault, StoreLimits, World};
 
 const MACHINES: usize = 4_200;
 /// Replicas of each service; half of the jobs are services.
@@ -16,9 +16,9 @@
 const STORE_RATE: usize = 60;
 
 pub(crate) fn fleet(seed: u64) -> World {
-    let dies = |n: usize| (LOSS_AT, Trouble::MachineDies(n * 4));
-    let mut faults: Vec<_> = (0..MACHINES / 4).map(dies).collect();
-    faults.push((LOSS_AT + 1, Trouble::CrashAll(5)));
+    let machine_fails = |n: usize| (LOSS_AT, Fault::MachineFails(n * 4));
+    let mut faults: Vec<_> = (0..MACHINES / 4).map(machine_fails).collect();
+    faults.push((LOSS_AT + 1, Fault::CrashAll(5)));
     let mut world = World::new(seed, faults);
     world.size = (MACHINES, 18_000.0);
     world.beat = (6.0, 31.0);
--- a/crates/core/tests/cluster/main.rs
+++ b/crates/core/tests/cluster/main.rs
@@ -16,8 +16,8 @@
 mod upgrade;
 mod workloads;
 
-use marblebarrow_rehearsal::world::Trouble;
+use marblebarrow_rehearsal::world::Fault;
 
-fn at_leader(fault: Trouble) -> Trouble {
-    Trouble::AtLeader(Box::new(fault))
+fn at_leader(fault: Fault) -> Fault {
+    Fault::OnLeader(Box::new(fault))
 }
--- a/crates/core/tests/cluster/named_fault_combinations.rs
+++ b/crates/core/tests/cluster/named_fault_combinations.rs
@@ -1,12 +1,12 @@
 //! Combinations of faults that the operators have listed, each run with several seeds.
 
 use crate::at_leader;
-use marblebarrow_rehearsal::world::{Met, Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, Met, World};
 
 /// Runs a combination of faults for 12 seeds, at the given times or some seconds later, with
 /// jobs whose tasks end far apart and many cancellations. `occurrences` counts after each run how
 /// often the faults took effect, which must be at least `min_total` in all runs together.
-fn run_and_count(faults: &[(u32, Trouble)], occurrences: impl Fn(&Met) -> u32, min_total: u32) {
+fn run_and_count(faults: &[(u32, Fault)], occurrences: impl Fn(&Met) -> u32, min_total: u32) {
     let mut total = 0;
     for seed in 0..12u64 {
         let shift = (seed % 4) as u32 * 17;
@@ -31,13 +31,13 @@
 fn leadership_moves_back_and_forth_within_a_second() {
     run_and_count(
         &[
-            (200, at_leader(Trouble::Crash(0, 4))),
-            (205, at_leader(Trouble::Crash(0, 2))),
-            (232, at_leader(Trouble::Crash(0, 6))),
-            (236, Trouble::CrashAll(3)),
-            (240, Trouble::Crash(1, 300)),
-            (240, Trouble::Crash(2, 300)),
-            (262, at_leader(Trouble::Crash(0, 1))),
+            (200, at_leader(Fault::Crash(0, 4))),
+            (205, at_leader(Fault::Crash(0, 2))),
+            (232, at_leader(Fault::Crash(0, 6))),
+            (236, Fault::CrashAll(3)),
+            (240, Fault::Crash(1, 300)),
+            (240, Fault::Crash(2, 300)),
+            (262, at_leader(Fault::Crash(0, 1))),
         ],
         changes,
         24,
@@ -50,9 +50,9 @@
 fn cancelled_through_the_new_leader_while_the_old_is_cut_off() {
     run_and_count(
         &[
-            (180, at_leader(Trouble::Isolated(0, 250))),
-            (330, at_leader(Trouble::Isolated(0, 250))),
-            (340, Trouble::LateCopies(200)),
+            (180, at_leader(Fault::CutFromStoreAndPeers(0, 250))),
+            (330, at_leader(Fault::CutFromStoreAndPeers(0, 250))),
+            (340, Fault::LateHeartbeatCopies(200)),
         ],
         |met| changes(met).min(met.cancelled.len() as u32),
         24,
@@ -65,11 +65,11 @@
 fn the_store_refuses_the_leader_and_then_everyone() {
     run_and_count(
         &[
-            (150, Trouble::StoreSlow(120)),
-            (200, at_leader(Trouble::StoreRefuses(0, 300))),
-            (260, Trouble::StoreDown(260)),
-            (600, at_leader(Trouble::StoreRefuses(0, 40))),
-            (615, Trouble::StoreDown(30)),
+            (150, Fault::StoreSlow(120)),
+            (200, at_leader(Fault::StoreRefuses(0, 300))),
+            (260, Fault::StoreDown(260)),
+            (600, at_leader(Fault::StoreRefuses(0, 40))),
+            (615, Fault::StoreDown(30)),
         ],
         changes,
         12,
@@ -79,7 +79,7 @@
 /// Tasks of a job end far apart, and the leader changes several times in between.
 #[test]
 fn tasks_end_far_apart_across_changes_of_leader() {
-    let crash = |at| (at, at_leader(Trouble::Crash(0, 50)));
+    let crash = |at| (at, at_leader(Fault::Crash(0, 50)));
     run_and_count(
         &[crash(160), crash(230), crash(300), crash(370), crash(440), crash(510)],
         changes,
@@ -92,12 +92,12 @@
 fn old_heartbeats_arrive_after_newer_ones() {
     run_and_count(
         &[
-            (120, Trouble::LateCopies(400)),
-            (150, Trouble::MachineDeaf(0, 130)),
-            (170, Trouble::MachineCut(1, 120)),
-            (200, at_leader(Trouble::Crash(0, 20))),
-            (320, Trouble::MachineDeaf(2, 130)),
-            (330, at_leader(Trouble::WorkersCut(0, 60))),
+            (120, Fault::LateHeartbeatCopies(400)),
+            (150, Fault::MachineReceivesNothing(0, 130)),
+            (170, Fault::MachinePartitioned(1, 120)),
+            (200, at_leader(Fault::Crash(0, 20))),
+            (320, Fault::MachineReceivesNothing(2, 130)),
+            (330, at_leader(Fault::WorkersCut(0, 60))),
         ],
         |met| met.copies.min(met.unheard * 10),
         240,
@@ -107,21 +107,21 @@
 /// Commands and their answers are delayed for seconds while the machines keep running.
 #[test]
 fn commands_delayed_for_seconds() {
-    let held = |at, m| (at, Trouble::MachineCut(m, 40));
+    let held = |at, m| (at, Fault::MachinePartitioned(m, 40));
     run_and_count(
         &[
             held(140, 0),
             held(150, 1),
             held(160, 2),
-            (170, Trouble::MachineDeaf(3, 60)),
+            (170, Fault::MachineReceivesNothing(3, 60)),
             held(205, 3),
             held(215, 1),
             held(250, 0),
             held(290, 3),
-            (255, at_leader(Trouble::Crash(0, 10))),
+            (255, at_leader(Fault::Crash(0, 10))),
             held(330, 1),
             held(335, 2),
-            (360, at_leader(Trouble::Freeze(0, 35))),
+            (360, at_leader(Fault::Pause(0, 35))),
         ],
         |met| met.held_orders,
         24,
@@ -133,11 +133,11 @@
 fn writes_take_effect_late_and_out_of_order() {
     run_and_count(
         &[
-            (120, Trouble::LateWrites(200)),
-            (200, at_leader(Trouble::Crash(0, 15))),
-            (240, at_leader(Trouble::Freeze(0, 40))),
-            (330, Trouble::LateWrites(150)),
-            (350, Trouble::CrashAll(4)),
+            (120, Fault::LateWrites(200)),
+            (200, at_leader(Fault::Crash(0, 15))),
+            (240, at_leader(Fault::Pause(0, 40))),
+            (330, Fault::LateWrites(150)),
+            (350, Fault::CrashAll(4)),
         ],
         |met| met.late_writes,
         120,
@@ -150,12 +150,12 @@
 fn a_leader_crashes_while_machines_are_unreachable() {
     run_and_count(
         &[
-            (190, Trouble::MachineCut(0, 60)),
-            (192, Trouble::MachineDeaf(1, 70)),
-            (195, Trouble::MachineCut(2, 200)),
-            (200, at_leader(Trouble::Crash(0, 30))),
-            (215, Trouble::MachineDeaf(3, 200)),
-            (260, at_leader(Trouble::Crash(0, 30))),
+            (190, Fault::MachinePartitioned(0, 60)),
+            (192, Fault::MachineReceivesNothing(1, 70)),
+            (195, Fault::MachinePartitioned(2, 200)),
+            (200, at_leader(Fault::Crash(0, 30))),
+            (215, Fault::MachineReceivesNothing(3, 200)),
+            (260, at_leader(Fault::Crash(0, 30))),
         ],
         |met| met.unheard.min(changes(met) * 10),
         24,
@@ -167,18 +167,18 @@
 fn unlisted_pairs_of_faults() {
     run_and_count(
         &[
-            (150, Trouble::Boots(50, 200)),
-            (160, Trouble::MachineDies(0)),
-            (160, Trouble::MachineDies(1)),
-            (170, Trouble::LateWrites(100)),
-            (175, Trouble::CloudDown(80)),
-            (200, Trouble::PollStorm(40)),
-            (205, at_leader(Trouble::StoreRefuses(0, 60))),
-            (230, Trouble::PeersRefuse(150)),
-            (300, at_leader(Trouble::Freeze(0, 50))),
-            (310, Trouble::Boots(0, 200)),
-            (320, Trouble::MachineReborn(2)),
-            (340, Trouble::CrashAll(2)),
+            (150, Fault::BootTimes(50, 200)),
+            (160, Fault::MachineFails(0)),
+            (160, Fault::MachineFails(1)),
+            (170, Fault::LateWrites(100)),
+            (175, Fault::CloudDown(80)),
+            (200, Fault::PollStorm(40)),
+            (205, at_leader(Fault::StoreRefuses(0, 60))),
+            (230, Fault::PeersRefuse(150)),
+            (300, at_leader(Fault::Pause(0, 50))),
+            (310, Fault::BootTimes(0, 200)),
+            (320, Fault::AgentRestarts(2)),
+            (340, Fault::CrashAll(2)),
         ],
         |met| met.late_writes.min(changes(met) * 10),
         60,
--- a/crates/core/tests/cluster/pipelines.rs
+++ b/crates/core/tests/cluster/pipelines.rs
@@ -5,12 +5,12 @@
 
 use crate::at_leader;
 use marblebarrow_proto::wire::Stage;
-use marblebarrow_rehearsal::world::{CascadePlan, CascadeTimes, StoreLimits, Trouble, World};
+use marblebarrow_rehearsal::world::{CascadePlan, CascadeTimes, Fault, StoreLimits, World};
 
 /// Runs pipelines of three jobs under the faults, for several seeds; every fourth job is
 /// cancelled a second after it was accepted. Returns how many dependents started and how many
 /// jobs a cascade cancelled.
-fn pipelines_under(faults: &[(u32, Trouble)]) -> (u32, u32) {
+fn pipelines_under(faults: &[(u32, Fault)]) -> (u32, u32) {
     let mut dependents_started = 0;
     let mut cascades = 0;
     for seed in 0..6u64 {
@@ -36,13 +36,13 @@
 #[test]
 fn pipelines_hold_through_failover_and_lost_answers() {
     let (started, cascaded) = pipelines_under(&[
-        (150, Trouble::AnswersLost(120)),
-        (200, at_leader(Trouble::Crash(0, 3))),
-        (260, Trouble::LateCopies(200)),
-        (300, at_leader(Trouble::Crash(0, 40))),
-        (380, Trouble::LateWrites(150)),
-        (420, Trouble::CrashAll(2)),
-        (470, at_leader(Trouble::Freeze(0, 30))),
+        (150, Fault::AnswersLost(120)),
+        (200, at_leader(Fault::Crash(0, 3))),
+        (260, Fault::LateHeartbeatCopies(200)),
+        (300, at_leader(Fault::Crash(0, 40))),
+        (380, Fault::LateWrites(150)),
+        (420, Fault::CrashAll(2)),
+        (470, at_leader(Fault::Pause(0, 30))),
     ]);
     assert!(started > 30, "only {started} jobs after others began");
     assert!(cascaded > 3, "only {cascaded} jobs cancelled by a cascade");
@@ -54,7 +54,7 @@
 #[test]
 fn a_cascade_whose_answer_was_lost_is_not_retried_forever() {
     for seed in 0..6u64 {
-        let mut world = World::new(seed, vec![(20, Trouble::AnswersLost(580))]);
+        let mut world = World::new(seed, vec![(20, Fault::AnswersLost(580))]);
         (world.width, world.pace, world.no_services) = (3, (10, 600), true);
         world.pipeline = Some(3);
         world.quarter = true;
@@ -71,7 +71,7 @@
 /// the first one crashes before.
 #[test]
 fn a_job_accepted_as_its_dependency_was_cancelled_is_cancelled_too() {
-    let leader_crash = |at| (at, at_leader(Trouble::Crash(0, 40)));
+    let leader_crash = |at| (at, at_leader(Fault::Crash(0, 40)));
     for faults in [vec![], vec![leader_crash(151)], vec![leader_crash(153)]] {
         for seed in 0..4u64 {
             let mut world = World::new(seed, faults.clone());
@@ -105,7 +105,7 @@
 
 /// A cascade of a thousand jobs in pipelines of the given depth, alongside other jobs, on a store
 /// with the smallest limits.
-fn cascade(seed: u64, depth: u32, faults: &[(u32, Trouble)]) -> World {
+fn cascade(seed: u64, depth: u32, faults: &[(u32, Fault)]) -> World {
     let mut world = World::new(seed, faults.to_vec());
     (world.width, world.pace, world.no_services) = (1, (50, 3_000), true);
     (world.gaps, world.gap_s, world.page) = (true, 100_000.0, 100);
@@ -159,19 +159,19 @@
 #[test]
 fn a_thousand_jobs_are_aborted_through_failover_and_lost_answers() {
     let after = |steps: u32, fault| (CASCADE_AT + steps, fault);
-    let fault_plans: [&[(u32, Trouble)]; 3] = [
+    let fault_plans: [&[(u32, Fault)]; 3] = [
         &[
-            after(0, Trouble::AnswersLost(100)),
-            after(5, at_leader(Trouble::Crash(0, 30))),
-            after(60, at_leader(Trouble::Crash(0, 5))),
-            after(90, Trouble::CrashAll(3)),
+            after(0, Fault::AnswersLost(100)),
+            after(5, at_leader(Fault::Crash(0, 30))),
+            after(60, at_leader(Fault::Crash(0, 5))),
+            after(90, Fault::CrashAll(3)),
         ],
         &[
-            after(0, Trouble::LateWrites(150)),
-            after(6, at_leader(Trouble::Freeze(0, 60))),
-            after(70, at_leader(Trouble::Crash(0, 20))),
+            after(0, Fault::LateWrites(150)),
+            after(6, at_leader(Fault::Pause(0, 60))),
+            after(70, at_leader(Fault::Crash(0, 20))),
         ],
-        &[after(3, at_leader(Trouble::StoreRefuses(0, 40))), after(8, Trouble::CrashAll(10))],
+        &[after(3, at_leader(Fault::StoreRefuses(0, 40))), after(8, Fault::CrashAll(10))],
     ];
     for (seed, faults) in (2..).zip(fault_plans) {
         let mut world = cascade(seed, 20, faults);
@@ -194,8 +194,8 @@
             5 + stuck as u64,
             20,
             &[
-                (CASCADE_AT - 2, Trouble::WatchStuck(stuck, 150)),
-                (CASCADE_AT, Trouble::CloseLooks(200)),
+                (CASCADE_AT - 2, Fault::WatchStuck(stuck, 150)),
+                (CASCADE_AT, Fault::ClosePolling(200)),
             ],
         );
         run_until_all_reported(&mut world);
--- a/crates/core/tests/cluster/serving_fleets.rs
+++ b/crates/core/tests/cluster/serving_fleets.rs
@@ -1,11 +1,11 @@
 //! Fleets that run services: failed machines, network partitions that resemble failures, and the
 //! loss of a quarter of the machines.
 
-use marblebarrow_rehearsal::world::{Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, World};
 
 /// A service on eighty machines in two zones, with the heartbeat interval and lease of a real
 /// fleet.
-fn serving_fleet(seed: u64, faults: Vec<(u32, Trouble)>) -> World {
+fn serving_fleet(seed: u64, faults: Vec<(u32, Fault)>) -> World {
     let mut world = World::new(seed, faults);
     world.size = (120, 400.0);
     world.beat = (5.0, 26.5);
@@ -20,8 +20,8 @@
 #[test]
 fn replicas_of_dead_machines_do_not_wait_for_leases() {
     for seed in 0..4 {
-        let dies = |m: usize| (400, Trouble::MachineDies(m * 7));
-        let mut world = serving_fleet(seed, (0..10).map(dies).collect());
+        let machine_fails = |m: usize| (400, Fault::MachineFails(m * 7));
+        let mut world = serving_fleet(seed, (0..10).map(machine_fails).collect());
         world.run(395);
         let replicas = world.serving();
         assert!(replicas >= 300, "seed {seed}: {replicas} replicas serve");
@@ -38,10 +38,10 @@
 #[test]
 fn partitions_are_not_taken_for_machine_failures() {
     for seed in 0..4 {
-        let cuts: Vec<Vec<(u32, Trouble)>> = vec![
-            vec![(400, Trouble::ZoneCut("b", 140))],
-            (0..3).map(|n| (400, Trouble::WorkersCut(n, 110))).collect(),
-            vec![(400, Trouble::WorkersCut(0, 300))],
+        let cuts: Vec<Vec<(u32, Fault)>> = vec![
+            vec![(400, Fault::ZonePartitioned("b", 140))],
+            (0..3).map(|n| (400, Fault::WorkersCut(n, 110))).collect(),
+            vec![(400, Fault::WorkersCut(0, 300))],
         ];
         for cut in cuts {
             let mut world = serving_fleet(seed, cut.clone());
@@ -62,9 +62,9 @@
 /// replica serves again.
 #[test]
 fn a_fleet_that_loses_a_quarter_in_a_takeover_serves_again() {
-    let dies = |m: usize| (400, Trouble::MachineDies(m * 4));
-    let mut faults: Vec<_> = (0..525).map(dies).collect();
-    faults.push((401, Trouble::CrashAll(5)));
+    let machine_fails = |m: usize| (400, Fault::MachineFails(m * 4));
+    let mut faults: Vec<_> = (0..525).map(machine_fails).collect();
+    faults.push((401, Fault::CrashAll(5)));
     let mut world = World::new(11, faults);
     world.size = (2_100, 9_000.0);
     world.beat = (5.0, 26.5);
--- a/crates/core/tests/cluster/store_limits.rs
+++ b/crates/core/tests/cluster/store_limits.rs
@@ -3,7 +3,7 @@
 //! readable and fit when they are next written, no accepted work may be lost, and work goes on.
 
 use crate::at_leader;
-use marblebarrow_rehearsal::world::{StoreLimits, Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, StoreLimits, World};
 
 /// Step from which the lower limits apply.
 const LOWERED_AT: u32 = 500;
@@ -20,7 +20,7 @@
 }
 
 /// A world with more machines than a value of 1 KiB can hold records of.
-fn lowered_limits_world(seed: u64, announced: bool, faults: &[(u32, Trouble)]) -> World {
+fn lowered_limits_world(seed: u64, announced: bool, faults: &[(u32, Fault)]) -> World {
     let mut world = World::new(seed, faults.to_vec());
     (world.width, world.replicas, world.pace) = (60, 30, (30, 900));
     world.size = (200, 800.0);
@@ -66,11 +66,11 @@
 #[test]
 fn limits_lowered_amid_failovers_and_lost_answers() {
     let faults = [
-        (LOWERED_AT - 20, Trouble::AnswersLost(100)),
-        (LOWERED_AT - 5, at_leader(Trouble::Crash(0, 20))),
-        (LOWERED_AT + 60, at_leader(Trouble::Crash(0, 3))),
-        (LOWERED_AT + 120, Trouble::LateWrites(120)),
-        (LOWERED_AT + 200, Trouble::CrashAll(5)),
+        (LOWERED_AT - 20, Fault::AnswersLost(100)),
+        (LOWERED_AT - 5, at_leader(Fault::Crash(0, 20))),
+        (LOWERED_AT + 60, at_leader(Fault::Crash(0, 3))),
+        (LOWERED_AT + 120, Fault::LateWrites(120)),
+        (LOWERED_AT + 200, Fault::CrashAll(5)),
     ];
     for announced in [true, false] {
         for seed in 0..4 {
--- a/crates/core/tests/cluster/sweeps.rs
+++ b/crates/core/tests/cluster/sweeps.rs
@@ -2,7 +2,7 @@
 
 use crate::{at_leader, large_fleet};
 use marblebarrow_rehearsal::sweep::sweep;
-use marblebarrow_rehearsal::world::{Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, World};
 
 /// Checks that no rule was violated.
 fn no_rule_violated(world: &World) -> Result<(), String> {
@@ -40,14 +40,14 @@
     /// Heartbeat interval and lease, seconds.
     beat: (f64, f64),
     /// Fault that hits the leader.
-    leader_fault: Trouble,
+    leader_fault: Fault,
 }
 
 impl OneControllerDown {
     /// Runs the scenario of `with_one_down_a_paused_leader_lets_no_lease_expire`.
     fn check(&self, seed: u64) -> Result<(), String> {
         let faults = vec![
-            (300, at_leader(Trouble::Crash(0, 900))),
+            (300, at_leader(Fault::Crash(0, 900))),
             (450, at_leader(self.leader_fault.clone())),
         ];
         let mut world = World::new(seed, faults);
@@ -79,7 +79,7 @@
 /// (4071). 41 of 240 seeds failed. See docs/incidents.
 #[test]
 fn sweep_one_down_then_the_leader_pauses() {
-    let case = OneControllerDown { beat: (2.0, 12.0), leader_fault: Trouble::Freeze(0, 250) };
+    let case = OneControllerDown { beat: (2.0, 12.0), leader_fault: Fault::Pause(0, 250) };
     sweep("one_down_freeze", &[8, 22, 29, 30, 4_071], |seed| case.check(seed));
 }
 
@@ -87,7 +87,8 @@
 /// store and the other controllers.
 #[test]
 fn sweep_one_down_then_the_leader_fails_otherwise() {
-    let losses = [Trouble::Crash(0, 250), Trouble::WorkersCut(0, 250), Trouble::Isolated(0, 250)];
+    let losses =
+        [Fault::Crash(0, 250), Fault::WorkersCut(0, 250), Fault::CutFromStoreAndPeers(0, 250)];
     for leader_fault in losses {
         let case = OneControllerDown { beat: (2.0, 12.0), leader_fault: leader_fault.clone() };
         sweep(&format!("one_down {leader_fault:?}"), &[0, 22, 41], |seed| case.check(seed));
@@ -98,7 +99,7 @@
 #[test]
 fn sweep_one_down_with_longer_leases() {
     for beat in [(4.0, 22.0), (5.0, 26.5), (6.0, 31.0)] {
-        for leader_fault in [Trouble::Freeze(0, 250), Trouble::Crash(0, 250)] {
+        for leader_fault in [Fault::Pause(0, 250), Fault::Crash(0, 250)] {
             let case = OneControllerDown { beat, leader_fault: leader_fault.clone() };
             sweep(&format!("one_down {beat:?} {leader_fault:?}"), &[0], |seed| case.check(seed));
         }
@@ -123,7 +124,7 @@
     let period = seconds * 20;
     let times = (0..FLAPPING_STEPS / period).map(|n| 300 + n * period);
     for controller in 0..3 {
-        let crash = |at| (at, Trouble::Crash(controller, seconds * 10));
+        let crash = |at| (at, Fault::Crash(controller, seconds * 10));
         let mut world = World::new(seed, times.clone().map(crash).collect());
         (world.size, world.beat, world.page) = ((60, 200.0), (2.0, 12.0), 200);
         (world.replicas, world.pace) = (60, (4, 8));
@@ -147,9 +148,9 @@
 /// seed. With other seeds a single lost command can leave one unfinished, so this check is made
 /// only at the end here.
 fn quarter_lost(seed: u64) -> Result<(), String> {
-    let dies = |m: usize| (400, Trouble::MachineDies(m * 4));
-    let mut faults: Vec<_> = (0..525).map(dies).collect();
-    faults.push((401, Trouble::CrashAll(5)));
+    let machine_fails = |m: usize| (400, Fault::MachineFails(m * 4));
+    let mut faults: Vec<_> = (0..525).map(machine_fails).collect();
+    faults.push((401, Fault::CrashAll(5)));
     let mut world = World::new(seed, faults);
     world.size = (2_100, 9_000.0);
     world.beat = (5.0, 26.5);
--- a/crates/core/tests/cluster/takeovers.rs
+++ b/crates/core/tests/cluster/takeovers.rs
@@ -1,7 +1,7 @@
 //! Takeovers, paused leaders, and single cases found by tests with generated faults.
 
 use crate::at_leader;
-use marblebarrow_rehearsal::world::{Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, World};
 
 /// An unreachable machine delays none of the jobs that never ran on it, and the leader that takes
 /// over starts nothing twice.
@@ -9,9 +9,9 @@
 fn a_takeover_with_a_dead_machine_starts_nothing_twice() {
     for seed in 0..6 {
         let faults = vec![
-            (150, Trouble::MachineDies(1)),
-            (160, Trouble::CrashAll(20)),
-            (165, Trouble::MachineCut(0, 60)),
+            (150, Fault::MachineFails(1)),
+            (160, Fault::CrashAll(20)),
+            (165, Fault::MachinePartitioned(0, 60)),
         ];
         let mut world = World::new(seed, faults);
         world.run(1_600);
@@ -25,11 +25,11 @@
 #[test]
 fn a_new_agent_epoch_gets_a_full_lease() {
     let faults = vec![
-        (117, Trouble::Crash(2, 13)),
-        (159, Trouble::CrashAll(23)),
-        (207, Trouble::Crash(0, 3)),
-        (358, Trouble::MachineDeaf(2, 57)),
-        (482, Trouble::MachineDies(1)),
+        (117, Fault::Crash(2, 13)),
+        (159, Fault::CrashAll(23)),
+        (207, Fault::Crash(0, 3)),
+        (358, Fault::MachineReceivesNothing(2, 57)),
+        (482, Fault::MachineFails(1)),
     ];
     let mut world = World::new(5_579_486_582_532_133_835, faults);
     world.run(1_600);
@@ -40,11 +40,8 @@
 /// not by preemption. The leader used to send the task there forever.
 #[test]
 fn a_listed_attempt_keeps_its_task_off_that_machine() {
-    let faults = vec![
-        (149, Trouble::CrashAll(4)),
-        (394, Trouble::CrashAll(2)),
-        (417, Trouble::MachineReborn(0)),
-    ];
+    let faults =
+        vec![(149, Fault::CrashAll(4)), (394, Fault::CrashAll(2)), (417, Fault::AgentRestarts(0))];
     let mut world = World::new(10_445_943_961_295_808_273, faults);
     world.run(1_600);
     assert_eq!(world.broken, Vec::<String>::new());
@@ -58,14 +55,14 @@
     for seed in 0..8 {
         for length in [8, 25, 60, 200] {
             let faults = vec![
-                (120, Trouble::Freeze(0, length)),
-                (130, Trouble::Crash(1, 3)),
-                (300, Trouble::Freeze(1, length)),
-                (310, Trouble::StoreDown(40)),
-                (420, Trouble::Freeze(2, length)),
-                (425, Trouble::CrashAll(2)),
-                (600, Trouble::Freeze(0, length)),
-                (600, Trouble::Freeze(1, length)),
+                (120, Fault::Pause(0, length)),
+                (130, Fault::Crash(1, 3)),
+                (300, Fault::Pause(1, length)),
+                (310, Fault::StoreDown(40)),
+                (420, Fault::Pause(2, length)),
+                (425, Fault::CrashAll(2)),
+                (600, Fault::Pause(0, length)),
+                (600, Fault::Pause(1, length)),
             ];
             let mut world = World::new(seed, faults);
             world.run(1_600);
@@ -78,8 +75,8 @@
 #[test]
 fn a_zone_cut_off_with_the_leader_breaks_no_rule() {
     for seed in 0..8 {
-        let cut = |m| (200, Trouble::MachineCut(m, 300));
-        let faults = vec![cut(0), cut(1), cut(2), (205, Trouble::Crash(0, 80))];
+        let cut = |m| (200, Fault::MachinePartitioned(m, 300));
+        let faults = vec![cut(0), cut(1), cut(2), (205, Fault::Crash(0, 80))];
         let mut world = World::new(seed, faults);
         world.run(1_600);
         assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
@@ -93,10 +90,8 @@
 #[test]
 fn with_one_down_a_paused_leader_lets_no_lease_expire() {
     for seed in 0..9 {
-        let faults = vec![
-            (300, at_leader(Trouble::Crash(0, 900))),
-            (450, at_leader(Trouble::Freeze(0, 250))),
-        ];
+        let faults =
+            vec![(300, at_leader(Fault::Crash(0, 900))), (450, at_leader(Fault::Pause(0, 250)))];
         let mut world = World::new(seed, faults);
         world.size = (60, 200.0);
         world.beat = (2.0, 12.0);
--- a/crates/core/tests/cluster/upgrade.rs
+++ b/crates/core/tests/cluster/upgrade.rs
@@ -5,7 +5,7 @@
 use crate::at_leader;
 use marblebarrow_core::consts::DEPENDENCIES_FORMAT;
 use marblebarrow_proto::ids::JobId;
-use marblebarrow_rehearsal::world::{Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, World};
 
 /// Controllers in the simulation.
 const CONTROLLERS: usize = 3;
@@ -14,7 +14,7 @@
 
 /// A world in which all controllers run the production version at first and users submit
 /// pipelines.
-fn upgrade_world(seed: u64, faults: Vec<(u32, Trouble)>) -> World {
+fn upgrade_world(seed: u64, faults: Vec<(u32, Fault)>) -> World {
     let mut world = World::new(seed, faults);
     (world.width, world.pace, world.no_services) = (3, (10, 900), true);
     world.pipeline = Some(PIPELINE);
@@ -81,15 +81,15 @@
         let mut world = upgrade_world(
             seed,
             vec![
-                (200, at_leader(Trouble::Crash(0, 5))),
-                (250, Trouble::PeersRefuse(60)),
-                (340, Trouble::Crash(1, 100)),
-                (360, Trouble::Crash(0, 5)),
-                (420, Trouble::AnswersLost(80)),
-                (460, Trouble::Isolated(2, 60)),
-                (560, Trouble::LateWrites(80)),
-                (600, Trouble::CrashAll(5)),
-                (700, at_leader(Trouble::Freeze(0, 30))),
+                (200, at_leader(Fault::Crash(0, 5))),
+                (250, Fault::PeersRefuse(60)),
+                (340, Fault::Crash(1, 100)),
+                (360, Fault::Crash(0, 5)),
+                (420, Fault::AnswersLost(80)),
+                (460, Fault::CutFromStoreAndPeers(2, 60)),
+                (560, Fault::LateWrites(80)),
+                (600, Fault::CrashAll(5)),
+                (700, at_leader(Fault::Pause(0, 30))),
             ],
         );
         world.play(100);
@@ -117,9 +117,9 @@
 fn the_format_record_is_written_despite_lost_answers_late_writes_and_a_failover() {
     for seed in 0..6 {
         let faults = vec![
-            (295, Trouble::AnswersLost(200)),
-            (295, Trouble::LateWrites(200)),
-            (330, at_leader(Trouble::Crash(0, 20))),
+            (295, Fault::AnswersLost(200)),
+            (295, Fault::LateWrites(200)),
+            (330, at_leader(Fault::Crash(0, 20))),
         ];
         let mut world = upgrade_world(seed, faults);
         world.play(100);
--- a/crates/core/tests/cluster/workloads.rs
+++ b/crates/core/tests/cluster/workloads.rs
@@ -2,7 +2,7 @@
 
 use crate::at_leader;
 use marblebarrow_proto::ids::JobId;
-use marblebarrow_rehearsal::world::{Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, World};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -38,7 +38,7 @@
 /// A machine that takes six times as long as others is detected, cordoned and returned.
 #[test]
 fn a_slow_machine_gets_no_more_work() {
-    let mut world = World::new(3, vec![(60, Trouble::MachineSlow(0, 1_500))]);
+    let mut world = World::new(3, vec![(60, Fault::MachineSlow(0, 1_500))]);
     world.run(1_600);
     assert_eq!(world.broken, Vec::<String>::new());
     assert!(world.cordons > 0);
@@ -139,7 +139,7 @@
         tasks in prop_oneof![1u32..4, 4u32..400, Just(100_000u32)],
         crash in 200u32..500,
     ) {
-        let mut world = World::new(seed, vec![(crash, at_leader(Trouble::Crash(0, 40)))]);
+        let mut world = World::new(seed, vec![(crash, at_leader(Fault::Crash(0, 40)))]);
         // Users cancel the jobs whose numbers are divisible by five.
         let number = if number == 5 { 6 } else { number };
         (world.idle, world.no_services) = (Some((number, tasks)), true);
@@ -176,7 +176,7 @@
 fn machines_that_boot_late_never_or_at_once() {
     for seed in 0..4 {
         for (tenths, most) in [(10, 50), (0, 50), (60, 70)] {
-            let mut world = World::new(seed, vec![(1, Trouble::Boots(tenths, 400))]);
+            let mut world = World::new(seed, vec![(1, Fault::BootTimes(tenths, 400))]);
             world.no_services = true;
             (world.pace, world.size, world.width) = ((10, 300), (400, 400.0), 30);
             world.run(1_600);
--- a/crates/core/tests/log.rs
+++ b/crates/core/tests/log.rs
@@ -2,7 +2,7 @@
 
 use marblebarrow_core::consts::{INFO_LINES_BURST, INFO_LINES_PER_S};
 use marblebarrow_core::log::{Level, Log};
-use marblebarrow_rehearsal::world::{Trouble, World};
+use marblebarrow_rehearsal::world::{Fault, World};
 
 fn count_of(world: &World, event: &str) -> usize {
     world.info.iter().filter(|line| line.contains(event)).count()
@@ -35,7 +35,7 @@
 /// Every change of leadership is logged with its term and reason.
 #[test]
 fn changes_of_leadership_are_logged() {
-    let refused = Trouble::AtLeader(Box::new(Trouble::StoreRefuses(0, 60)));
+    let refused = Fault::OnLeader(Box::new(Fault::StoreRefuses(0, 60)));
     let mut world = World::new(3, vec![(200, refused)]);
     world.run(1_600);
     assert_eq!(world.broken, Vec::<String>::new());
@@ -48,7 +48,7 @@
 /// An unanswered start command is logged with its task, machine and epoch.
 #[test]
 fn unconfirmed_starts_are_logged() {
-    let mut world = World::new(4, vec![(150, Trouble::MachineDeaf(0, 60))]);
+    let mut world = World::new(4, vec![(150, Fault::MachineReceivesNothing(0, 60))]);
     world.run(1_600);
     assert_eq!(world.broken, Vec::<String>::new());
     assert!(count_of(&world, "event=start_in_doubt task=req-") > 0, "{:?}", world.info);
--- a/crates/rehearsal/benches/cells.rs
+++ b/crates/rehearsal/benches/cells.rs
@@ -5,7 +5,7 @@
 //! Run with `cargo bench -p marblebarrow-rehearsal --bench cells`. The figures don't depend on the
 //! machine.
 
-use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, Plan};
+use marblebarrow_rehearsal::fleet_of_cells::{CellFault, FleetOfCells, Plan};
 
 /// Runs of each configuration.
 const SEEDS: u64 = 12;
@@ -61,8 +61,7 @@
     for seed in 0..SEEDS {
         let mut plan = plan(seed, true);
         if cut > 0 {
-            plan.troubles =
-                vec![(150, CellTrouble::Cut(0, 1, cut)), (150, CellTrouble::Cut(2, 0, cut))];
+            plan.faults = vec![(150, CellFault::Cut(0, 1, cut)), (150, CellFault::Cut(2, 0, cut))];
         }
         let mut fleet = FleetOfCells::new(&plan);
         fleet.run(FleetOfCells::steps_of(&plan));
--- a/crates/rehearsal/src/fleet_of_cells/mod.rs
+++ b/crates/rehearsal/src/fleet_of_cells/mod.rs
@@ -13,7 +13,7 @@
 
 pub use ends::MovedEnd;
 pub use outcome::{Ends, Met};
-pub use plan::{CellTrouble, Plan};
+pub use plan::{CellFault, Plan};
 
 use crate::world::World;
 use digest::Digest;
@@ -38,7 +38,7 @@
     step: u32,
     links: Links,
     /// Faults that haven't begun, and the step at which each begins.
-    troubles: Vec<(u32, CellTrouble)>,
+    faults: Vec<(u32, CellFault)>,
     /// For each moved job, the cells that accepted it from its home cell.
     accepted_by: BTreeMap<JobId, BTreeSet<usize>>,
     moved_ends: MovedEnds,
@@ -54,7 +54,7 @@
     /// Creates the cells of a plan.
     pub fn new(plan: &Plan) -> Self {
         let mut plan = plan.clone();
-        plan.troubles.sort_by_key(|(at, _)| *at);
+        plan.faults.sort_by_key(|(at, _)| *at);
         Self {
             cells: plan.cells(),
             met: Met::default(),
@@ -62,7 +62,7 @@
             digest: Digest::default(),
             step: 0,
             links: Links::new(plan.seed, plan.faultless_links),
-            troubles: plan.troubles,
+            faults: plan.faults,
             accepted_by: BTreeMap::new(),
             moved_ends: MovedEnds::default(),
             specs_shared: 0,
@@ -152,8 +152,8 @@
     /// Begins the cuts of links that are due. The cells begin their own faults.
     fn begin_cuts(&mut self) {
         let step = self.step;
-        for (_, trouble) in self.troubles.extract_if(.., |(at, _)| *at <= step) {
-            if let CellTrouble::Cut(from, to, steps) = trouble {
+        for (_, fault) in self.faults.extract_if(.., |(at, _)| *at <= step) {
+            if let CellFault::Cut(from, to, steps) = fault {
                 self.links.cut(from, to, step + steps);
             }
         }
--- a/crates/rehearsal/src/fleet_of_cells/plan.rs
+++ b/crates/rehearsal/src/fleet_of_cells/plan.rs
@@ -1,7 +1,7 @@
 //! The configuration of a run: sizes of the cells, load, settings and faults.
 
 use crate::fleet_of_cells::links::LATE_STEPS_MAX;
-use crate::world::{Trouble, World};
+use crate::world::{Fault, World};
 use marblebarrow_cells::settings::{CellsSettings, OtherCell};
 use marblebarrow_proto::ids::CellName;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -18,9 +18,9 @@
 
 /// A fault in a run of several cells. Durations are in steps, cells are named by index.
 #[derive(Clone, Debug)]
-pub enum CellTrouble {
+pub enum CellFault {
     /// A fault within one cell.
-    Within(usize, Trouble),
+    Within(usize, Fault),
     /// No message from the first cell reaches the second.
     Cut(usize, usize, u32),
     /// All controllers of a cell are down.
@@ -51,7 +51,7 @@
     /// Whether links between cells neither lose nor duplicate nor delay messages.
     pub faultless_links: bool,
     /// The faults, and the step at which each begins.
-    pub troubles: Vec<(u32, CellTrouble)>,
+    pub faults: Vec<(u32, CellFault)>,
 }
 
 impl Plan {
@@ -71,7 +71,7 @@
             filled: false,
             cancels: false,
             faultless_links: false,
-            troubles: Vec::new(),
+            faults: Vec::new(),
         }
     }
 }
@@ -84,7 +84,7 @@
     }
 
     fn cell(&self, cell: usize, faults_over_from: u32) -> World {
-        let mut world = World::new(self.seed * 31 + cell as u64, self.troubles_within(cell));
+        let mut world = World::new(self.seed * 31 + cell as u64, self.faults_within(cell));
         let pace = self.paces[cell];
         world.size = (self.machines[cell], TEAM_CPUS_MAX);
         world.first_number = JOB_NUMBERS_PER_CELL * (cell as u32 + 1);
@@ -100,10 +100,10 @@
     }
 
     /// The faults within one cell, in the order in which they begin.
-    fn troubles_within(&self, cell: usize) -> Vec<(u32, Trouble)> {
-        let within = self.troubles.iter().filter_map(|(at, trouble)| match trouble {
-            CellTrouble::Within(c, inner) if *c == cell => Some((*at, inner.clone())),
-            CellTrouble::CellGone(c, steps) if *c == cell => Some((*at, Trouble::CrashAll(*steps))),
+    fn faults_within(&self, cell: usize) -> Vec<(u32, Fault)> {
+        let within = self.faults.iter().filter_map(|(at, fault)| match fault {
+            CellFault::Within(c, inner) if *c == cell => Some((*at, inner.clone())),
+            CellFault::CellGone(c, steps) if *c == cell => Some((*at, Fault::CrashAll(*steps))),
             _ => None,
         });
         within.collect()
@@ -133,7 +133,7 @@
 
     /// The step at which the last fault ends, or 0 without faults.
     fn last_fault_ends(&self) -> u32 {
-        let ends = self.troubles.iter().map(|(at, trouble)| at + steps_of(trouble));
+        let ends = self.faults.iter().map(|(at, fault)| at + steps_of(fault));
         ends.max().unwrap_or(0)
     }
 }
@@ -144,9 +144,9 @@
 }
 
 /// Duration of a fault, in steps.
-fn steps_of(trouble: &CellTrouble) -> u32 {
-    match trouble {
-        CellTrouble::Within(_, trouble) => trouble.steps(),
-        CellTrouble::Cut(_, _, steps) | CellTrouble::CellGone(_, steps) => *steps,
+fn steps_of(fault: &CellFault) -> u32 {
+    match fault {
+        CellFault::Within(_, fault) => fault.steps(),
+        CellFault::Cut(_, _, steps) | CellFault::CellGone(_, steps) => *steps,
     }
 }
--- a/crates/rehearsal/src/held_commands.rs
+++ b/crates/rehearsal/src/held_commands.rs
@@ -6,7 +6,7 @@
 //! that no fencing token can be raised. Users cancel jobs one second after acceptance, while they
 //! run, and while their start command is delayed.
 
-use crate::world::{Held, Trouble, World};
+use crate::world::{Fault, Held, World};
 use std::fmt;
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
@@ -58,41 +58,41 @@
 }
 
 /// A simulated cell with delayed commands, cancelled jobs and the other faults given.
-pub fn day(seed: u64, held: Held, others: &[(u32, Trouble)]) -> World {
-    let mut troubles = vec![(60, Trouble::HeldCommands(held, 600))];
-    troubles.extend((150..600).step_by(90).map(|at| (at, Trouble::CancelNow(3))));
-    troubles.extend_from_slice(others);
-    let mut world = World::new(seed, troubles);
+pub fn day(seed: u64, held: Held, others: &[(u32, Fault)]) -> World {
+    let mut faults = vec![(60, Fault::HeldCommands(held, 600))];
+    faults.extend((150..600).step_by(90).map(|at| (at, Fault::CancelNow(3))));
+    faults.extend_from_slice(others);
+    let mut world = World::new(seed, faults);
     (world.gaps, world.width, world.pace, world.quarter) = (true, 3, (9, 640), true);
     world
 }
 
 /// Aims a fault at the controller that leads when the fault begins.
-fn at_leader(trouble: Trouble) -> Trouble {
-    Trouble::AtLeader(Box::new(trouble))
+fn at_leader(fault: Fault) -> Fault {
+    Fault::OnLeader(Box::new(fault))
 }
 
 /// Crashes of leaders. Some controllers are back within a second.
-pub fn leaders_end() -> Vec<(u32, Trouble)> {
-    let crash = |at, steps| (at, at_leader(Trouble::Crash(0, steps)));
+pub fn leaders_end() -> Vec<(u32, Fault)> {
+    let crash = |at, steps| (at, at_leader(Fault::Crash(0, steps)));
     vec![crash(155, 40), crash(250, 3), crash(342, 40), crash(440, 2), crash(520, 60)]
 }
 
 /// The state service refuses the leader alone while jobs are cancelled, and is then down for all
 /// controllers for longer than the tasks of these jobs may run.
-pub fn outage() -> Vec<(u32, Trouble)> {
+pub fn outage() -> Vec<(u32, Fault)> {
     let spell = |at| {
         [
-            (at, at_leader(Trouble::StoreRefuses(0, 16))),
-            (at + 2, Trouble::CancelNow(6)),
-            (at + 14, Trouble::StoreDown(260)),
+            (at, at_leader(Fault::StoreRefuses(0, 16))),
+            (at + 2, Fault::CancelNow(6)),
+            (at + 14, Fault::StoreDown(260)),
         ]
     };
     [spell(238), spell(560)].concat()
 }
 
 /// The three parts of the simulation, with the additional faults of each.
-fn days() -> [(&'static str, Vec<(u32, Trouble)>); 3] {
+fn days() -> [(&'static str, Vec<(u32, Fault)>); 3] {
     [("alone", Vec::new()), ("leaders-end", leaders_end()), ("outage", outage())]
 }
 
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! # Modules
 //!
-//! - [`world`]: one cell, with its [`Trouble`](world::Trouble)s (faults).
+//! - [`world`]: one cell, with its [`Fault`](world::Fault)s.
 //! - [`fleet_of_cells`]: several cells, and faulty links between them.
 //! - [`held_commands`]: a simulation of one cell in which commands to workers are delayed.
 //! - [`scenario`]: the named scenarios of `marblebarrow rehearse`, and their verdicts.
@@ -18,7 +18,7 @@
 //!
 //! 1. List the faults, each with the step at which it begins. Durations are in steps too. A
 //!    fault aimed at whichever controller leads at that step is wrapped in
-//!    [`Trouble::AtLeader`](world::Trouble::AtLeader).
+//!    [`Fault::OnLeader`](world::Fault::OnLeader).
 //! 2. Create a [`World`](world::World) from a seed and these faults, and set the public fields
 //!    that the case needs, such as the interval between submissions.
 //! 3. Run it long enough: work must end after the last fault, or the run is reported as
@@ -28,10 +28,10 @@
 //!    nothing. Then repeat it with other seeds.
 //!
 //! ```
-//! use marblebarrow_rehearsal::world::{Trouble, World};
+//! use marblebarrow_rehearsal::world::{Fault, World};
 //!
 //! // The leader crashes 20 s after the start, and is restarted 4 s later.
-//! let crash = Trouble::AtLeader(Box::new(Trouble::Crash(0, 40)));
+//! let crash = Fault::OnLeader(Box::new(Fault::Crash(0, 40)));
 //! let mut world = World::new(1, vec![(200, crash)]);
 //! world.run(1_600);
 //! assert_eq!(world.broken, Vec::<String>::new());
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,8 +1,8 @@
 //! The named scenarios of `marblebarrow rehearse`, and the verdicts of their runs.
 
-use crate::fleet_of_cells::{CellTrouble, Ends, FleetOfCells, Met, Plan};
+use crate::fleet_of_cells::{CellFault, Ends, FleetOfCells, Met, Plan};
 use crate::held_commands::{self, HeldOutcome};
-use crate::world::Trouble;
+use crate::world::Fault;
 use std::fmt;
 
 /// A scenario that `marblebarrow rehearse` can run.
@@ -59,23 +59,23 @@
     /// The plan of a scenario of several cells.
     fn plan(self, seed: u64) -> Plan {
         let mut plan = Plan::one_full(seed);
-        plan.troubles = match self {
+        plan.faults = match self {
             Self::FullCell | Self::Cancels | Self::HeldCommands => Vec::new(),
             Self::LeadersEnd => leaders_end(),
             Self::LinksCut => vec![
-                (100, CellTrouble::Cut(0, 1, 150)),
-                (120, CellTrouble::Cut(2, 0, 150)),
-                (300, CellTrouble::Cut(1, 0, 150)),
-                (330, CellTrouble::Cut(0, 2, 100)),
+                (100, CellFault::Cut(0, 1, 150)),
+                (120, CellFault::Cut(2, 0, 150)),
+                (300, CellFault::Cut(1, 0, 150)),
+                (330, CellFault::Cut(0, 2, 100)),
             ],
-            Self::CellGone => vec![(200, CellTrouble::CellGone(1, 600))],
+            Self::CellGone => vec![(200, CellFault::CellGone(1, 600))],
             Self::StoresFail => vec![
-                (120, CellTrouble::Within(1, Trouble::StoreDown(80))),
-                (150, CellTrouble::Within(0, Trouble::AnswersLost(200))),
-                (250, CellTrouble::Within(2, Trouble::LateWrites(200))),
-                (300, CellTrouble::Within(0, at_leader(Trouble::StoreRefuses(0, 60)))),
-                (380, CellTrouble::Within(2, Trouble::AnswersLost(200))),
-                (400, CellTrouble::Within(0, Trouble::LateWrites(200))),
+                (120, CellFault::Within(1, Fault::StoreDown(80))),
+                (150, CellFault::Within(0, Fault::AnswersLost(200))),
+                (250, CellFault::Within(2, Fault::LateWrites(200))),
+                (300, CellFault::Within(0, at_leader(Fault::StoreRefuses(0, 60)))),
+                (380, CellFault::Within(2, Fault::AnswersLost(200))),
+                (400, CellFault::Within(0, Fault::LateWrites(200))),
             ],
         };
         if self == Self::Cancels {
@@ -119,15 +119,15 @@
 }
 
 /// Aims a fault at the controller that leads when the fault begins.
-fn at_leader(trouble: Trouble) -> Trouble {
-    Trouble::AtLeader(Box::new(trouble))
+fn at_leader(fault: Fault) -> Fault {
+    Fault::OnLeader(Box::new(fault))
 }
 
 /// Crashes of the leaders of the three cells in turn, one every 4 s.
-fn leaders_end() -> Vec<(u32, CellTrouble)> {
+fn leaders_end() -> Vec<(u32, CellFault)> {
     let ends = |step: u32| {
         let cell = (step / 40 % 3) as usize;
-        (step, CellTrouble::Within(cell, at_leader(Trouble::Crash(0, 30))))
+        (step, CellFault::Within(cell, at_leader(Fault::Crash(0, 30))))
     };
     (80..480).step_by(40).map(ends).collect()
 }
--- a/crates/rehearsal/src/world/controllers.rs
+++ b/crates/rehearsal/src/world/controllers.rs
@@ -37,12 +37,12 @@
         self.handle(n, event(to));
     }
 
-    /// Delivers an event to a controller, or once it is no longer frozen.
+    /// Delivers an event to a controller, or once it is no longer paused.
     pub(super) fn handle(&mut self, n: usize, event: Event) {
-        let frozen = self.hosts[n].frozen_until;
-        if self.step < frozen {
+        let paused = self.hosts[n].paused_until;
+        if self.step < paused {
             let boot = self.hosts[n].started_at;
-            return self.deliveries.push((frozen, Delivery::Event { node: n, boot, event }));
+            return self.deliveries.push((paused, Delivery::Event { node: n, boot, event }));
         }
         if matches!(event, Event::Direct(..)) {
             self.directs_in_flight[n] -= 1;
@@ -64,7 +64,7 @@
             }
             self.start_controller(n);
         }
-        if self.step < self.hosts[n].frozen_until {
+        if self.step < self.hosts[n].paused_until {
             return;
         }
         self.watch(n);
@@ -88,7 +88,7 @@
         host.node = Some(node);
         host.started_at = now;
         host.synced = false;
-        host.frozen_until = 0;
+        host.paused_until = 0;
     }
 
     /// Answers a controller's watch, unless the store doesn't serve it in this step.
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/faults.rs
@@ -6,17 +6,17 @@
 /// A fault within a cell. Durations are in steps, controllers are named by index, and machines by
 /// their position among those that exist.
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// A controller crashes, and is restarted after this time.
     Crash(usize, u32),
     /// All controllers crash, and are restarted after this time.
     CrashAll(u32),
     /// A fault aimed at the controller that leads when the fault begins. The index within it is
     /// ignored.
-    AtLeader(Box<Trouble>),
+    OnLeader(Box<Fault>),
     /// A controller is suspended while its clocks advance, then handles all events that arrived
     /// meanwhile.
-    Freeze(usize, u32),
+    Pause(usize, u32),
     /// The state service is down for all controllers.
     StoreDown(u32),
     /// The state service refuses the requests of one controller.
@@ -25,22 +25,22 @@
     WorkersCut(usize, u32),
     /// A machine is unreachable. Its heartbeats and the commands to it are delivered when the cut
     /// ends, answers to heartbeats are lost.
-    MachineCut(usize, u32),
+    MachinePartitioned(usize, u32),
     /// All machines of a zone are unreachable.
-    ZoneCut(&'static str, u32),
+    ZonePartitioned(&'static str, u32),
     /// One-way partition of a machine: its heartbeats arrive, but answers and commands don't reach
     /// it.
-    MachineDeaf(usize, u32),
+    MachineReceivesNothing(usize, u32),
     /// A machine and its tasks are lost.
-    MachineDies(usize),
+    MachineFails(usize),
     /// A worker restarts at once with empty state, and counts its agent epochs from the beginning.
-    MachineReborn(usize),
+    AgentRestarts(usize),
     /// The cloud refuses all requests.
     CloudDown(u32),
     /// A controller reaches neither the store nor its peers, but workers and users.
-    Isolated(usize, u32),
+    CutFromStoreAndPeers(usize, u32),
     /// All heartbeats are duplicated, and the copies arrive up to this much later.
-    LateCopies(u32),
+    LateHeartbeatCopies(u32),
     /// The state service takes up to two seconds for each answer.
     StoreSlow(u32),
     /// Controllers can't reach each other.
@@ -50,7 +50,7 @@
     LateWrites(u32),
     /// Machines rented take this many tenths of the usual boot time. If it is longer than usual,
     /// every third machine never comes up.
-    Boots(u32, u32),
+    BootTimes(u32, u32),
     /// Users poll about every job in each step instead of once a second.
     PollStorm(u32),
     /// Tasks on a machine take six times as long.
@@ -66,20 +66,20 @@
     AnswersLate(u32),
     /// Copies of a third of all heartbeats are kept, and reach every controller as soon as the
     /// leader changes.
-    KeptHeartbeats(u32),
+    HeldHeartbeats(u32),
     /// Right after a job was accepted, ended or cancelled, users poll every controller at once and
     /// repeat their earlier requests.
-    CloseLooks(u32),
+    ClosePolling(u32),
     /// Half of the jobs that end are cancelled at that moment.
     CancelAtEnd(u32),
     /// One-way partition of a machine: its heartbeats reach no controller, but direct commands
     /// reach it.
-    MachineMute(usize, u32),
+    MachineReachesNoController(usize, u32),
     /// One-way partition of all machines: no heartbeat reaches a controller, but direct commands
     /// arrive.
-    AllMute(u32),
+    NoMachineReachesController(u32),
     /// A network partition: the machines of a zone and one controller reach only each other.
-    ZoneApart(&'static str, usize, u32),
+    ZonePartitionedWithController(&'static str, usize, u32),
     /// A machine is suspended, then handles what arrived meanwhile.
     MachineHangs(usize, u32),
     /// Some direct commands are delayed, and the answers to others, while all other messages to and
@@ -101,7 +101,7 @@
     pub called_off: bool,
 }
 
-impl Trouble {
+impl Fault {
     /// Duration of the fault, in steps.
     pub fn steps(&self) -> u32 {
         match self {
@@ -109,48 +109,50 @@
             | Self::CrashAll(s)
             | Self::StoreDown(s)
             | Self::StoreRefuses(_, s)
-            | Self::Freeze(_, s)
+            | Self::Pause(_, s)
             | Self::WorkersCut(_, s)
-            | Self::MachineCut(_, s)
-            | Self::ZoneCut(_, s)
-            | Self::MachineDeaf(_, s)
+            | Self::MachinePartitioned(_, s)
+            | Self::ZonePartitioned(_, s)
+            | Self::MachineReceivesNothing(_, s)
             | Self::CloudDown(s)
-            | Self::Isolated(_, s)
-            | Self::LateCopies(s)
+            | Self::CutFromStoreAndPeers(_, s)
+            | Self::LateHeartbeatCopies(s)
             | Self::StoreSlow(s)
             | Self::PeersRefuse(s)
             | Self::LateWrites(s)
-            | Self::Boots(_, s)
+            | Self::BootTimes(_, s)
             | Self::PollStorm(s)
             | Self::WatchStuck(_, s)
             | Self::AnswersLost(s)
             | Self::AnswersLate(s)
-            | Self::KeptHeartbeats(s)
-            | Self::CloseLooks(s)
+            | Self::HeldHeartbeats(s)
+            | Self::ClosePolling(s)
             | Self::CancelAtEnd(s)
-            | Self::MachineMute(_, s)
-            | Self::AllMute(s)
+            | Self::MachineReachesNoController(_, s)
+            | Self::NoMachineReachesController(s)
             | Self::MachineHangs(_, s)
             | Self::HeldCommands(_, s)
-            | Self::ZoneApart(_, _, s)
+            | Self::ZonePartitionedWithController(_, _, s)
             | Self::MachineSlow(_, s) => *s,
-            Self::AtLeader(t) => t.steps(),
-            Self::MachineDies(_) | Self::MachineReborn(_) | Self::CancelNow(_) => 0,
+            Self::OnLeader(t) => t.steps(),
+            Self::MachineFails(_) | Self::AgentRestarts(_) | Self::CancelNow(_) => 0,
         }
     }
 }
 
-impl Trouble {
+impl Fault {
     /// The same fault at the given controller, if it affects a single controller.
     fn at_controller(self, n: usize) -> Self {
         match self {
             Self::Crash(_, s) => Self::Crash(n, s),
-            Self::Freeze(_, s) => Self::Freeze(n, s),
+            Self::Pause(_, s) => Self::Pause(n, s),
             Self::StoreRefuses(_, s) => Self::StoreRefuses(n, s),
             Self::WorkersCut(_, s) => Self::WorkersCut(n, s),
-            Self::Isolated(_, s) => Self::Isolated(n, s),
+            Self::CutFromStoreAndPeers(_, s) => Self::CutFromStoreAndPeers(n, s),
             Self::WatchStuck(_, s) => Self::WatchStuck(n, s),
-            Self::ZoneApart(zone, _, s) => Self::ZoneApart(zone, n, s),
+            Self::ZonePartitionedWithController(zone, _, s) => {
+                Self::ZonePartitionedWithController(zone, n, s)
+            }
             other => other,
         }
     }
@@ -159,71 +161,75 @@
 impl World {
     /// Begins the faults that are due.
     pub(super) fn begin_due_faults(&mut self) {
-        while self.troubles.first().is_some_and(|(at, _)| *at <= self.step) {
-            let (_, trouble) = self.troubles.remove(0);
-            self.begin(trouble);
+        while self.faults.first().is_some_and(|(at, _)| *at <= self.step) {
+            let (_, fault) = self.faults.remove(0);
+            self.begin(fault);
         }
     }
 
     /// Applies a fault from this step on.
-    fn begin(&mut self, trouble: Trouble) {
+    fn begin(&mut self, fault: Fault) {
         let step = self.step;
-        match trouble {
-            Trouble::Crash(n, s) => self.crash(n, s),
-            Trouble::CrashAll(s) => (0..NODES).for_each(|n| self.crash(n, s)),
-            Trouble::Freeze(n, s) => self.hosts[n].frozen_until = step + s,
-            Trouble::AtLeader(inner) => {
+        match fault {
+            Fault::Crash(n, s) => self.crash(n, s),
+            Fault::CrashAll(s) => (0..NODES).for_each(|n| self.crash(n, s)),
+            Fault::Pause(n, s) => self.hosts[n].paused_until = step + s,
+            Fault::OnLeader(inner) => {
                 let leader = (0..NODES).find(|&n| self.leads(n)).unwrap_or(0);
                 self.begin(inner.at_controller(leader));
             }
-            Trouble::StoreDown(s) => {
+            Fault::StoreDown(s) => {
                 if !self.kv.contains_key(marblebarrow_proto::records::LEADER) {
                     self.met.outages_without_leader.push(step);
                 }
                 self.store_down_until = step + s;
             }
-            Trouble::StoreRefuses(n, s) => self.hosts[n].store_refused_until = step + s,
-            Trouble::WorkersCut(n, s) => self.hosts[n].cut_until = step + s,
-            Trouble::CloudDown(s) => self.cloud_down_until = step + s,
-            Trouble::MachineCut(m, s) => self.at_machine(m, |w| w.cut_until = step + s),
-            Trouble::ZoneCut(zone, s) => {
+            Fault::StoreRefuses(n, s) => self.hosts[n].store_refused_until = step + s,
+            Fault::WorkersCut(n, s) => self.hosts[n].cut_until = step + s,
+            Fault::CloudDown(s) => self.cloud_down_until = step + s,
+            Fault::MachinePartitioned(m, s) => self.at_machine(m, |w| w.cut_until = step + s),
+            Fault::ZonePartitioned(zone, s) => {
                 let there = self.machines.values_mut().filter(|w| w.zone == zone);
                 there.for_each(|w| w.cut_until = step + s);
             }
-            Trouble::Isolated(n, s) => self.isolate(n, s),
-            Trouble::PeersRefuse(s) => {
+            Fault::CutFromStoreAndPeers(n, s) => self.isolate(n, s),
+            Fault::PeersRefuse(s) => {
                 self.hosts.iter_mut().for_each(|h| h.peers_cut_until = step + s);
             }
-            Trouble::StoreSlow(s) => self.store_slow_until = step + s,
-            Trouble::MachineSlow(m, s) => self.at_machine(m, |w| w.slow_until = step + s),
-            Trouble::WatchStuck(n, s) => self.hosts[n].watch_stuck_until = step + s,
-            Trouble::CancelNow(most) => {
+            Fault::StoreSlow(s) => self.store_slow_until = step + s,
+            Fault::MachineSlow(m, s) => self.at_machine(m, |w| w.slow_until = step + s),
+            Fault::WatchStuck(n, s) => self.hosts[n].watch_stuck_until = step + s,
+            Fault::CancelNow(most) => {
                 let running = self.running_jobs();
                 let open = |id: &JobId| !self.cancels.contains_key(id);
                 self.cancel_requested.extend(running.into_iter().filter(open).take(most));
             }
-            Trouble::AnswersLost(s) => self.answers_lost_until = step + s,
-            Trouble::AnswersLate(s) => self.answers_late_until = step + s,
-            Trouble::KeptHeartbeats(s) => self.keep_heartbeats_until = step + s,
-            Trouble::CloseLooks(s) => self.request_bursts_until = step + s,
-            Trouble::CancelAtEnd(s) => self.cancel_at_end_until = step + s,
-            Trouble::MachineMute(m, s) => self.at_machine(m, |w| w.outbound_cut_until = step + s),
-            Trouble::AllMute(s) => {
+            Fault::AnswersLost(s) => self.answers_lost_until = step + s,
+            Fault::AnswersLate(s) => self.answers_late_until = step + s,
+            Fault::HeldHeartbeats(s) => self.keep_heartbeats_until = step + s,
+            Fault::ClosePolling(s) => self.request_bursts_until = step + s,
+            Fault::CancelAtEnd(s) => self.cancel_at_end_until = step + s,
+            Fault::MachineReachesNoController(m, s) => {
+                self.at_machine(m, |w| w.outbound_cut_until = step + s)
+            }
+            Fault::NoMachineReachesController(s) => {
                 self.machines.values_mut().for_each(|w| w.outbound_cut_until = step + s);
             }
-            Trouble::ZoneApart(zone, n, s) => {
+            Fault::ZonePartitionedWithController(zone, n, s) => {
                 self.partition = (zone, n, step + s);
                 self.isolate(n, s);
             }
-            Trouble::MachineHangs(m, s) => self.at_machine(m, |w| w.hung_until = step + s),
-            Trouble::HeldCommands(held, s) => self.held = Some((held, step + s)),
-            Trouble::LateWrites(s) => self.late_writes_until = step + s,
-            Trouble::Boots(tenths, s) => self.boots = (tenths, step + s),
-            Trouble::PollStorm(s) => self.poll_storm_until = step + s,
-            Trouble::LateCopies(s) => self.copies = (step + s, s),
-            Trouble::MachineDeaf(m, s) => self.at_machine(m, |w| w.inbound_cut_until = step + s),
-            Trouble::MachineReborn(m) => self.restart_worker(m),
-            Trouble::MachineDies(m) => self.at_machine(m, |w| {
+            Fault::MachineHangs(m, s) => self.at_machine(m, |w| w.hung_until = step + s),
+            Fault::HeldCommands(held, s) => self.held = Some((held, step + s)),
+            Fault::LateWrites(s) => self.late_writes_until = step + s,
+            Fault::BootTimes(tenths, s) => self.boots = (tenths, step + s),
+            Fault::PollStorm(s) => self.poll_storm_until = step + s,
+            Fault::LateHeartbeatCopies(s) => self.copies = (step + s, s),
+            Fault::MachineReceivesNothing(m, s) => {
+                self.at_machine(m, |w| w.inbound_cut_until = step + s)
+            }
+            Fault::AgentRestarts(m) => self.restart_worker(m),
+            Fault::MachineFails(m) => self.at_machine(m, |w| {
                 w.dead = true;
                 w.tasks.clear();
             }),
--- a/crates/rehearsal/src/world/members.rs
+++ b/crates/rehearsal/src/world/members.rs
@@ -25,7 +25,7 @@
     pub(super) cut_until: u32,
     /// No messages to or from other controllers.
     pub(super) peers_cut_until: u32,
-    pub(super) frozen_until: u32,
+    pub(super) paused_until: u32,
     /// The format version that its processes announce.
     pub(super) format: u32,
 }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -10,6 +10,7 @@
 mod cloud;
 mod controllers;
 mod direct;
+mod faults;
 mod late_acceptance;
 mod lease_trace;
 mod members;
@@ -19,19 +20,18 @@
 mod store;
 mod store_limits;
 mod tasks;
-mod troubles;
 mod upgrade;
 mod users;
 mod views;
 mod workers;
 
 pub use cascades::{CascadePlan, CascadeTimes};
+pub use faults::{Fault, Held};
 pub use lease_trace::{HeartbeatAttempt, HeartbeatOutcome, LeaseLapse, LeaseTrace};
 pub use messages::{CellAnswer, OutgoingCall};
 pub use met::Met;
 pub use store::StoreWork;
 pub use store_limits::StoreLimits;
-pub use troubles::{Held, Trouble};
 
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest};
 use marblebarrow_cells::settings::CellsSettings;
@@ -73,7 +73,7 @@
     rng: StdRng,
     step: u32,
     hosts: Vec<Host>,
-    troubles: Vec<(u32, Trouble)>,
+    faults: Vec<(u32, Fault)>,
     kv: BTreeMap<String, (ciborium::Value, u64, Option<u64>)>,
     history: Vec<(u64, String, Option<ciborium::Value>)>,
     revision: u64,
--- a/crates/rehearsal/src/world/settings.rs
+++ b/crates/rehearsal/src/world/settings.rs
@@ -4,9 +4,9 @@
 
 impl World {
     /// Creates a cell from a seed and its faults, each with the step at which it begins.
-    pub fn new(seed: u64, mut troubles: Vec<(u32, Trouble)>) -> Self {
-        troubles.sort_by_key(|t| t.0);
-        let faults_over_from = troubles.iter().map(|(at, t)| at + t.steps()).max().unwrap_or(0);
+    pub fn new(seed: u64, mut faults: Vec<(u32, Fault)>) -> Self {
+        faults.sort_by_key(|t| t.0);
+        let faults_over_from = faults.iter().map(|(at, t)| at + t.steps()).max().unwrap_or(0);
         let host = |i: usize| Host {
             node: None,
             started_at: 0.0,
@@ -19,14 +19,14 @@
             store_refused_until: 0,
             cut_until: 0,
             peers_cut_until: 0,
-            frozen_until: 0,
+            paused_until: 0,
             format: FORMAT,
         };
         Self {
             rng: StdRng::seed_from_u64(seed),
             step: 0,
             hosts: (0..NODES).map(host).collect(),
-            troubles,
+            faults,
             kv: BTreeMap::new(),
             history: Vec::new(),
             revision: 1,
--- a/crates/rehearsal/src/world/workers.rs
+++ b/crates/rehearsal/src/world/workers.rs
@@ -163,8 +163,8 @@
         w.next_heartbeat = now + self.beat.0;
         w.trace.sent(w.controller, now);
         let (node, cut) = (w.controller, w.cut_until);
-        let mute = self.step < w.outbound_cut_until;
-        let Some(heartbeat) = self.heartbeat_of(id).filter(|_| !mute) else { return };
+        let outbound_cut = self.step < w.outbound_cut_until;
+        let Some(heartbeat) = self.heartbeat_of(id).filter(|_| !outbound_cut) else { return };
         if self.step < self.keep_heartbeats_until && self.rng.random_range(0..KEPT_ONE_IN) == 0 {
             self.kept_heartbeats.push((heartbeat.clone(), now));
         }
--- a/crates/rehearsal/tests/cells.rs
+++ b/crates/rehearsal/tests/cells.rs
@@ -2,9 +2,9 @@
 //! rules are checked at each step: one owner, at most one move, no job run in two cells, one final
 //! state, and no answer older than one given before.
 
-use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, Plan};
+use marblebarrow_rehearsal::fleet_of_cells::{CellFault, FleetOfCells, Plan};
 use marblebarrow_rehearsal::scenario::{Outcome, Scenario};
-use marblebarrow_rehearsal::world::Trouble;
+use marblebarrow_rehearsal::world::Fault;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -17,8 +17,8 @@
 }
 
 /// Aims a fault at the controller that leads when the fault begins.
-fn at_leader(trouble: Trouble) -> Trouble {
-    Trouble::AtLeader(Box::new(trouble))
+fn at_leader(fault: Fault) -> Fault {
+    Fault::OnLeader(Box::new(fault))
 }
 
 #[test]
@@ -111,7 +111,7 @@
             patience_s: 1.0,
             cancels: true,
             paces: vec![5, 60, 60],
-            troubles: vec![(150, CellTrouble::Cut(0, 1, 80)), (250, CellTrouble::Cut(2, 0, 80))],
+            faults: vec![(150, CellFault::Cut(0, 1, 80)), (250, CellFault::Cut(2, 0, 80))],
             ..Plan::one_full(seed)
         };
         let fleet = run(&plan);
@@ -128,13 +128,13 @@
     let mut moved = 0;
     for seed in 0..10 {
         let ends = |n: u32| {
-            let trouble = at_leader(Trouble::Crash(0, 12));
-            (60 + n * 17 + seed as u32, CellTrouble::Within((n % 3) as usize, trouble))
+            let fault = at_leader(Fault::Crash(0, 12));
+            (60 + n * 17 + seed as u32, CellFault::Within((n % 3) as usize, fault))
         };
         let plan = Plan {
             patience_s: 1.0,
             cancels: seed % 2 == 0,
-            troubles: (0..24).map(ends).collect(),
+            faults: (0..24).map(ends).collect(),
             ..Plan::one_full(seed)
         };
         moved += run(&plan).met.moved;
@@ -148,10 +148,10 @@
 fn a_resumed_leader_of_an_older_term_changes_nothing() {
     let mut moved = 0;
     for seed in 0..8 {
-        let freeze = |at, cell| (at, CellTrouble::Within(cell, at_leader(Trouble::Freeze(0, 70))));
+        let pause = |at, cell| (at, CellFault::Within(cell, at_leader(Fault::Pause(0, 70))));
         let plan = Plan {
             patience_s: 1.0,
-            troubles: vec![freeze(90, 0), freeze(130, 1), freeze(200, 2), freeze(280, 0)],
+            faults: vec![pause(90, 0), pause(130, 1), pause(200, 2), pause(280, 0)],
             ..Plan::one_full(seed)
         };
         moved += run(&plan).met.moved;
@@ -165,10 +165,10 @@
 fn a_restarted_cell_continues_from_its_records() {
     let mut moved = 0;
     for seed in 0..8 {
-        let restart_all = |at, cell| (at, CellTrouble::CellGone(cell, 3));
+        let restart_all = |at, cell| (at, CellFault::CellGone(cell, 3));
         let plan = Plan {
             patience_s: 1.0,
-            troubles: (0..9).map(|n| restart_all(80 + n * 40, n as usize % 3)).collect(),
+            faults: (0..9).map(|n| restart_all(80 + n * 40, n as usize % 3)).collect(),
             ..Plan::one_full(seed)
         };
         moved += run(&plan).met.moved;
@@ -182,9 +182,9 @@
 fn watch_events_before_store_answers_start_no_guest_twice() {
     let mut moved = 0;
     for seed in 0..8 {
-        let late = |cell| (50, CellTrouble::Within(cell, Trouble::AnswersLate(500)));
+        let late = |cell| (50, CellFault::Within(cell, Fault::AnswersLate(500)));
         let plan =
-            Plan { patience_s: 1.0, troubles: (0..3).map(late).collect(), ..Plan::one_full(seed) };
+            Plan { patience_s: 1.0, faults: (0..3).map(late).collect(), ..Plan::one_full(seed) };
         moved += run(&plan).met.moved;
     }
     assert!(moved >= 45, "{moved} moved");
@@ -199,27 +199,27 @@
 }
 
 /// Any fault of a run of three cells, and the step at which it begins.
-fn trouble() -> impl Strategy<Value = (u32, CellTrouble)> {
+fn fault() -> impl Strategy<Value = (u32, CellFault)> {
     let within = prop_oneof![
-        (1u32..60).prop_map(|s| at_leader(Trouble::Crash(0, s))),
-        (1u32..60).prop_map(Trouble::CrashAll),
-        (5u32..90).prop_map(|s| at_leader(Trouble::Freeze(0, s))),
-        (10u32..100).prop_map(Trouble::StoreDown),
-        (10u32..100).prop_map(|s| at_leader(Trouble::StoreRefuses(0, s))),
-        (10u32..150).prop_map(Trouble::AnswersLost),
-        (10u32..150).prop_map(Trouble::AnswersLate),
-        (10u32..150).prop_map(Trouble::LateWrites),
-        (10u32..100).prop_map(Trouble::StoreSlow),
-        (10u32..100).prop_map(Trouble::CloudDown),
-        (10u32..100).prop_map(|s| at_leader(Trouble::Isolated(0, s))),
-        (0usize..4).prop_map(Trouble::MachineDies),
-        (1usize..6).prop_map(Trouble::CancelNow),
+        (1u32..60).prop_map(|s| at_leader(Fault::Crash(0, s))),
+        (1u32..60).prop_map(Fault::CrashAll),
+        (5u32..90).prop_map(|s| at_leader(Fault::Pause(0, s))),
+        (10u32..100).prop_map(Fault::StoreDown),
+        (10u32..100).prop_map(|s| at_leader(Fault::StoreRefuses(0, s))),
+        (10u32..150).prop_map(Fault::AnswersLost),
+        (10u32..150).prop_map(Fault::AnswersLate),
+        (10u32..150).prop_map(Fault::LateWrites),
+        (10u32..100).prop_map(Fault::StoreSlow),
+        (10u32..100).prop_map(Fault::CloudDown),
+        (10u32..100).prop_map(|s| at_leader(Fault::CutFromStoreAndPeers(0, s))),
+        (0usize..4).prop_map(Fault::MachineFails),
+        (1usize..6).prop_map(Fault::CancelNow),
     ];
     let kind = prop_oneof![
-        3 => (0usize..3, within).prop_map(|(cell, trouble)| CellTrouble::Within(cell, trouble)),
+        3 => (0usize..3, within).prop_map(|(cell, fault)| CellFault::Within(cell, fault)),
         1 => (0usize..3, 1usize..3, 20u32..200)
-            .prop_map(|(from, next, s)| CellTrouble::Cut(from, (from + next) % 3, s)),
-        1 => (0usize..3, 5u32..200).prop_map(|(cell, s)| CellTrouble::CellGone(cell, s)),
+            .prop_map(|(from, next, s)| CellFault::Cut(from, (from + next) % 3, s)),
+        1 => (0usize..3, 5u32..200).prop_map(|(cell, s)| CellFault::CellGone(cell, s)),
     ];
     (50u32..450, kind)
 }
@@ -240,7 +240,7 @@
         paces in proptest::collection::vec(8u32..60, 3),
         patience in 1u32..6,
         cancels in any::<bool>(),
-        troubles in proptest::collection::vec(trouble(), 0..8),
+        faults in proptest::collection::vec(fault(), 0..8),
     ) {
         let plan = Plan {
             seed,
@@ -248,7 +248,7 @@
             paces,
             patience_s: f64::from(patience),
             cancels,
-            troubles,
+            faults,
             ..Plan::one_full(seed)
         };
         let mut fleet = FleetOfCells::new(&plan);
--- a/crates/rehearsal/tests/cells_ends.rs
+++ b/crates/rehearsal/tests/cells_ends.rs
@@ -2,9 +2,9 @@
 //! The aim: within three exchange intervals after the state is durable in the target, while links
 //! are up and leaders live, as far as the write rate of the home cell's state service allows.
 
-use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, MovedEnd, Plan};
+use marblebarrow_rehearsal::fleet_of_cells::{CellFault, FleetOfCells, MovedEnd, Plan};
 use marblebarrow_rehearsal::sweep::sweep;
-use marblebarrow_rehearsal::world::{StoreLimits, Trouble};
+use marblebarrow_rehearsal::world::{Fault, StoreLimits};
 
 /// Three exchange intervals of 1 s, in steps.
 const THREE_INTERVALS_STEPS: u32 = 30;
@@ -104,8 +104,8 @@
 #[test]
 fn sweep_targets_report_ends_to_a_home_that_cannot_ask() {
     sweep("home_cannot_ask", &[0, 1], |seed| {
-        let cut = (CUT_AT, CellTrouble::Cut(0, 2, CUT_STEPS));
-        let fleet = play(&Plan { troubles: vec![cut], ..thousand_jobs(seed) }, 50)?;
+        let cut = (CUT_AT, CellFault::Cut(0, 2, CUT_STEPS));
+        let fleet = play(&Plan { faults: vec![cut], ..thousand_jobs(seed) }, 50)?;
         // The answers to the target's calls are cut off too, so each call takes its full timeout,
         // and the three controllers of the home cell are tried in turn.
         check_ends(&fleet, CONTROLLERS * CALL_TIMEOUT_STEPS)
@@ -117,10 +117,10 @@
 #[test]
 fn sweep_ends_of_an_unreachable_cell_are_known_soon_after_its_cut() {
     sweep("silent_cell_ends", &[0, 1], |seed| {
-        let from_target = (CUT_AT, CellTrouble::Cut(2, 0, CUT_STEPS));
-        let to_target = (CUT_AT, CellTrouble::Cut(0, 2, CUT_STEPS));
-        let troubles = if seed % 2 == 0 { vec![from_target, to_target] } else { vec![from_target] };
-        let fleet = play(&Plan { troubles, ..thousand_jobs(seed) }, 50)?;
+        let from_target = (CUT_AT, CellFault::Cut(2, 0, CUT_STEPS));
+        let to_target = (CUT_AT, CellFault::Cut(0, 2, CUT_STEPS));
+        let faults = if seed % 2 == 0 { vec![from_target, to_target] } else { vec![from_target] };
+        let fleet = play(&Plan { faults, ..thousand_jobs(seed) }, 50)?;
         let restored = CUT_AT + CUT_STEPS;
         let ends: Vec<MovedEnd> = fleet.moved_ends(0).map(|(_, end)| *end).collect();
         let ends: Vec<MovedEnd> = ends
@@ -156,17 +156,17 @@
 #[test]
 fn sweep_ends_survive_failovers_and_faulty_links() {
     sweep("ends_and_leaders", &[0, 1, 2, 3], |seed| {
-        let at_leader = |trouble| Trouble::AtLeader(Box::new(trouble));
+        let at_leader = |fault| Fault::OnLeader(Box::new(fault));
         let fault = match seed % 4 {
-            0 => CellTrouble::Within(0, at_leader(Trouble::Crash(0, 100))),
-            1 => CellTrouble::Within(2, at_leader(Trouble::Crash(0, 100))),
-            2 => CellTrouble::Within(2, at_leader(Trouble::Freeze(0, 70))),
-            _ => CellTrouble::Within(2, Trouble::StoreSlow(100)),
+            0 => CellFault::Within(0, at_leader(Fault::Crash(0, 100))),
+            1 => CellFault::Within(2, at_leader(Fault::Crash(0, 100))),
+            2 => CellFault::Within(2, at_leader(Fault::Pause(0, 70))),
+            _ => CellFault::Within(2, Fault::StoreSlow(100)),
         };
         let begins = CUT_AT + 30 + (seed as u32 * 7) % 200;
-        let cut = (CUT_AT, CellTrouble::Cut(0, 2, CUT_STEPS));
-        let troubles = vec![cut, (begins, fault)];
-        let plan = Plan { troubles, faultless_links: seed % 8 >= 4, ..thousand_jobs(seed) };
+        let cut = (CUT_AT, CellFault::Cut(0, 2, CUT_STEPS));
+        let faults = vec![cut, (begins, fault)];
+        let plan = Plan { faults, faultless_links: seed % 8 >= 4, ..thousand_jobs(seed) };
         let fleet = play(&plan, 50)?;
         let after = CUT_AT + CUT_STEPS + FAILOVER_STEPS + OFFER_RETRY_MOST_STEPS;
         let open = fleet.moved_ends(0).filter(|(_, end)| {
--- a/crates/rehearsal/tests/cells_moments.rs
+++ b/crates/rehearsal/tests/cells_moments.rs
@@ -2,9 +2,9 @@
 //! at any step of a transfer. Each job that another cell has room for must start soon, and each
 //! final state must become known in the home cell.
 
-use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, Plan};
+use marblebarrow_rehearsal::fleet_of_cells::{CellFault, FleetOfCells, Plan};
 use marblebarrow_rehearsal::sweep::sweep;
-use marblebarrow_rehearsal::world::Trouble;
+use marblebarrow_rehearsal::world::Fault;
 
 /// Steps within which a job starts that no fault affects: the time before its home cell offers it,
 /// and about 20 s for refusals, boots and image fetches.
@@ -12,7 +12,7 @@
 /// Upper bound of the steps of a failover and a worker's lease together.
 const FAILOVER_STEPS: u32 = 200;
 /// Longest suspension of a leader, in steps: 15 s.
-const FREEZE_MOST_STEPS: u32 = 150;
+const PAUSE_MAX_STEPS: u32 = 150;
 /// Heartbeat interval and lease of workers, in seconds. The leases are short enough to expire while
 /// a leader is replaced.
 const SHORT_LEASES: (f64, f64) = (1.0, 4.0);
@@ -22,44 +22,44 @@
 const FAULTS_SPREAD: u32 = 250;
 
 /// A service fills the home cell. Two other cells have room for all of its other jobs.
-fn home_filled(seed: u64, troubles: Vec<(u32, CellTrouble)>) -> Plan {
+fn home_filled(seed: u64, faults: Vec<(u32, CellFault)>) -> Plan {
     Plan {
         machines: vec![2, 12, 12],
         paces: vec![2, 0, 0],
         until: 400,
         patience_s: 1.0,
         filled: true,
-        troubles,
+        faults,
         ..Plan::one_full(seed)
     }
 }
 
 /// Faults of the home cell or of a target, by seed.
-fn faults(seed: u64) -> Vec<(u32, CellTrouble)> {
+fn faults(seed: u64) -> Vec<(u32, CellFault)> {
     let at = FIRST_FAULT + (seed as u32 * 37) % FAULTS_SPREAD;
-    let freeze = 10 + (seed as u32 * 11) % (FREEZE_MOST_STEPS - 10);
-    let at_leader = |trouble| Trouble::AtLeader(Box::new(trouble));
-    let home = |trouble| CellTrouble::Within(0, trouble);
+    let pause = 10 + (seed as u32 * 11) % (PAUSE_MAX_STEPS - 10);
+    let at_leader = |fault| Fault::OnLeader(Box::new(fault));
+    let home = |fault| CellFault::Within(0, fault);
     match seed % 6 {
         // Two crashes within a second.
         0 => vec![
-            (at, home(at_leader(Trouble::Crash(0, 100)))),
-            (at + 7, home(at_leader(Trouble::Crash(0, 100)))),
+            (at, home(at_leader(Fault::Crash(0, 100)))),
+            (at + 7, home(at_leader(Fault::Crash(0, 100)))),
         ],
         // A controller that is restarted at once.
-        1 => vec![(at, home(at_leader(Trouble::Crash(0, 2))))],
-        2 => vec![(at, home(at_leader(Trouble::Freeze(0, freeze))))],
-        3 => vec![(at, CellTrouble::Within(1, at_leader(Trouble::Freeze(0, freeze))))],
+        1 => vec![(at, home(at_leader(Fault::Crash(0, 2))))],
+        2 => vec![(at, home(at_leader(Fault::Pause(0, pause))))],
+        3 => vec![(at, CellFault::Within(1, at_leader(Fault::Pause(0, pause))))],
         // All controllers of the home cell crash, and its machines are unreachable for 5 s.
         4 => vec![
-            (at, home(Trouble::CrashAll(freeze))),
-            (at, home(Trouble::MachineCut(0, 50))),
-            (at, home(Trouble::MachineCut(1, 50))),
+            (at, home(Fault::CrashAll(pause))),
+            (at, home(Fault::MachinePartitioned(0, 50))),
+            (at, home(Fault::MachinePartitioned(1, 50))),
         ],
         _ => vec![
-            (at, home(at_leader(Trouble::Freeze(0, freeze)))),
-            (at + 3, home(Trouble::MachineReborn(0))),
-            (at + 5, CellTrouble::Within(2, at_leader(Trouble::Crash(0, 100)))),
+            (at, home(at_leader(Fault::Pause(0, pause)))),
+            (at + 3, home(Fault::AgentRestarts(0))),
+            (at + 5, CellFault::Within(2, at_leader(Fault::Crash(0, 100)))),
         ],
     }
 }
@@ -77,7 +77,7 @@
         if !fleet.broken.is_empty() {
             return Err(format!("{:?}", fleet.broken));
         }
-        let bound = BEGINS_WITHIN_STEPS + FAILOVER_STEPS + FREEZE_MOST_STEPS;
+        let bound = BEGINS_WITHIN_STEPS + FAILOVER_STEPS + PAUSE_MAX_STEPS;
         let late = fleet.waits(0).into_iter().filter(|wait| *wait > bound).count();
         let unknown = fleet.moved_ends(0).filter(|(_, end)| end.at_home.is_none()).count();
         if late + unknown == 0 {
--- a/crates/rehearsal/tests/cells_sweeps.rs
+++ b/crates/rehearsal/tests/cells_sweeps.rs
@@ -1,9 +1,9 @@
 //! Sweeps over seeds of a full home cell: each job that another cell has room for must start soon.
 //! See [`marblebarrow_rehearsal::sweep`].
 
-use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, Plan};
+use marblebarrow_rehearsal::fleet_of_cells::{CellFault, FleetOfCells, Plan};
 use marblebarrow_rehearsal::sweep::sweep;
-use marblebarrow_rehearsal::world::Trouble;
+use marblebarrow_rehearsal::world::Fault;
 
 /// Steps within which a job starts that no fault affects: the time before its home cell offers it,
 /// and about 20 s for refusals, boots and image fetches.
@@ -53,8 +53,8 @@
 
 /// Runs a home cell that can't reach one of the other cells.
 fn check_unreachable_cell(seed: u64, cut_steps: u32) -> Result<(), String> {
-    let cut = (150, CellTrouble::Cut(0, 2, cut_steps));
-    let plan = Plan { troubles: vec![cut], ..home_filled(seed) };
+    let cut = (150, CellFault::Cut(0, 2, cut_steps));
+    let plan = Plan { faults: vec![cut], ..home_filled(seed) };
     let mut fleet = FleetOfCells::new(&plan);
     play(&mut fleet, &plan)?;
     // Jobs that the unreachable cell may have accepted wait for it: as many as may be in doubt with
@@ -121,13 +121,13 @@
 const SHORT_LEASES: (f64, f64) = (1.0, 4.0);
 
 /// Faults that end the home cell's leader, and with it the leases or tasks of some of its workers.
-fn failover(seed: u64) -> Vec<Trouble> {
-    let at_leader = |trouble| Trouble::AtLeader(Box::new(trouble));
+fn failover(seed: u64) -> Vec<Fault> {
+    let at_leader = |fault| Fault::OnLeader(Box::new(fault));
     match seed % 4 {
-        0 => vec![at_leader(Trouble::Crash(0, 100)), Trouble::MachineReborn(0)],
-        1 => vec![Trouble::CrashAll(100)],
-        2 => vec![at_leader(Trouble::Freeze(0, 70)), Trouble::MachineReborn(1)],
-        _ => vec![at_leader(Trouble::Crash(0, 100)), Trouble::MachineCut(0, 100)],
+        0 => vec![at_leader(Fault::Crash(0, 100)), Fault::AgentRestarts(0)],
+        1 => vec![Fault::CrashAll(100)],
+        2 => vec![at_leader(Fault::Pause(0, 70)), Fault::AgentRestarts(1)],
+        _ => vec![at_leader(Fault::Crash(0, 100)), Fault::MachinePartitioned(0, 100)],
     }
 }
 
@@ -140,8 +140,8 @@
     sweep("left_behind", &[14, 20, 29, 66], |seed| {
         let begins = 150 + (seed as u32 * 7) % 120;
         let faults = failover(seed).into_iter();
-        let troubles = faults.map(|trouble| (begins, CellTrouble::Within(0, trouble))).collect();
-        let plan = Plan { troubles, ..home_filled(seed) };
+        let faults = faults.map(|fault| (begins, CellFault::Within(0, fault))).collect();
+        let plan = Plan { faults, ..home_filled(seed) };
         let mut fleet = FleetOfCells::new(&plan);
         fleet.cells.iter_mut().for_each(|cell| cell.beat = SHORT_LEASES);
         play(&mut fleet, &plan)?;
