--- a/crates/core/tests/cluster/fault_combinations.rs
+++ b/crates/core/tests/cluster/fault_combinations.rs
@@ -19,12 +19,21 @@
         let shift = (seed % 4) as u32 * 17;
         let shifted_faults = faults.iter().map(|(at, t)| (at + shift, t.clone())).collect();
         let mut world = World::new(seed, shifted_faults);
-        (world.gaps, world.width, world.pace, world.odd) = (true, 3, (16, 500), true);
+        (
+            world.staggered_tasks,
+            world.max_tasks,
+            world.submission_interval_and_end,
+            world.submit_unrunnable_jobs,
+        ) = (true, 3, (16, 500), true);
         configure(&mut world);
         world.run(1_900);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {faults:?}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed} {faults:?}");
         assert!(world.starts > 40, "seed {seed}: only {} starts", world.starts);
-        assert!(world.met.odd > 10, "seed {seed}: {} odd requests", world.met.odd);
+        assert!(
+            world.observed.unrunnable_refused > 10,
+            "seed {seed}: {} unrunnable jobs refused",
+            world.observed.unrunnable_refused
+        );
         total += occurrences(&world);
     }
     assert!(total >= min_total, "the faults coincided only {total} times");
@@ -33,7 +42,7 @@
 fn no_setup(_: &mut World) {}
 
 fn cancelled_between(world: &World, from: u32, to: u32) -> usize {
-    let cancelled = world.met.cancelled.iter().filter(|(at, _)| (from..to + 51).contains(at));
+    let cancelled = world.observed.cancelled.iter().filter(|(at, _)| (from..to + 51).contains(at));
     cancelled.count()
 }
 
@@ -50,7 +59,7 @@
             (430, Fault::CancelNow(3)),
         ],
         no_setup,
-        |w| w.met.cancelled_apart as usize,
+        |w| w.observed.cancelled_unreachable as usize,
         12,
     );
 }
@@ -87,7 +96,7 @@
             (430, Fault::CancelNow(2)),
         ],
         no_setup,
-        |w| cancelled_between(w, 199, 250).min(w.met.changes_of_leader.len() * 10),
+        |w| cancelled_between(w, 199, 250).min(w.observed.changes_of_leader.len() * 10),
         24,
     );
 }
@@ -104,8 +113,8 @@
             (270, Fault::CancelNow(6)),
             (280, Fault::PollStorm(40)),
         ],
-        |w| (w.pace, w.gap_s) = ((8, 360), 4.0),
-        |w| w.met.changes_of_leader.len(),
+        |w| (w.submission_interval_and_end, w.stagger_s) = ((8, 360), 4.0),
+        |w| w.observed.changes_of_leader.len(),
         12,
     );
 }
@@ -124,7 +133,7 @@
             (530, Fault::CancelNow(2)),
         ],
         no_setup,
-        |w| cancelled_between(w, 200, 220).min(w.met.looks as usize),
+        |w| cancelled_between(w, 200, 220).min(w.observed.close_polls as usize),
         6,
     );
 }
@@ -147,8 +156,8 @@
     }
     run_and_count(
         &faults,
-        |w| (w.pace, w.gap_s) = ((10, 420), 4.0),
-        |w| (w.met.cancelled_apart.min(4) + w.met.changes_at_limit) as usize,
+        |w| (w.submission_interval_and_end, w.stagger_s) = ((10, 420), 4.0),
+        |w| (w.observed.cancelled_unreachable.min(4) + w.observed.changes_at_limit) as usize,
         24,
     );
 }
@@ -161,7 +170,7 @@
     run_and_count(
         &[(1, Fault::ClosePolling(900)), (1, Fault::CancelAtEnd(900))],
         no_setup,
-        |w| w.met.cancelled_at_end as usize * usize::from(w.met.looks > 40),
+        |w| w.observed.cancelled_at_end as usize * usize::from(w.observed.close_polls > 40),
         80,
     );
 }
@@ -180,7 +189,7 @@
             (330, at_leader(Fault::StoreRefuses(0, 60))),
         ],
         no_setup,
-        |w| w.met.answers_lost.min(w.met.looks) as usize,
+        |w| w.observed.answers_lost.min(w.observed.close_polls) as usize,
         400,
     );
 }
@@ -196,7 +205,7 @@
             (440, Fault::CrashAll(100)),
         ],
         no_setup,
-        |w| w.lapses as usize,
+        |w| w.expired_leases as usize,
         24,
     );
 }
@@ -214,7 +223,7 @@
             (410, Fault::CancelNow(4)),
         ],
         no_setup,
-        |w| w.met.mute_orders as usize,
+        |w| w.observed.one_way_commands as usize,
         40,
     );
 }
@@ -233,8 +242,8 @@
             (310, Fault::CancelNow(4)),
             (350, Fault::AgentRestarts(1)),
         ],
-        |w| w.zoned = true,
-        |w| w.met.zoned_starts as usize,
+        |w| w.zone_bound_jobs = true,
+        |w| w.observed.zoned_starts as usize,
         60,
     );
 }
@@ -251,8 +260,8 @@
     faults.push((900, Fault::StoreDown(90)));
     run_and_count(
         &faults,
-        |w| (w.pace, w.width) = ((16, 500), 2),
-        |w| w.met.changes_of_leader.len(),
+        |w| (w.submission_interval_and_end, w.max_tasks) = ((16, 500), 2),
+        |w| w.observed.changes_of_leader.len(),
         80,
     );
 }
@@ -271,7 +280,7 @@
             (500, at_leader(Fault::Crash(0, 4))),
         ],
         no_setup,
-        |w| w.met.kept as usize,
+        |w| w.observed.held_heartbeats as usize,
         120,
     );
 }
@@ -287,10 +296,15 @@
             (600, Fault::AnswersLost(100)),
         ],
         |w| {
-            (w.pace, w.width, w.gaps, w.quarter) = ((3, 1_200), 1, false, true);
+            (
+                w.submission_interval_and_end,
+                w.max_tasks,
+                w.staggered_tasks,
+                w.cancel_every_fourth,
+            ) = ((3, 1_200), 1, false, true);
             (w.size, w.no_services) = ((30, 100.0), true);
         },
-        |w| w.met.cancelled.len(),
+        |w| w.observed.cancelled.len(),
         200,
     );
 }
@@ -308,8 +322,8 @@
             (180, at_leader(Fault::Crash(0, 3))),
             (250, Fault::CancelNow(4)),
         ],
-        |w| (w.pace, w.size) = ((10, 400), (24, 40.0)),
-        |w| w.met.changes_of_leader.len(),
+        |w| (w.submission_interval_and_end, w.size) = ((10, 400), (24, 40.0)),
+        |w| w.observed.changes_of_leader.len(),
         20,
     );
 }
@@ -326,7 +340,8 @@
         (417, Fault::CancelNow(2)),
     ];
     let mut world = World::new(8_195_287_890_673_818_304, faults);
-    (world.gaps, world.zoned, world.odd, world.width) = (true, true, true, 3);
+    (world.staggered_tasks, world.zone_bound_jobs, world.submit_unrunnable_jobs, world.max_tasks) =
+        (true, true, true, 3);
     world.run(1_700);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
 }
--- a/crates/core/tests/cluster/gap.rs
+++ b/crates/core/tests/cluster/gap.rs
@@ -16,7 +16,8 @@
         faults.push((at + outage_delay, Fault::StoreDown(300)));
     }
     let mut world = World::new(seed, faults);
-    (world.gaps, world.width, world.pace) = (true, 3, (18, 640));
+    (world.staggered_tasks, world.max_tasks, world.submission_interval_and_end) =
+        (true, 3, (18, 640));
     world
 }
 
@@ -31,23 +32,26 @@
             let mut world = cancellations_before_outage(seed, outage_delay);
             world.run(2_000);
             assert_eq!(
-                world.broken,
+                world.violations,
                 Vec::<String>::new(),
                 "seed {seed}, outage after {outage_delay} steps"
             );
             let within = |at: u32, from: u32| (from..from + outage_delay).contains(&at);
             let in_gap = |&&(at, _): &&(u32, usize)| within(at, 200) || within(at, 560);
-            let confirmed = world.met.cancelled.iter().filter(in_gap).count();
+            let confirmed = world.observed.cancelled.iter().filter(in_gap).count();
             // Counts only runs with the same leader throughout: the lease of its key expired
             // neither within the fault window nor before the outage, during which no other
             // controller could be elected.
-            let changes = &world.met.changes_of_leader;
+            let changes = &world.observed.changes_of_leader;
             let in_fault_window = |at: &u32| (200..500).contains(at) || (560..860).contains(at);
-            let leader_kept =
-                !changes.iter().any(in_fault_window) && world.met.outages_without_leader.is_empty();
+            let leader_kept = !changes.iter().any(in_fault_window)
+                && world.observed.outages_without_leader.is_empty();
             if confirmed > 0 && leader_kept {
                 occurrences += 1;
-                assert_eq!(world.lapses, 0, "seed {seed}, outage after {outage_delay} steps");
+                assert_eq!(
+                    world.expired_leases, 0,
+                    "seed {seed}, outage after {outage_delay} steps"
+                );
             }
         }
     }
@@ -66,13 +70,15 @@
             (230, Fault::CancelNow(5)),
         ];
         let mut world = World::new(seed, faults);
-        (world.gaps, world.width, world.pace) = (true, 2, (18, 400));
-        world.gap_s = 45.0;
+        (world.staggered_tasks, world.max_tasks, world.submission_interval_and_end) =
+            (true, 2, (18, 400));
+        world.stagger_s = 45.0;
         world.run(2_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
-        occurrences += world.met.cancelled.iter().filter(|(at, _)| (203..260).contains(at)).count();
-        assert!(!world.met.changes_of_leader.is_empty(), "seed {seed}");
-        assert_eq!(world.lapses, 0, "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
+        occurrences +=
+            world.observed.cancelled.iter().filter(|(at, _)| (203..260).contains(at)).count();
+        assert!(!world.observed.changes_of_leader.is_empty(), "seed {seed}");
+        assert_eq!(world.expired_leases, 0, "seed {seed}");
     }
     assert!(occurrences >= 24, "only {occurrences} cancellations while the watch was stuck");
 }
--- a/crates/core/tests/cluster/generated_faults.rs
+++ b/crates/core/tests/cluster/generated_faults.rs
@@ -1,7 +1,7 @@
 //! Property tests with faults of generated kinds and times; the simulation checks all its rules.
 
 use crate::at_leader;
-use marblebarrow_rehearsal::world::{Fault, Held, World};
+use marblebarrow_rehearsal::world::{Fault, HoldPlan, World};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -38,8 +38,11 @@
 /// cancellation may take.
 fn held_commands() -> impl Strategy<Value = Fault> {
     let kind = (2u32..12, 1u32..300, 1u32..700, any::<bool>(), 1u32..400);
-    kind.prop_map(|(one_in, least, more, called_off, steps)| {
-        Fault::HeldCommands(Held { one_in, least, most: least + more, called_off }, steps)
+    kind.prop_map(|(one_in, min_steps, more, cancelled, steps)| {
+        Fault::HeldCommands(
+            HoldPlan { one_in, min_steps, max_steps: min_steps + more, cancelled },
+            steps,
+        )
     })
 }
 
@@ -56,14 +59,15 @@
     fn rules_hold_under_generated_faults(
         seed in any::<u64>(),
         faults in proptest::collection::vec(fault(), 0..7),
-        gaps in any::<bool>(),
-        mistaken in proptest::option::of(2u32..9),
+        staggered_tasks in any::<bool>(),
+        failing_job_interval in proptest::option::of(2u32..9),
     ) {
         let mut world = World::new(seed, faults);
-        (world.gaps, world.mistaken) = (gaps, mistaken);
-        world.width = if gaps { 3 } else { 6 };
+        (world.staggered_tasks, world.failing_job_interval) =
+            (staggered_tasks, failing_job_interval);
+        world.max_tasks = if staggered_tasks { 3 } else { 6 };
         world.run(1_600);
-        prop_assert_eq!(world.broken.clone(), Vec::<String>::new());
+        prop_assert_eq!(world.violations.clone(), Vec::<String>::new());
     }
 }
 
@@ -102,13 +106,14 @@
         seed in any::<u64>(),
         rarer in proptest::collection::vec(rarer_fault(), 1..6),
         other_faults in proptest::collection::vec(fault(), 0..4),
-        gaps in any::<bool>(),
-        zoned in any::<bool>(),
+        staggered_tasks in any::<bool>(),
+        zone_bound_jobs in any::<bool>(),
     ) {
         let mut world = World::new(seed, rarer.into_iter().chain(other_faults).collect());
-        (world.gaps, world.zoned, world.odd) = (gaps, zoned, true);
-        world.width = if gaps { 3 } else { 6 };
+        (world.staggered_tasks, world.zone_bound_jobs, world.submit_unrunnable_jobs) =
+            (staggered_tasks, zone_bound_jobs, true);
+        world.max_tasks = if staggered_tasks { 3 } else { 6 };
         world.run(1_700);
-        prop_assert_eq!(world.broken.clone(), Vec::<String>::new());
+        prop_assert_eq!(world.violations.clone(), Vec::<String>::new());
     }
 }
--- a/crates/core/tests/cluster/held_commands.rs
+++ b/crates/core/tests/cluster/held_commands.rs
@@ -2,23 +2,23 @@
 //! other messages to and from their machines are delivered. The leader must raise the fencing
 //! token of a machine before an unanswered start can be executed too late.
 
-use marblebarrow_rehearsal::held_commands::{HELD, day, leaders_end, outage};
-use marblebarrow_rehearsal::world::{Fault, Met, World};
+use marblebarrow_rehearsal::held_commands::{HELD, held_commands_world, leader_crashes, outage};
+use marblebarrow_rehearsal::world::{Fault, Observations, World};
 
 /// Runs the workload with held commands for 12 seeds and sums what `occurrences` counts.
 fn sum_over_seeds(other_faults: &[(u32, Fault)], occurrences: impl Fn(&World) -> u32) -> u32 {
     let run_seed = |seed| {
-        let mut world = day(seed, HELD, other_faults);
+        let mut world = held_commands_world(seed, HELD, other_faults);
         world.run(2_200);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert!(world.starts > 60, "seed {seed}: only {} starts", world.starts);
         occurrences(&world)
     };
     (0..12).map(run_seed).sum()
 }
 
-fn run_and_count(other_faults: &[(u32, Fault)], occurrences: impl Fn(&Met) -> u32) -> u32 {
-    sum_over_seeds(other_faults, |world| occurrences(&world.met))
+fn run_and_count(other_faults: &[(u32, Fault)], occurrences: impl Fn(&Observations) -> u32) -> u32 {
+    sum_over_seeds(other_faults, |world| occurrences(&world.observed))
 }
 
 fn count_logged(world: &World, event: &str) -> u32 {
@@ -29,7 +29,7 @@
 /// messages are delivered, and the start arrives after the job's tasks had to be gone.
 #[test]
 fn a_start_held_past_its_cancellation_is_not_executed() {
-    let total = run_and_count(&[], |met| met.starts_past_cancellation);
+    let total = run_and_count(&[], |observed| observed.starts_past_cancellation);
     assert!(total >= 24, "only {total} starts arrived after their job's tasks had to be gone");
 }
 
@@ -37,7 +37,7 @@
 #[test]
 fn raising_the_token_ends_no_agent_epoch() {
     let raised = sum_over_seeds(&[], |world| {
-        assert_eq!(world.lapses, 0);
+        assert_eq!(world.expired_leases, 0);
         count_logged(world, "event=token_raised ")
     });
     assert!(raised >= 24, "{raised} tokens raised");
@@ -61,7 +61,7 @@
 /// A new leader has a higher fencing token than any used before, and no token is used twice.
 #[test]
 fn no_two_leaders_ever_have_the_same_token() {
-    let raised = sum_over_seeds(&leaders_end(), |world| {
+    let raised = sum_over_seeds(&leader_crashes(), |world| {
         let tokens = tokens(world);
         for (i, (elected, token)) in tokens.iter().enumerate() {
             let earlier = || tokens[..i].iter().map(|(_, token)| token);
@@ -76,10 +76,10 @@
 /// Held starts while leaders crash, also when they restart within a second.
 #[test]
 fn held_starts_during_changes_of_leader() {
-    let other_faults = leaders_end();
-    let changes = run_and_count(&other_faults, |met| met.changes_of_leader.len() as u32);
+    let other_faults = leader_crashes();
+    let changes = run_and_count(&other_faults, |observed| observed.changes_of_leader.len() as u32);
     assert!(changes >= 48, "{changes} changes of leader");
-    let total = run_and_count(&other_faults, |met| met.starts_past_cancellation);
+    let total = run_and_count(&other_faults, |observed| observed.starts_past_cancellation);
     assert!(total >= 18, "only {total} starts arrived after their job's tasks had to be gone");
 }
 
@@ -88,7 +88,7 @@
 /// heartbeat answers.
 #[test]
 fn held_starts_during_a_store_outage() {
-    let total = run_and_count(&outage(), |met| met.starts_past_cancellation);
+    let total = run_and_count(&outage(), |observed| observed.starts_past_cancellation);
     assert!(total >= 12, "only {total} starts arrived after their job's tasks had to be gone");
 }
 
@@ -103,9 +103,9 @@
         (330, Fault::MachineReachesNoController(3, 40)),
         (400, Fault::MachineHangs(0, 120)),
     ];
-    let unreceived = run_and_count(&other_faults, |met| met.unheard);
+    let unreceived = run_and_count(&other_faults, |observed| observed.undelivered_answers);
     assert!(unreceived >= 12, "only {unreceived} answers failed to reach their machine");
-    let total = run_and_count(&other_faults, |met| met.starts_past_cancellation);
+    let total = run_and_count(&other_faults, |observed| observed.starts_past_cancellation);
     assert!(total >= 12, "only {total} starts arrived after their job's tasks had to be gone");
 }
 
@@ -113,6 +113,6 @@
 /// heartbeat, and nothing is started twice.
 #[test]
 fn answers_held_for_minutes_change_nothing() {
-    let total = run_and_count(&[], |met| met.late_answers);
+    let total = run_and_count(&[], |observed| observed.late_answers);
     assert!(total >= 100, "only {total} answers arrived late");
 }
--- a/crates/core/tests/cluster/large_fleet.rs
+++ b/crates/core/tests/cluster/large_fleet.rs
@@ -21,10 +21,10 @@
     faults.push((LOSS_AT + 1, Fault::CrashAll(5)));
     let mut world = World::new(seed, faults);
     world.size = (MACHINES, 18_000.0);
-    world.beat = (6.0, 31.0);
-    world.page = 200;
+    world.heartbeat_and_lease_s = (6.0, 31.0);
+    world.store_page_keys = 200;
     world.replicas = REPLICAS;
-    world.pace = (4, 190);
+    world.submission_interval_and_end = (4, 190);
     world
 }
 
@@ -34,8 +34,8 @@
 fn four_thousand_machines_lose_a_quarter_in_a_takeover() {
     let mut world = fleet(12);
     world.run(LOSS_AT - 5);
-    assert_eq!(world.broken, Vec::<String>::new());
-    let (up, replicas) = (world.up(), world.serving());
+    assert_eq!(world.violations, Vec::<String>::new());
+    let (up, replicas) = (world.machines_up(), world.serving());
     assert_eq!(replicas, 24 * REPLICAS as usize);
     assert!(up > 3_600, "{up} machines");
     let before = world.store_work;
@@ -44,12 +44,20 @@
     world.run(LOSS_AT + 10);
     assert!(world.serving() < replicas - 2_500, "{} of {replicas}", world.serving());
     world.run(LOSS_AT + 600);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.serving(), replicas);
 
     let after = world.store_work;
-    assert!(world.directs <= 40, "{} direct commands at once", world.directs);
-    assert!(world.changes <= 2 * STORE_RATE, "{} changes in a second", world.changes);
+    assert!(
+        world.max_direct_commands <= 40,
+        "{} direct commands at once",
+        world.max_direct_commands
+    );
+    assert!(
+        world.max_changes_per_second <= 2 * STORE_RATE,
+        "{} changes in a second",
+        world.max_changes_per_second
+    );
     assert!(after.largest_value <= VALUE_LIMIT, "{after:?}");
     assert!(after.largest_transaction <= TRANSACTION_LIMIT, "{after:?}");
     // Only the lost replicas (some 3,600) are started again.
@@ -67,7 +75,7 @@
     // seconds. A former version returned some twenty machines a second for this reason, so that
     // one replica in twenty-five was always missing.
     world.run(LOSS_AT + 800);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.serving(), replicas);
     let quiet = world.store_work.changes - after.changes;
     assert!(quiet < STORE_RATE, "{quiet} changes in twenty quiet seconds");
@@ -86,9 +94,11 @@
 #[test]
 fn four_thousand_machines_and_a_cascade_of_a_thousand_jobs() {
     let mut world = World::new(13, Vec::new());
-    (world.size, world.beat) = ((MACHINES, 18_000.0), (6.0, 31.0));
-    (world.page, world.replicas, world.pace) = (200, REPLICAS, (4, 190));
-    (world.width, world.gaps, world.gap_s, world.poll_every) = (1, true, 100_000.0, 50);
+    (world.size, world.heartbeat_and_lease_s) = ((MACHINES, 18_000.0), (6.0, 31.0));
+    (world.store_page_keys, world.replicas, world.submission_interval_and_end) =
+        (200, REPLICAS, (4, 190));
+    (world.max_tasks, world.staggered_tasks, world.stagger_s, world.poll_every) =
+        (1, true, 100_000.0, 50);
     world.store_limits = Some(StoreLimits {
         requests_per_s: 100.0,
         changes_per_s: 20.0,
@@ -99,24 +109,27 @@
     });
     world.cascade = Some(CascadePlan {
         first: 1_001,
-        followers: DEPENDENTS,
+        dependents: DEPENDENTS,
         depth: 20,
         submit_from: 300,
         per_step: 1,
         cancel_at: CASCADE_AT,
     });
-    world.play(CASCADE_AT - 1);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.advance_to(CASCADE_AT - 1);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.cascade_accepted(), DEPENDENTS as usize + 1);
     let (replicas, before) = (world.serving(), world.store_work);
     assert_eq!(replicas, 24 * REPLICAS as usize);
 
-    world.play(CASCADE_AT + 400);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.advance_to(CASCADE_AT + 400);
+    assert_eq!(world.violations, Vec::<String>::new());
     let times = world.cascade_times().expect("the root is cancelled");
     let changes = world.store_work.changes - before.changes;
-    println!("{times:?}; {changes} changes in 40 s, {} in the busiest second", world.changes);
-    println!("{} refusals, {} ends", world.met.store_refusals, world.ends());
+    println!(
+        "{times:?}; {changes} changes in 40 s, {} in the busiest second",
+        world.max_changes_per_second
+    );
+    println!("{} refusals, {} ends", world.observed.store_refusals, world.recorded_ends());
     assert_eq!(times.jobs, DEPENDENTS as usize);
     assert!(times.max_s < CANCEL_S, "{times:?}");
     assert_eq!(world.serving(), replicas);
--- a/crates/core/tests/cluster/named_fault_combinations.rs
+++ b/crates/core/tests/cluster/named_fault_combinations.rs
@@ -1,28 +1,33 @@
 //! Combinations of faults that the operators have listed, each run with several seeds.
 
 use crate::at_leader;
-use marblebarrow_rehearsal::world::{Fault, Met, World};
+use marblebarrow_rehearsal::world::{Fault, Observations, World};
 
 /// Runs a combination of faults for 12 seeds, at the given times or some seconds later, with
 /// jobs whose tasks end far apart and many cancellations. `occurrences` counts after each run how
 /// often the faults took effect, which must be at least `min_total` in all runs together.
-fn run_and_count(faults: &[(u32, Fault)], occurrences: impl Fn(&Met) -> u32, min_total: u32) {
+fn run_and_count(
+    faults: &[(u32, Fault)],
+    occurrences: impl Fn(&Observations) -> u32,
+    min_total: u32,
+) {
     let mut total = 0;
     for seed in 0..12u64 {
         let shift = (seed % 4) as u32 * 17;
         let shifted_faults = faults.iter().map(|(at, t)| (at + shift, t.clone())).collect();
         let mut world = World::new(seed, shifted_faults);
-        (world.gaps, world.width, world.pace) = (true, 3, (12, 500));
+        (world.staggered_tasks, world.max_tasks, world.submission_interval_and_end) =
+            (true, 3, (12, 500));
         world.run(1_700);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {faults:?}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed} {faults:?}");
         assert!(world.starts > 60, "seed {seed}: only {} starts", world.starts);
-        total += occurrences(&world.met);
+        total += occurrences(&world.observed);
     }
     assert!(total >= min_total, "the faults coincided only {total} times");
 }
 
-fn changes(met: &Met) -> u32 {
-    met.changes_of_leader.len() as u32
+fn changes(observed: &Observations) -> u32 {
+    observed.changes_of_leader.len() as u32
 }
 
 /// Leadership moves between controllers and back, all controllers crash and only one returns,
@@ -54,7 +59,7 @@
             (330, at_leader(Fault::CutFromStoreAndPeers(0, 250))),
             (340, Fault::LateHeartbeatCopies(200)),
         ],
-        |met| changes(met).min(met.cancelled.len() as u32),
+        |observed| changes(observed).min(observed.cancelled.len() as u32),
         24,
     );
 }
@@ -99,7 +104,7 @@
             (320, Fault::MachineReceivesNothing(2, 130)),
             (330, at_leader(Fault::WorkersCut(0, 60))),
         ],
-        |met| met.copies.min(met.unheard * 10),
+        |observed| observed.copies.min(observed.undelivered_answers * 10),
         240,
     );
 }
@@ -123,7 +128,7 @@
             held(335, 2),
             (360, at_leader(Fault::Pause(0, 35))),
         ],
-        |met| met.held_orders,
+        |observed| observed.delayed_commands,
         24,
     );
 }
@@ -139,7 +144,7 @@
             (330, Fault::LateWrites(150)),
             (350, Fault::CrashAll(4)),
         ],
-        |met| met.late_writes,
+        |observed| observed.late_writes,
         120,
     );
 }
@@ -157,7 +162,7 @@
             (215, Fault::MachineReceivesNothing(3, 200)),
             (260, at_leader(Fault::Crash(0, 30))),
         ],
-        |met| met.unheard.min(changes(met) * 10),
+        |observed| observed.undelivered_answers.min(changes(observed) * 10),
         24,
     );
 }
@@ -180,7 +185,7 @@
             (320, Fault::AgentRestarts(2)),
             (340, Fault::CrashAll(2)),
         ],
-        |met| met.late_writes.min(changes(met) * 10),
+        |observed| observed.late_writes.min(changes(observed) * 10),
         60,
     );
 }
--- a/crates/core/tests/cluster/pipelines.rs
+++ b/crates/core/tests/cluster/pipelines.rs
@@ -15,13 +15,14 @@
     let mut cascades = 0;
     for seed in 0..6u64 {
         let mut world = World::new(seed, faults.to_vec());
-        (world.width, world.pace, world.no_services) = (3, (10, 600), true);
+        (world.max_tasks, world.submission_interval_and_end, world.no_services) =
+            (3, (10, 600), true);
         world.pipeline = Some(3);
-        world.quarter = true;
+        world.cancel_every_fourth = true;
         world.run(2_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {faults:?}");
-        dependents_started += world.met.dependents_started;
-        cascades += world.met.cascaded;
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed} {faults:?}");
+        dependents_started += world.observed.dependents_started;
+        cascades += world.observed.cascade_cancelled;
     }
     (dependents_started, cascades)
 }
@@ -55,13 +56,18 @@
 fn a_cascade_whose_answer_was_lost_is_not_retried_forever() {
     for seed in 0..6u64 {
         let mut world = World::new(seed, vec![(20, Fault::AnswersLost(580))]);
-        (world.width, world.pace, world.no_services) = (3, (10, 600), true);
+        (world.max_tasks, world.submission_interval_and_end, world.no_services) =
+            (3, (10, 600), true);
         world.pipeline = Some(3);
-        world.quarter = true;
+        world.cancel_every_fourth = true;
         world.run(2_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
-        assert!(world.met.cascaded > 3, "seed {seed}: {} cascaded", world.met.cascaded);
-        let late = world.met.conflicts.iter().filter(|at| **at > 1_500).count();
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
+        assert!(
+            world.observed.cascade_cancelled > 3,
+            "seed {seed}: {} cascaded",
+            world.observed.cascade_cancelled
+        );
+        let late = world.observed.conflicts.iter().filter(|at| **at > 1_500).count();
         assert!(late < 10, "seed {seed}: {late} transactions refused in the last 50 s");
     }
 }
@@ -75,14 +81,15 @@
     for faults in [vec![], vec![leader_crash(151)], vec![leader_crash(153)]] {
         for seed in 0..4u64 {
             let mut world = World::new(seed, faults.clone());
-            (world.width, world.pace, world.no_services) = (3, (25, 300), true);
-            world.play(150);
+            (world.max_tasks, world.submission_interval_and_end, world.no_services) =
+                (3, (25, 300), true);
+            world.advance_to(150);
             let job = world.accept_after_cancellation();
             world.run(600);
-            assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {faults:?}");
-            let reported = world.told(&job);
+            assert_eq!(world.violations, Vec::<String>::new(), "seed {seed} {faults:?}");
+            let reported = world.last_reported(&job);
             assert!(matches!(reported, Some((Stage::Cancelled, _))), "seed {seed}: {reported:?}");
-            assert!(!world.begun.contains_key(&job), "seed {seed}: the job started");
+            assert!(!world.started_at.contains_key(&job), "seed {seed}: the job started");
         }
     }
 }
@@ -107,12 +114,13 @@
 /// with the smallest limits.
 fn cascade(seed: u64, depth: u32, faults: &[(u32, Fault)]) -> World {
     let mut world = World::new(seed, faults.to_vec());
-    (world.width, world.pace, world.no_services) = (1, (50, 3_000), true);
-    (world.gaps, world.gap_s, world.page) = (true, 100_000.0, 100);
+    (world.max_tasks, world.submission_interval_and_end, world.no_services) =
+        (1, (50, 3_000), true);
+    (world.staggered_tasks, world.stagger_s, world.store_page_keys) = (true, 100_000.0, 100);
     (world.poll_every, world.store_limits) = (50, Some(LIMITS));
     world.cascade = Some(CascadePlan {
         first: 1_001,
-        followers: DEPENDENTS,
+        dependents: DEPENDENTS,
         depth,
         submit_from: 100,
         per_step: 1,
@@ -123,16 +131,22 @@
 
 /// Runs until users have been told of every cancelled job; returns how long that took.
 fn run_until_all_reported(world: &mut World) -> CascadeTimes {
-    world.play(CASCADE_AT - 1);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.advance_to(CASCADE_AT - 1);
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.cascade_accepted(), DEPENDENTS as usize + 1);
     let before = world.store_work.changes;
-    world.play(CASCADE_AT + 400);
-    assert_eq!(world.broken, Vec::<String>::new());
+    world.advance_to(CASCADE_AT + 400);
+    assert_eq!(world.violations, Vec::<String>::new());
     let times = world.cascade_times().expect("the root is cancelled");
-    let (changes, met) = (world.store_work.changes - before, &world.met);
-    println!("{times:?}; {changes} changes in 40 s, {} in the busiest second", world.changes);
-    println!("{} refusals, {} unanswered polls", met.store_refusals, met.cascade_unanswered);
+    let (changes, observed) = (world.store_work.changes - before, &world.observed);
+    println!(
+        "{times:?}; {changes} changes in 40 s, {} in the busiest second",
+        world.max_changes_per_second
+    );
+    println!(
+        "{} refusals, {} unanswered polls",
+        observed.store_refusals, observed.cascade_unanswered
+    );
     assert_eq!(times.jobs, DEPENDENTS as usize);
     assert!(times.max_s < CANCEL_S, "{times:?}");
     times
@@ -147,11 +161,15 @@
     assert!(world.cascade_lists() > 0);
     // The final states are written later, and then the cascade lists are deleted.
     world.run(CASCADE_AT + 7_000);
-    assert_eq!(world.broken, Vec::<String>::new());
-    println!("{} ends, {} refusals", world.ends(), world.met.store_refusals);
+    assert_eq!(world.violations, Vec::<String>::new());
+    println!("{} ends, {} refusals", world.recorded_ends(), world.observed.store_refusals);
     assert_eq!(world.cascade_lists(), 0);
-    assert!(world.ends() > DEPENDENTS as usize);
-    assert!(world.changes <= 2 * LIMITS.changes_per_s as usize, "{} a second", world.changes);
+    assert!(world.recorded_ends() > DEPENDENTS as usize);
+    assert!(
+        world.max_changes_per_second <= 2 * LIMITS.changes_per_s as usize,
+        "{} a second",
+        world.max_changes_per_second
+    );
 }
 
 /// Leaders crash while the cascade lists are written and after that, answers to transactions are
@@ -179,7 +197,7 @@
         if seed == 2 {
             // The last leader continues from the lists that it found in the store.
             world.run(CASCADE_AT + 7_500);
-            assert_eq!(world.broken, Vec::<String>::new());
+            assert_eq!(world.violations, Vec::<String>::new());
             assert_eq!(world.cascade_lists(), 0);
         }
     }
@@ -199,7 +217,11 @@
             ],
         );
         run_until_all_reported(&mut world);
-        assert!(world.met.looks >= DEPENDENTS, "{} looks", world.met.looks);
-        assert!(world.met.cascade_unanswered > 0);
+        assert!(
+            world.observed.close_polls >= DEPENDENTS,
+            "{} close polls",
+            world.observed.close_polls
+        );
+        assert!(world.observed.cascade_unanswered > 0);
     }
 }
--- a/crates/core/tests/cluster/serving_fleets.rs
+++ b/crates/core/tests/cluster/serving_fleets.rs
@@ -8,10 +8,10 @@
 fn serving_fleet(seed: u64, faults: Vec<(u32, Fault)>) -> World {
     let mut world = World::new(seed, faults);
     world.size = (120, 400.0);
-    world.beat = (5.0, 26.5);
-    world.page = 200;
+    world.heartbeat_and_lease_s = (5.0, 26.5);
+    world.store_page_keys = 200;
     world.replicas = 300;
-    world.pace = (4, 8);
+    world.submission_interval_and_end = (4, 8);
     world
 }
 
@@ -28,7 +28,7 @@
         world.run(405);
         assert!(world.serving() <= replicas - 30, "seed {seed}: {}", world.serving());
         world.run(600);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.serving(), replicas, "seed {seed}");
     }
 }
@@ -48,7 +48,7 @@
             world.run(398);
             let (replicas, returned) = (world.serving(), world.returned());
             world.run(540);
-            assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} {cut:?}");
+            assert_eq!(world.violations, Vec::<String>::new(), "seed {seed} {cut:?}");
             assert_eq!(world.serving(), replicas, "seed {seed} {cut:?}");
             let more = world.returned() - returned;
             assert!(more <= 4, "seed {seed} {cut:?}: {more} machines returned");
@@ -67,15 +67,15 @@
     faults.push((401, Fault::CrashAll(5)));
     let mut world = World::new(11, faults);
     world.size = (2_100, 9_000.0);
-    world.beat = (5.0, 26.5);
-    world.page = 200;
+    world.heartbeat_and_lease_s = (5.0, 26.5);
+    world.store_page_keys = 200;
     world.replicas = 300;
-    world.pace = (4, 190);
-    // `play` doesn't check that jobs have ended: the latest ones are still running here. `run`
-    // checks it below.
-    world.play(395);
-    assert_eq!(world.broken, Vec::<String>::new());
-    let (up, replicas) = (world.up(), world.serving());
+    world.submission_interval_and_end = (4, 190);
+    // `advance_to` doesn't check that jobs have ended: the latest ones are still running here.
+    // `run` checks it below.
+    world.advance_to(395);
+    assert_eq!(world.violations, Vec::<String>::new());
+    let (up, replicas) = (world.machines_up(), world.serving());
     assert!(up > 1_500, "{up} machines");
     assert_eq!(replicas, 24 * 300);
     world.run(410);
@@ -83,9 +83,17 @@
     // Time to return the failed machines, boot others, and place and record more than a
     // thousand tasks, with one command in 25 lost for up to 12 s.
     world.run(800);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.serving(), replicas);
-    assert!(world.directs <= 40, "{} direct commands at once", world.directs);
+    assert!(
+        world.max_direct_commands <= 40,
+        "{} direct commands at once",
+        world.max_direct_commands
+    );
     // The store accepts bursts of one second's worth of changes.
-    assert!(world.changes <= 2 * 60, "{} changes in a second", world.changes);
+    assert!(
+        world.max_changes_per_second <= 2 * 60,
+        "{} changes in a second",
+        world.max_changes_per_second
+    );
 }
--- a/crates/core/tests/cluster/store_limits.rs
+++ b/crates/core/tests/cluster/store_limits.rs
@@ -22,7 +22,7 @@
 /// A world with more machines than a value of 1 KiB can hold records of.
 fn lowered_limits_world(seed: u64, announced: bool, faults: &[(u32, Fault)]) -> World {
     let mut world = World::new(seed, faults.to_vec());
-    (world.width, world.replicas, world.pace) = (60, 30, (30, 900));
+    (world.max_tasks, world.replicas, world.submission_interval_and_end) = (60, 30, (30, 900));
     world.size = (200, 800.0);
     world.poll_every = 50;
     world.store_limits = Some(lowered_limits(announced));
@@ -32,10 +32,10 @@
 /// Counts the starts from five seconds after the limits were lowered, when the records have been
 /// split to fit.
 fn starts_after_lowering(world: &mut World) -> u32 {
-    world.play(LOWERED_AT + 50);
+    world.advance_to(LOWERED_AT + 50);
     let before = world.starts;
     world.run(3_000);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     world.starts - before
 }
 
@@ -45,7 +45,7 @@
         let mut world = lowered_limits_world(seed, true, &[]);
         let starts = starts_after_lowering(&mut world);
         assert!(starts > 200, "seed {seed}: {starts} starts");
-        assert_eq!(world.met.rejections, 0, "seed {seed}");
+        assert_eq!(world.observed.rejections, 0, "seed {seed}");
     }
 }
 
@@ -55,7 +55,7 @@
         let mut world = lowered_limits_world(seed, false, &[]);
         let starts = starts_after_lowering(&mut world);
         assert!(starts > 200, "seed {seed}: {starts} starts");
-        let rejections = world.met.rejections;
+        let rejections = world.observed.rejections;
         assert!(rejections > 0, "seed {seed}: no write was rejected as too large");
         assert!(rejections < 40, "seed {seed}: {rejections} writes rejected");
     }
--- a/crates/core/tests/cluster/sweeps.rs
+++ b/crates/core/tests/cluster/sweeps.rs
@@ -6,10 +6,10 @@
 
 /// Checks that no rule was violated.
 fn no_rule_violated(world: &World) -> Result<(), String> {
-    if world.broken.is_empty() {
+    if world.violations.is_empty() {
         Ok(())
     } else {
-        Err(format!("rules violated: {:?}", world.broken))
+        Err(format!("rules violated: {:?}", world.violations))
     }
 }
 
@@ -30,15 +30,16 @@
     let lines =
         world.info.iter().filter(|line| shown_events.iter().any(|event| line.contains(event)));
     let lines: Vec<&str> = lines.map(String::as_str).collect();
-    let lapses: Vec<String> = world.met.lease_lapses.iter().map(ToString::to_string).collect();
-    format!("\n  {}\n  {}", lines.join("\n  "), lapses.join("\n  "))
+    let expiries: Vec<String> =
+        world.observed.lease_expiries.iter().map(ToString::to_string).collect();
+    format!("\n  {}\n  {}", lines.join("\n  "), expiries.join("\n  "))
 }
 
 /// A fleet of sixty machines in which one controller goes down, and then a fault hits the
 /// leader.
 struct OneControllerDown {
     /// Heartbeat interval and lease, seconds.
-    beat: (f64, f64),
+    heartbeat_and_lease_s: (f64, f64),
     /// Fault that hits the leader.
     leader_fault: Fault,
 }
@@ -52,10 +53,10 @@
         ];
         let mut world = World::new(seed, faults);
         world.size = (60, 200.0);
-        world.beat = self.beat;
-        world.page = 200;
+        world.heartbeat_and_lease_s = self.heartbeat_and_lease_s;
+        world.store_page_keys = 200;
         world.replicas = 60;
-        world.pace = (4, 8);
+        world.submission_interval_and_end = (4, 8);
         check_no_lease_expires(&mut world).map_err(|text| format!("{text}{}", timeline(&world)))
     }
 }
@@ -66,7 +67,7 @@
     ensure(serving >= 60, || format!("{serving} serve at step 440"))?;
     world.run(700);
     no_rule_violated(world)?;
-    ensure(world.lapses == 0, || format!("{} leases expired", world.lapses))?;
+    ensure(world.expired_leases == 0, || format!("{} leases expired", world.expired_leases))?;
     ensure(world.serving() == serving, || format!("{} of {serving} serve", world.serving()))
 }
 
@@ -79,7 +80,10 @@
 /// (4071). 41 of 240 seeds failed. See docs/incidents.
 #[test]
 fn sweep_one_down_then_the_leader_pauses() {
-    let case = OneControllerDown { beat: (2.0, 12.0), leader_fault: Fault::Pause(0, 250) };
+    let case = OneControllerDown {
+        heartbeat_and_lease_s: (2.0, 12.0),
+        leader_fault: Fault::Pause(0, 250),
+    };
     sweep("one_down_freeze", &[8, 22, 29, 30, 4_071], |seed| case.check(seed));
 }
 
@@ -90,7 +94,10 @@
     let losses =
         [Fault::Crash(0, 250), Fault::WorkersCut(0, 250), Fault::CutFromStoreAndPeers(0, 250)];
     for leader_fault in losses {
-        let case = OneControllerDown { beat: (2.0, 12.0), leader_fault: leader_fault.clone() };
+        let case = OneControllerDown {
+            heartbeat_and_lease_s: (2.0, 12.0),
+            leader_fault: leader_fault.clone(),
+        };
         sweep(&format!("one_down {leader_fault:?}"), &[0, 22, 41], |seed| case.check(seed));
     }
 }
@@ -98,10 +105,13 @@
 /// The same with the longer leases of other sites.
 #[test]
 fn sweep_one_down_with_longer_leases() {
-    for beat in [(4.0, 22.0), (5.0, 26.5), (6.0, 31.0)] {
+    for heartbeat_and_lease_s in [(4.0, 22.0), (5.0, 26.5), (6.0, 31.0)] {
         for leader_fault in [Fault::Pause(0, 250), Fault::Crash(0, 250)] {
-            let case = OneControllerDown { beat, leader_fault: leader_fault.clone() };
-            sweep(&format!("one_down {beat:?} {leader_fault:?}"), &[0], |seed| case.check(seed));
+            let case =
+                OneControllerDown { heartbeat_and_lease_s, leader_fault: leader_fault.clone() };
+            sweep(&format!("one_down {heartbeat_and_lease_s:?} {leader_fault:?}"), &[0], |seed| {
+                case.check(seed)
+            });
         }
     }
 }
@@ -126,19 +136,21 @@
     for controller in 0..3 {
         let crash = |at| (at, Fault::Crash(controller, seconds * 10));
         let mut world = World::new(seed, times.clone().map(crash).collect());
-        (world.size, world.beat, world.page) = ((60, 200.0), (2.0, 12.0), 200);
-        (world.replicas, world.pace) = (60, (4, 8));
+        (world.size, world.heartbeat_and_lease_s, world.store_page_keys) =
+            ((60, 200.0), (2.0, 12.0), 200);
+        (world.replicas, world.submission_interval_and_end) = (60, (4, 8));
         world.run(300 + FLAPPING_STEPS + 100);
         no_rule_violated(&world).map_err(|text| format!("{text}{}", timeline(&world)))?;
         let is_transfer =
             |line: &&String| line.contains("event=lost") && line.contains("transferred");
         let transfers = world.info.iter().filter(is_transfer).count();
-        let changes = world.met.changes_of_leader.len();
+        let changes = world.observed.changes_of_leader.len();
         let summary = || format!("c{controller}: {changes} changes, {transfers} transfers, ");
-        let text = || format!("{}{} leases expired{}", summary(), world.lapses, timeline(&world));
+        let text =
+            || format!("{}{} leases expired{}", summary(), world.expired_leases, timeline(&world));
         // The flapping controller may lose the leadership once for each crash that hits it as the
         // leader; afterwards another controller leads, and there is no transfer.
-        ensure(changes <= 3 && transfers <= 1 && world.lapses == 0, text)?;
+        ensure(changes <= 3 && transfers <= 1 && world.expired_leases == 0, text)?;
     }
     Ok(())
 }
@@ -153,17 +165,17 @@
     faults.push((401, Fault::CrashAll(5)));
     let mut world = World::new(seed, faults);
     world.size = (2_100, 9_000.0);
-    world.beat = (5.0, 26.5);
-    world.page = 200;
+    world.heartbeat_and_lease_s = (5.0, 26.5);
+    world.store_page_keys = 200;
     world.replicas = 300;
-    world.pace = (4, 190);
+    world.submission_interval_and_end = (4, 190);
     check_recovery(&mut world).map_err(|text| format!("{text}{}", timeline(&world)))
 }
 
 fn check_recovery(world: &mut World) -> Result<(), String> {
-    world.play(395);
+    world.advance_to(395);
     no_rule_violated(world)?;
-    let (up, replicas) = (world.up(), world.serving());
+    let (up, replicas) = (world.machines_up(), world.serving());
     ensure(up > 1_500, || format!("{up} machines at step 395"))?;
     if replicas != 24 * 300 {
         return Err(format!(
@@ -171,7 +183,7 @@
             recovery_time(world, 24 * 300)
         ));
     }
-    world.play(410);
+    world.advance_to(410);
     ensure(world.serving() < replicas - 1_000, || format!("{} serve at 410", world.serving()))?;
     world.run(800);
     let serving = world.serving();
@@ -182,14 +194,18 @@
         ));
     }
     no_rule_violated(world)?;
-    ensure(world.directs <= 40, || format!("{} direct commands at once", world.directs))?;
-    ensure(world.changes <= 2 * 60, || format!("{} changes in a second", world.changes))
+    ensure(world.max_direct_commands <= 40, || {
+        format!("{} direct commands at once", world.max_direct_commands)
+    })?;
+    ensure(world.max_changes_per_second <= 2 * 60, || {
+        format!("{} changes in a second", world.max_changes_per_second)
+    })
 }
 
 /// Continues a run in which replicas are missing, and reports when all of them serve.
 fn recovery_time(world: &mut World, replicas: usize) -> String {
     for _ in 0..80 {
-        world.play(world.step() + 5);
+        world.advance_to(world.step() + 5);
         if world.serving() == replicas {
             return format!("all serve at step {}", world.step());
         }
@@ -225,12 +241,12 @@
     // second.
     let mut max_serving = 0;
     for step in loss_at - 15..=loss_at - 5 {
-        world.play(step);
+        world.advance_to(step);
         max_serving = max_serving.max(world.serving());
     }
     no_rule_violated(world)?;
     ensure(max_serving == all, || format!("{max_serving} of {all} serve before the loss"))?;
-    world.play(loss_at + 10);
+    world.advance_to(loss_at + 10);
     ensure(world.serving() < all - 2_500, || format!("{} serve after the loss", world.serving()))?;
     world.run(loss_at + 600);
     let serving = world.serving();
--- a/crates/core/tests/cluster/takeovers.rs
+++ b/crates/core/tests/cluster/takeovers.rs
@@ -15,7 +15,7 @@
         ];
         let mut world = World::new(seed, faults);
         world.run(1_600);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -33,7 +33,7 @@
     ];
     let mut world = World::new(5_579_486_582_532_133_835, faults);
     world.run(1_600);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
 }
 
 /// While an ended attempt must stay listed on a machine, its task must not be placed there, also
@@ -44,7 +44,7 @@
         vec![(149, Fault::CrashAll(4)), (394, Fault::CrashAll(2)), (417, Fault::AgentRestarts(0))];
     let mut world = World::new(10_445_943_961_295_808_273, faults);
     world.run(1_600);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
 }
 
 /// Each controller in turn is paused, for shorter and longer than a lease, and than a pledge and a
@@ -66,7 +66,7 @@
             ];
             let mut world = World::new(seed, faults);
             world.run(1_600);
-            assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} length {length}");
+            assert_eq!(world.violations, Vec::<String>::new(), "seed {seed} length {length}");
         }
     }
 }
@@ -79,7 +79,7 @@
         let faults = vec![cut(0), cut(1), cut(2), (205, Fault::Crash(0, 80))];
         let mut world = World::new(seed, faults);
         world.run(1_600);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -94,15 +94,15 @@
             vec![(300, at_leader(Fault::Crash(0, 900))), (450, at_leader(Fault::Pause(0, 250)))];
         let mut world = World::new(seed, faults);
         world.size = (60, 200.0);
-        world.beat = (2.0, 12.0);
-        world.page = 200;
+        world.heartbeat_and_lease_s = (2.0, 12.0);
+        world.store_page_keys = 200;
         world.replicas = 60;
-        world.pace = (4, 8);
+        world.submission_interval_and_end = (4, 8);
         world.run(440);
         let serving = world.serving();
         assert!(serving >= 60, "seed {seed}: {serving} replicas serve");
         world.run(700);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
-        assert_eq!((world.lapses, world.serving()), (0, serving), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
+        assert_eq!((world.expired_leases, world.serving()), (0, serving), "seed {seed}");
     }
 }
--- a/crates/core/tests/cluster/upgrade.rs
+++ b/crates/core/tests/cluster/upgrade.rs
@@ -16,9 +16,9 @@
 /// pipelines.
 fn upgrade_world(seed: u64, faults: Vec<(u32, Fault)>) -> World {
     let mut world = World::new(seed, faults);
-    (world.width, world.pace, world.no_services) = (3, (10, 900), true);
+    (world.max_tasks, world.submission_interval_and_end, world.no_services) = (3, (10, 900), true);
     world.pipeline = Some(PIPELINE);
-    world.begin_upgrade();
+    world.start_upgrade();
     world
 }
 
@@ -40,7 +40,7 @@
         world.restart(n, DEPENDENCIES_FORMAT, 20);
         assert!(no_gate_is_open(world), "before c{n} is upgraded");
         assert_eq!(world.format_in_store(), None, "before c{n} is upgraded");
-        world.play(100 * (n as u32 + 2));
+        world.advance_to(100 * (n as u32 + 2));
     }
     100 * (CONTROLLERS as u32 + 1)
 }
@@ -49,7 +49,7 @@
 fn a_process_started_while_another_is_down_accepts_pipelines_after_the_upgrade() {
     for seed in 0..4 {
         let mut world = upgrade_world(seed, Vec::new());
-        world.play(100);
+        world.advance_to(100);
         let upgraded = upgrade(&mut world);
         assert_eq!(world.format_in_store(), Some(DEPENDENCIES_FORMAT), "seed {seed}");
         let last_upgrade_at = upgraded - 100;
@@ -60,7 +60,7 @@
         for n in 0..CONTROLLERS {
             world.restart(n, DEPENDENCIES_FORMAT, if n == 1 { 300 } else { 5 });
         }
-        world.play(upgraded + 250);
+        world.advance_to(upgraded + 250);
         assert_eq!(world.dependencies_allowed(1), None, "c1 is down");
         for n in [0, 2] {
             assert_eq!(world.dependencies_allowed(n), Some(true), "seed {seed}: c{n}");
@@ -68,7 +68,7 @@
         let since = pipelines_accepted(&world).into_iter().filter(|at| *at > upgraded + 5).count();
         assert!(since > 5, "seed {seed}: {since} accepted while c1 was down");
         world.run(2_400);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -92,11 +92,11 @@
                 (700, at_leader(Fault::Pause(0, 30))),
             ],
         );
-        world.play(100);
+        world.advance_to(100);
         for n in [0, 2] {
             world.restart(n, DEPENDENCIES_FORMAT, 5);
         }
-        while world.elapsed() < 900 && world.broken.is_empty() {
+        while world.elapsed() < 900 && world.violations.is_empty() {
             world.advance(900);
             assert!(no_gate_is_open(&world), "seed {seed} step {}", world.elapsed());
             assert_eq!(world.format_in_store(), None, "seed {seed} step {}", world.elapsed());
@@ -104,10 +104,10 @@
         assert_eq!(pipelines_accepted(&world), Vec::<u32>::new(), "seed {seed}");
         // Finally the last controller is upgraded.
         world.restart(1, DEPENDENCIES_FORMAT, 5);
-        world.play(1_000);
+        world.advance_to(1_000);
         assert_eq!(world.format_in_store(), Some(DEPENDENCIES_FORMAT), "seed {seed}");
         assert!(!pipelines_accepted(&world).is_empty(), "seed {seed}");
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -122,19 +122,19 @@
             (330, at_leader(Fault::Crash(0, 20))),
         ];
         let mut world = upgrade_world(seed, faults);
-        world.play(100);
+        world.advance_to(100);
         upgrade(&mut world);
         let mut recorded = None;
-        while world.elapsed() < 2_400 && world.broken.is_empty() {
+        while world.elapsed() < 2_400 && world.violations.is_empty() {
             world.advance(2_400);
             let now = world.format_in_store();
             assert!(now >= recorded, "seed {seed}: {now:?} after {recorded:?}");
             recorded = now;
         }
         assert_eq!(recorded, Some(DEPENDENCIES_FORMAT), "seed {seed}");
-        world.check_over();
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
-        let late = world.met.conflicts.iter().filter(|at| **at > 1_500).count();
+        world.check_completed();
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
+        let late = world.observed.conflicts.iter().filter(|at| **at > 1_500).count();
         assert!(late < 10, "seed {seed}: {late} transactions refused after the faults");
     }
 }
@@ -147,8 +147,8 @@
     for n in 0..CONTROLLERS {
         world.restart(n, DEPENDENCIES_FORMAT, n as u32);
     }
-    world.play(300);
+    world.advance_to(300);
     assert_eq!(world.format_in_store(), Some(DEPENDENCIES_FORMAT + 1));
     assert!((0..CONTROLLERS).all(|n| world.dependencies_allowed(n) == Some(true)));
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
 }
--- a/crates/core/tests/cluster/workloads.rs
+++ b/crates/core/tests/cluster/workloads.rs
@@ -11,7 +11,7 @@
 fn without_faults_all_work_completes() {
     let mut world = World::new(1, Vec::new());
     world.run(1_600);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert!(world.starts > 20, "only {} starts", world.starts);
 }
 
@@ -22,11 +22,11 @@
     let (mut commands, mut clearing_commands) = (0, 0);
     for seed in 0..6 {
         let mut world = World::new(seed, Vec::new());
-        (world.width, world.pace) = (6, (18, 900));
+        (world.max_tasks, world.submission_interval_and_end) = (6, (18, 900));
         world.run(1_600);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
-        commands += world.met.orders;
-        clearing_commands += world.met.clearing_orders;
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
+        commands += world.observed.commands;
+        clearing_commands += world.observed.clearing_commands;
     }
     assert!(commands > 100, "only {commands} commands");
     assert!(
@@ -40,7 +40,7 @@
 fn a_slow_machine_gets_no_more_work() {
     let mut world = World::new(3, vec![(60, Fault::MachineSlow(0, 1_500))]);
     world.run(1_600);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert!(world.cordons > 0);
 }
 
@@ -50,13 +50,13 @@
 fn a_wide_job_past_its_deadline_still_starts() {
     for seed in 0..4 {
         let mut world = World::new(seed, Vec::new());
-        world.pace = (3, 900);
-        world.wide = Some((40, 60));
+        world.submission_interval_and_end = (3, 900);
+        world.wide_job = Some((40, 60));
         world.run(1_000);
-        let broken: Vec<&String> =
-            world.broken.iter().filter(|b| !b.contains("never told")).collect();
-        assert!(broken.is_empty(), "seed {seed}: {broken:?}");
-        let started_at = world.begun.get(&JobId::new("req-000040"));
+        let violations: Vec<&String> =
+            world.violations.iter().filter(|b| !b.contains("never told")).collect();
+        assert!(violations.is_empty(), "seed {seed}: {violations:?}");
+        let started_at = world.started_at.get(&JobId::new("req-000040"));
         assert!(started_at.is_some_and(|at| *at < 120 + 700), "seed {seed}: {started_at:?}");
     }
 }
@@ -67,12 +67,12 @@
 fn a_service_preempts_arrays_for_its_teams_quota() {
     for seed in 0..6 {
         let mut world = World::new(seed, Vec::new());
-        world.pace = (4, 160);
+        world.submission_interval_and_end = (4, 160);
         world.run(500);
         for n in (23..37).step_by(4) {
             let id = JobId::new(&format!("req-{n:06}"));
             let accepted_at = world.accepted_at.get(&id).copied().unwrap_or(u32::MAX);
-            let started_at = world.begun.get(&id).copied();
+            let started_at = world.started_at.get(&id).copied();
             assert!(
                 started_at.is_some_and(|b| b < accepted_at + 100),
                 "seed {seed} {id} {accepted_at} {started_at:?}"
@@ -86,12 +86,12 @@
 #[test]
 fn the_largest_job_delays_no_other() {
     let mut world = World::new(5, Vec::new());
-    world.wide = Some((2, 100_000));
+    world.wide_job = Some((2, 100_000));
     world.run(900);
     let others: Vec<&String> =
-        world.broken.iter().filter(|b| !b.starts_with("req-000002 was never told")).collect();
+        world.violations.iter().filter(|b| !b.starts_with("req-000002 was never told")).collect();
     assert!(others.is_empty(), "{others:?}");
-    assert!(world.begun.contains_key(&JobId::new("req-000002")));
+    assert!(world.started_at.contains_key(&JobId::new("req-000002")));
 }
 
 /// Idle work uses all the capacity of spot machines. Other arrays still start promptly, because it
@@ -101,18 +101,18 @@
     for seed in 0..4 {
         let mut world = World::new(seed, Vec::new());
         world.size = (12, 100.0);
-        world.idle = Some((3, 90));
-        world.pace = (25, 700);
+        world.idle_job = Some((3, 90));
+        world.submission_interval_and_end = (25, 700);
         world.no_services = true;
         world.run(4_000);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.ordinary, 0, "seed {seed}");
-        let started_at = world.begun.get(&JobId::new("req-000003")).copied();
+        let started_at = world.started_at.get(&JobId::new("req-000003")).copied();
         assert!(started_at.is_some_and(|at| at < 80 + 2_400), "seed {seed} {started_at:?}");
         for n in 10..28 {
             let id = JobId::new(&format!("req-{n:06}"));
             let accepted_at = world.accepted_at.get(&id).copied().unwrap_or(u32::MAX);
-            let started_at = world.begun.get(&id).copied();
+            let started_at = world.started_at.get(&id).copied();
             assert!(
                 started_at.is_some_and(|b| b < accepted_at + 60),
                 "seed {seed} {id} {accepted_at} {started_at:?}"
@@ -142,14 +142,14 @@
         let mut world = World::new(seed, vec![(crash, at_leader(Fault::Crash(0, 40)))]);
         // Users cancel the jobs whose numbers are divisible by five.
         let number = if number == 5 { 6 } else { number };
-        (world.idle, world.no_services) = (Some((number, tasks)), true);
-        (world.size, world.pace) = ((12, 100.0), (25, 700));
+        (world.idle_job, world.no_services) = (Some((number, tasks)), true);
+        (world.size, world.submission_interval_and_end) = ((12, 100.0), (25, 700));
         world.run(1_600);
         let idle_job = format!("req-{number:06}");
         let others: Vec<&String> =
-            world.broken.iter().filter(|b| !b.starts_with(&idle_job)).collect();
+            world.violations.iter().filter(|b| !b.starts_with(&idle_job)).collect();
         prop_assert!(others.is_empty(), "{:?}", others);
-        let started_at = world.begun.get(&JobId::new(&idle_job)).copied();
+        let started_at = world.started_at.get(&JobId::new(&idle_job)).copied();
         prop_assert!(started_at.is_some_and(|at| at < number * 25 + 2_400), "{:?}", started_at);
     }
 }
@@ -160,12 +160,16 @@
 fn always_failing_jobs_affect_no_other() {
     for seed in 0..6 {
         let mut world = World::new(seed, Vec::new());
-        (world.mistaken, world.pace) = (Some(2), (12, 500));
-        (world.width, world.size) = (40, (30, 100.0));
+        (world.failing_job_interval, world.submission_interval_and_end) = (Some(2), (12, 500));
+        (world.max_tasks, world.size) = (40, (30, 100.0));
         world.run(1_600);
-        assert_eq!(world.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.cordons, 0, "seed {seed}");
-        assert!(world.fails < 1_200, "seed {seed}: {} failed starts", world.fails);
+        assert!(
+            world.failed_attempts < 1_200,
+            "seed {seed}: {} failed attempts",
+            world.failed_attempts
+        );
     }
 }
 
@@ -178,9 +182,10 @@
         for (tenths, most) in [(10, 50), (0, 50), (60, 70)] {
             let mut world = World::new(seed, vec![(1, Fault::BootTimes(tenths, 400))]);
             world.no_services = true;
-            (world.pace, world.size, world.width) = ((10, 300), (400, 400.0), 30);
+            (world.submission_interval_and_end, world.size, world.max_tasks) =
+                ((10, 300), (400, 400.0), 30);
             world.run(1_600);
-            assert_eq!(world.broken, Vec::<String>::new(), "seed {seed} boots {tenths}");
+            assert_eq!(world.violations, Vec::<String>::new(), "seed {seed} boots {tenths}");
             assert!(world.rented <= most, "seed {seed} boots {tenths}: {} rented", world.rented);
         }
     }
--- a/crates/core/tests/log.rs
+++ b/crates/core/tests/log.rs
@@ -38,7 +38,7 @@
     let refused = Fault::OnLeader(Box::new(Fault::StoreRefuses(0, 60)));
     let mut world = World::new(3, vec![(200, refused)]);
     world.run(1_600);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert!(count_of(&world, "event=won term=1") == 1, "{:?}", world.info);
     assert!(count_of(&world, "event=won term=") >= 2, "{:?}", world.info);
     assert!(count_of(&world, "event=lost term=1 why=") == 1, "{:?}", world.info);
@@ -50,7 +50,7 @@
 fn unconfirmed_starts_are_logged() {
     let mut world = World::new(4, vec![(150, Fault::MachineReceivesNothing(0, 60))]);
     world.run(1_600);
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert!(count_of(&world, "event=start_in_doubt task=req-") > 0, "{:?}", world.info);
     assert!(count_of(&world, "event=doubts starts=") > 0, "{:?}", world.info);
 }
--- a/crates/rehearsal/benches/cells.rs
+++ b/crates/rehearsal/benches/cells.rs
@@ -33,12 +33,12 @@
             let plan = plan(seed, moving);
             let mut fleet = FleetOfCells::new(&plan);
             fleet.run(FleetOfCells::steps_of(&plan));
-            assert!(fleet.broken.is_empty(), "{:?}", fleet.broken);
+            assert!(fleet.violations.is_empty(), "{:?}", fleet.violations);
             waits.extend(fleet.waits(0));
             accepted += fleet.ends(0).accepted;
-            moved += fleet.met.moved;
-            refused += fleet.met.refused;
-            messages += fleet.met.messages;
+            moved += fleet.observed.moved;
+            refused += fleet.observed.refused;
+            messages += fleet.observed.messages;
             changes += fleet.cells.iter().map(|cell| cell.store_work.changes).sum::<usize>();
             bytes += fleet.cells.iter().map(|cell| cell.store_work.bytes).sum::<usize>();
         }
@@ -65,7 +65,7 @@
         }
         let mut fleet = FleetOfCells::new(&plan);
         fleet.run(FleetOfCells::steps_of(&plan));
-        assert!(fleet.broken.is_empty(), "{:?}", fleet.broken);
+        assert!(fleet.violations.is_empty(), "{:?}", fleet.violations);
         ages.extend(fleet.times_in_doubt());
     }
     println!(
--- a/crates/rehearsal/src/fleet_of_cells/checks.rs
+++ b/crates/rehearsal/src/fleet_of_cells/checks.rs
@@ -26,10 +26,10 @@
                 self.moved_ends.moved(&job);
                 let by = self.accepted_by.entry(job.clone()).or_default();
                 if by.insert(cell) && by.len() > 1 {
-                    self.broken.push(format!("moved twice: {job} {by:?}"));
+                    self.violations.push(format!("moved twice: {job} {by:?}"));
                 }
                 if world.submitted().contains_key(&job) {
-                    self.broken.push(format!("came back: {job}"));
+                    self.violations.push(format!("came back: {job}"));
                 }
             }
         }
@@ -37,10 +37,10 @@
 
     /// Updates the counts of moves, refusals and cancellations.
     fn count_moves(&mut self) {
-        self.met.moved = self.accepted_by.len() as u64;
+        self.observed.moved = self.accepted_by.len() as u64;
         let count = |prefix| self.cells.iter().map(|cell| cell.puts_under(prefix)).sum::<usize>();
-        self.met.refused = count(REFUSED) as u64;
-        self.met.cancels_wanted = count(CANCEL_WANTED) as u64;
+        self.observed.refused = count(REFUSED) as u64;
+        self.observed.cancels_wanted = count(CANCEL_WANTED) as u64;
     }
 
     /// Rules `ran_twice` and `ran_cancelled`: no job starts in two cells, and no other cell holds a
@@ -49,12 +49,15 @@
         for cell in 0..self.cells.len() {
             for other in (0..self.cells.len()).filter(|other| *other != cell) {
                 let (one, two) = (&self.cells[cell], &self.cells[other]);
-                let both = one.begun.keys().find(|job| cell < other && two.begun.contains_key(job));
+                let both = one
+                    .started_at
+                    .keys()
+                    .find(|job| cell < other && two.started_at.contains_key(job));
                 if let Some(job) = both {
-                    self.broken.push(format!("ran_twice: {job} in cells {cell} and {other}"));
+                    self.violations.push(format!("ran_twice: {job} in cells {cell} and {other}"));
                 }
                 if let Some(job) = one.surely_cancelled().find(|job| two.holds(job)) {
-                    self.broken.push(format!("ran_cancelled: {job} in cell {other}"));
+                    self.violations.push(format!("ran_cancelled: {job} in cell {other}"));
                 }
             }
         }
@@ -72,10 +75,11 @@
     }
 
     /// Collects the violations that the cells found.
-    pub(super) fn collect_broken(&mut self) {
+    pub(super) fn collect_violations(&mut self) {
         for (cell, world) in self.cells.iter_mut().enumerate() {
-            let broken = std::mem::take(&mut world.broken);
-            self.broken.extend(broken.into_iter().map(|rule| format!("cell-{cell}: {rule}")));
+            let violations = std::mem::take(&mut world.violations);
+            self.violations
+                .extend(violations.into_iter().map(|rule| format!("cell-{cell}: {rule}")));
         }
     }
 
--- a/crates/rehearsal/src/fleet_of_cells/links.rs
+++ b/crates/rehearsal/src/fleet_of_cells/links.rs
@@ -1,7 +1,7 @@
 //! The links between cells, which lose, duplicate and delay messages, and can be cut in one
 //! direction.
 
-use crate::fleet_of_cells::outcome::Met;
+use crate::fleet_of_cells::outcome::Observations;
 use crate::world::{CellAnswer, OutgoingCall};
 use marblebarrow_cells::message::CellRequest;
 use rand::rngs::StdRng;
@@ -118,11 +118,11 @@
         from: usize,
         to: usize,
         packet: &Packet,
-        met: &mut Met,
+        observed: &mut Observations,
     ) {
-        met.messages += 1;
+        observed.messages += 1;
         if self.cuts.get(&(from, to)).is_some_and(|until| step < *until) {
-            met.cut += 1;
+            observed.cut += 1;
             return;
         }
         if self.faultless {
@@ -130,16 +130,16 @@
             return self.packets.push((at, packet.clone()));
         }
         if self.rng.random_range(0..LOST_ONE_IN) == 0 {
-            met.lost += 1;
+            observed.lost += 1;
             return;
         }
         if self.rng.random_range(0..DUPLICATED_ONE_IN) == 0 {
-            met.doubled += 1;
+            observed.doubled += 1;
             let at = step + self.rng.random_range(1..LATE_STEPS_MAX);
             self.packets.push((at, packet.clone()));
         }
         let late = self.rng.random_range(0..LATE_ONE_IN) == 0;
-        met.late += u64::from(late);
+        observed.late += u64::from(late);
         let delay_max = if late { LATE_STEPS_MAX } else { USUAL_STEPS_MAX };
         let at = step + self.rng.random_range(1..delay_max);
         self.packets.push((at, packet.clone()));
--- a/crates/rehearsal/src/fleet_of_cells/messages.rs
+++ b/crates/rehearsal/src/fleet_of_cells/messages.rs
@@ -25,7 +25,7 @@
             let request = outgoing.request.clone();
             let call = self.links.begin_call(from, outgoing);
             let packet = Packet::Request { call, to, request };
-            self.links.send(self.step, from, to, &packet, &mut self.met);
+            self.links.send(self.step, from, to, &packet, &mut self.observed);
         }
     }
 
@@ -33,7 +33,7 @@
         for (call, answer) in std::mem::take(&mut self.cells[from].cell_answers) {
             let Some(to) = self.links.caller(call) else { continue };
             let packet = Packet::Answer { call, answer };
-            self.links.send(self.step, from, to, &packet, &mut self.met);
+            self.links.send(self.step, from, to, &packet, &mut self.observed);
         }
     }
 
--- a/crates/rehearsal/src/fleet_of_cells/mod.rs
+++ b/crates/rehearsal/src/fleet_of_cells/mod.rs
@@ -12,7 +12,7 @@
 mod plan;
 
 pub use ends::MovedEnd;
-pub use outcome::{Ends, Met};
+pub use outcome::{Ends, Observations};
 pub use plan::{CellFault, Plan};
 
 use crate::world::World;
@@ -31,9 +31,9 @@
     /// The cells, by index.
     pub cells: Vec<World>,
     /// Counts so far.
-    pub met: Met,
+    pub observed: Observations,
     /// Violations of the safety rules.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     digest: Digest,
     step: u32,
     links: Links,
@@ -57,8 +57,8 @@
         plan.faults.sort_by_key(|(at, _)| *at);
         Self {
             cells: plan.cells(),
-            met: Met::default(),
-            broken: Vec::new(),
+            observed: Observations::default(),
+            violations: Vec::new(),
             digest: Digest::default(),
             step: 0,
             links: Links::new(plan.seed, plan.faultless_links),
@@ -80,12 +80,12 @@
     /// Runs up to the given step, then checks that all work was done. Stops early when a rule is
     /// violated.
     pub fn run(&mut self, steps: u32) {
-        while self.step < steps && self.broken.is_empty() {
+        while self.step < steps && self.violations.is_empty() {
             self.advance(steps);
         }
-        if self.broken.is_empty() {
-            self.cells.iter_mut().for_each(World::check_over);
-            self.collect_broken();
+        if self.violations.is_empty() {
+            self.cells.iter_mut().for_each(World::check_completed);
+            self.collect_violations();
         }
     }
 
@@ -123,7 +123,7 @@
     /// started.
     pub fn waits(&self, cell: usize) -> Vec<u32> {
         let accepted = &self.cells[cell].accepted_at;
-        let begun = |job| self.cells.iter().find_map(|world| world.begun.get(job));
+        let begun = |job| self.cells.iter().find_map(|world| world.started_at.get(job));
         accepted
             .iter()
             .filter_map(|(job, at)| begun(job).map(|begun| begun.saturating_sub(*at)))
@@ -145,7 +145,7 @@
         self.check();
         self.note_ends();
         self.measure_doubt();
-        self.collect_broken();
+        self.collect_violations();
         self.record_step();
     }
 
@@ -198,7 +198,7 @@
             digest.add(world.store_work.changes as u64);
             digest.add(world.store_work.bytes as u64);
         }
-        digest.add(self.met.messages);
+        digest.add(self.observed.messages);
         digest.add(self.links.packets_in_flight() as u64);
         digest.add(self.accepted_by.len() as u64);
     }
--- a/crates/rehearsal/src/fleet_of_cells/outcome.rs
+++ b/crates/rehearsal/src/fleet_of_cells/outcome.rs
@@ -2,7 +2,7 @@
 
 /// Counts over all cells, by which tests check that the faults of a plan took effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Met {
+pub struct Observations {
     /// Messages between cells.
     pub messages: u64,
     /// Messages lost.
--- a/crates/rehearsal/src/fleet_of_cells/plan.rs
+++ b/crates/rehearsal/src/fleet_of_cells/plan.rs
@@ -88,9 +88,9 @@
         let pace = self.paces[cell];
         world.size = (self.machines[cell], TEAM_CPUS_MAX);
         world.first_number = JOB_NUMBERS_PER_CELL * (cell as u32 + 1);
-        world.pace = (pace.max(1), if pace == 0 { 0 } else { self.until });
+        world.submission_interval_and_end = (pace.max(1), if pace == 0 { 0 } else { self.until });
         world.cells = self.moving.then(|| Arc::new(self.settings(cell)));
-        world.quarter = self.cancels;
+        world.cancel_every_fourth = self.cancels;
         world.rents_in_part = true;
         world.spot_arrays = !self.filled;
         world.filled_by =
--- a/crates/rehearsal/src/held_commands.rs
+++ b/crates/rehearsal/src/held_commands.rs
@@ -6,13 +6,13 @@
 //! that no fencing token can be raised. Users cancel jobs one second after acceptance, while they
 //! run, and while their start command is delayed.
 
-use crate::world::{Fault, Held, World};
+use crate::world::{Fault, HoldPlan, World};
 use std::fmt;
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
 /// How commands are delayed: for at least 15 s, against the 20 s in which the tasks of a cancelled
 /// job must stop, and for up to 90 s.
-pub const HELD: Held = Held { one_in: 6, least: 150, most: 900, called_off: true };
+pub const HELD: HoldPlan = HoldPlan { one_in: 6, min_steps: 150, max_steps: 900, cancelled: true };
 /// Length of each part, in steps.
 const STEPS: u32 = 2_200;
 /// Log lines of each part that are shown for a failed run.
@@ -58,12 +58,17 @@
 }
 
 /// A simulated cell with delayed commands, cancelled jobs and the other faults given.
-pub fn day(seed: u64, held: Held, others: &[(u32, Fault)]) -> World {
+pub fn held_commands_world(seed: u64, held: HoldPlan, others: &[(u32, Fault)]) -> World {
     let mut faults = vec![(60, Fault::HeldCommands(held, 600))];
     faults.extend((150..600).step_by(90).map(|at| (at, Fault::CancelNow(3))));
     faults.extend_from_slice(others);
     let mut world = World::new(seed, faults);
-    (world.gaps, world.width, world.pace, world.quarter) = (true, 3, (9, 640), true);
+    (
+        world.staggered_tasks,
+        world.max_tasks,
+        world.submission_interval_and_end,
+        world.cancel_every_fourth,
+    ) = (true, 3, (9, 640), true);
     world
 }
 
@@ -73,7 +78,7 @@
 }
 
 /// Crashes of leaders. Some controllers are back within a second.
-pub fn leaders_end() -> Vec<(u32, Fault)> {
+pub fn leader_crashes() -> Vec<(u32, Fault)> {
     let crash = |at, steps| (at, at_leader(Fault::Crash(0, steps)));
     vec![crash(155, 40), crash(250, 3), crash(342, 40), crash(440, 2), crash(520, 60)]
 }
@@ -92,8 +97,8 @@
 }
 
 /// The three parts of the simulation, with the additional faults of each.
-fn days() -> [(&'static str, Vec<(u32, Fault)>); 3] {
-    [("alone", Vec::new()), ("leaders-end", leaders_end()), ("outage", outage())]
+fn parts() -> [(&'static str, Vec<(u32, Fault)>); 3] {
+    [("alone", Vec::new()), ("leaders-end", leader_crashes()), ("outage", outage())]
 }
 
 /// Result of a run of all three parts.
@@ -106,35 +111,35 @@
     /// The last lines that the controllers logged in each part.
     pub events: Vec<String>,
     /// Violations of the safety rules.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Runs the three parts. The same seed and sources give the same result.
 pub fn run(seed: u64) -> HeldRun {
     let mut outcome = HeldOutcome::default();
     let mut hasher = DefaultHasher::new();
-    let (mut broken, mut events) = (Vec::new(), Vec::new());
-    for (name, others) in days() {
-        let mut world = day(seed, HELD, &others);
+    let (mut violations, mut events) = (Vec::new(), Vec::new());
+    for (name, others) in parts() {
+        let mut world = held_commands_world(seed, HELD, &others);
         world.run(STEPS);
         outcome.add(&world);
-        (&world.info, world.starts, &world.broken).hash(&mut hasher);
-        broken.extend(world.broken.iter().map(|rule| format!("{name}: {rule}")));
+        (&world.info, world.starts, &world.violations).hash(&mut hasher);
+        violations.extend(world.violations.iter().map(|rule| format!("{name}: {rule}")));
         let from = world.info.len().saturating_sub(LINES_SHOWN);
         events.extend(world.info[from..].iter().map(|line| format!("{name}: {line}")));
     }
-    HeldRun { outcome, digest: hasher.finish(), events, broken }
+    HeldRun { outcome, digest: hasher.finish(), events, violations }
 }
 
 impl HeldOutcome {
     fn add(&mut self, world: &World) {
-        let told = |event: &str| world.info.iter().filter(|l| l.contains(event)).count() as u32;
+        let logged = |event: &str| world.info.iter().filter(|l| l.contains(event)).count() as u32;
         self.starts += world.starts;
-        self.late_commands += world.met.late_commands;
-        self.starts_past_cancellation += world.met.starts_past_cancellation;
-        self.changes_of_leader += world.met.changes_of_leader.len() as u32;
-        self.fencing_tokens_raised += told("event=token_raised ");
-        self.machines_withheld += told("event=answers_withheld ");
-        self.epochs_ended += world.lapses;
+        self.late_commands += world.observed.late_commands;
+        self.starts_past_cancellation += world.observed.starts_past_cancellation;
+        self.changes_of_leader += world.observed.changes_of_leader.len() as u32;
+        self.fencing_tokens_raised += logged("event=token_raised ");
+        self.machines_withheld += logged("event=answers_withheld ");
+        self.epochs_ended += world.expired_leases;
     }
 }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -23,9 +23,9 @@
 //!    that the case needs, such as the interval between submissions.
 //! 3. Run it long enough: work must end after the last fault, or the run is reported as
 //!    broken. [`World::run`](world::World::run) checks at its end that all work was done.
-//! 4. Assert that [`World::broken`](world::World::broken) is empty, and that the faults took
-//!    effect, by the counts of [`World::met`](world::World::met): a fault without effect proves
-//!    nothing. Then repeat it with other seeds.
+//! 4. Assert that [`World::violations`](world::World::violations) is empty, and that the faults
+//!    took effect, by the counts of [`World::observed`](world::World::observed): a fault without
+//!    effect proves nothing. Then repeat it with other seeds.
 //!
 //! ```
 //! use marblebarrow_rehearsal::world::{Fault, World};
@@ -34,9 +34,9 @@
 //! let crash = Fault::OnLeader(Box::new(Fault::Crash(0, 40)));
 //! let mut world = World::new(1, vec![(200, crash)]);
 //! world.run(1_600);
-//! assert_eq!(world.broken, Vec::<String>::new());
+//! assert_eq!(world.violations, Vec::<String>::new());
 //! assert!(world.starts > 20);
-//! assert!(!world.met.changes_of_leader.is_empty());
+//! assert!(!world.observed.changes_of_leader.is_empty());
 //! ```
 //!
 //! Several cells are simulated in the same way, from a [`Plan`](fleet_of_cells::Plan). To make a
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,6 +1,6 @@
 //! The named scenarios of `marblebarrow rehearse`, and the verdicts of their runs.
 
-use crate::fleet_of_cells::{CellFault, Ends, FleetOfCells, Met, Plan};
+use crate::fleet_of_cells::{CellFault, Ends, FleetOfCells, Observations, Plan};
 use crate::held_commands::{self, HeldOutcome};
 use crate::world::Fault;
 use std::fmt;
@@ -61,7 +61,7 @@
         let mut plan = Plan::one_full(seed);
         plan.faults = match self {
             Self::FullCell | Self::Cancels | Self::HeldCommands => Vec::new(),
-            Self::LeadersEnd => leaders_end(),
+            Self::LeadersEnd => leader_crashes(),
             Self::LinksCut => vec![
                 (100, CellFault::Cut(0, 1, 150)),
                 (120, CellFault::Cut(2, 0, 150)),
@@ -97,9 +97,10 @@
     }
 
     fn run_held_commands(self, seed: u64) -> Verdict {
-        let held_commands::HeldRun { outcome, digest, events, broken } = held_commands::run(seed);
+        let held_commands::HeldRun { outcome, digest, events, violations } =
+            held_commands::run(seed);
         let outcome = Outcome::HeldCommands(outcome);
-        Verdict { scenario: self, seed, digest, outcome, events, broken }
+        Verdict { scenario: self, seed, digest, outcome, events, violations }
     }
 
     fn run_cells(self, seed: u64) -> Verdict {
@@ -111,9 +112,9 @@
             scenario: self,
             seed,
             digest: fleet.digest(),
-            outcome: Outcome::Cells { met: fleet.met, ends },
+            outcome: Outcome::Cells { observed: fleet.observed, ends },
             events: fleet.last_events(),
-            broken: fleet.broken,
+            violations: fleet.violations,
         }
     }
 }
@@ -124,7 +125,7 @@
 }
 
 /// Crashes of the leaders of the three cells in turn, one every 4 s.
-fn leaders_end() -> Vec<(u32, CellFault)> {
+fn leader_crashes() -> Vec<(u32, CellFault)> {
     let ends = |step: u32| {
         let cell = (step / 40 % 3) as usize;
         (step, CellFault::Within(cell, at_leader(Fault::Crash(0, 30))))
@@ -138,7 +139,7 @@
     /// The counts of a scenario of several cells.
     Cells {
         /// Messages and transfers between the cells.
-        met: Met,
+        observed: Observations,
         /// Final answers to the users of each cell.
         ends: Vec<Ends>,
     },
@@ -148,11 +149,12 @@
 
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (met, ends) = match self {
-            Self::Cells { met, ends } => (met, ends),
+        let (observed, ends) = match self {
+            Self::Cells { observed, ends } => (observed, ends),
             Self::HeldCommands(outcome) => return outcome.fmt(f),
         };
-        let Met { messages, lost, doubled, late, cut, moved, refused, cancels_wanted } = met;
+        let Observations { messages, lost, doubled, late, cut, moved, refused, cancels_wanted } =
+            observed;
         writeln!(f, "moved={moved} refused={refused} cancels_wanted={cancels_wanted}")?;
         writeln!(f, "messages={messages} lost={lost} doubled={doubled} late={late} cut={cut}")?;
         for (cell, Ends { accepted, done, cancelled }) in ends.iter().enumerate() {
@@ -176,13 +178,13 @@
     /// The last log lines before the end of the run.
     pub events: Vec<String>,
     /// Violations of the safety rules.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Verdict {
     /// Whether no safety rule was violated.
     pub fn passed(&self) -> bool {
-        self.broken.is_empty()
+        self.violations.is_empty()
     }
 }
 
@@ -200,6 +202,6 @@
         if !self.passed() {
             self.events.iter().try_for_each(|event| writeln!(f, "event: {event}"))?;
         }
-        self.broken.iter().try_for_each(|rule| writeln!(f, "broken: {rule}"))
+        self.violations.iter().try_for_each(|rule| writeln!(f, "broken: {rule}"))
     }
 }
--- a/crates/rehearsal/src/world/actions.rs
+++ b/crates/rehearsal/src/world/actions.rs
@@ -105,7 +105,7 @@
             return;
         }
         if answer.more {
-            self.broken.push("more cancellations than an answer holds".into());
+            self.violations.push("more cancellations than an answer holds".into());
         }
         let node = controller_name(n);
         let event = Event::Peer(PeerNews::Pledged { node, sent: sent - started_at, answer });
@@ -123,8 +123,8 @@
     fn send_store_request(&mut self, node: usize, boot: f64, op: OpId, req: StoreRequest) {
         let late = self.commit_is_affected(self.late_writes_until, &req);
         let answer_lost = self.commit_is_affected(self.answers_lost_until, &req);
-        self.met.answers_lost += u32::from(answer_lost);
-        self.met.late_writes += u32::from(late);
+        self.observed.answers_lost += u32::from(answer_lost);
+        self.observed.late_writes += u32::from(late);
         let answer = !late && !answer_lost && !self.store_answer_is_lost();
         let slow = self.step < self.store_slow_until;
         let most = if answer { if slow { 20 } else { 1 } } else { 60 };
--- a/crates/rehearsal/src/world/cascades.rs
+++ b/crates/rehearsal/src/world/cascades.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 /// A root job and many jobs that depend on it, directly or through others, in pipelines. The root's
-/// second task runs until the root is cancelled, provided [`World::gap_s`] is long and
-/// [`World::gaps`] is set.
+/// second task runs until the root is cancelled, provided [`World::stagger_s`] is long and
+/// [`World::staggered_tasks`] is set.
 #[derive(Clone, Copy, Debug)]
 pub struct CascadePlan {
     /// Number of the root job. The jobs that depend on it have the numbers after it.
     pub first: u32,
     /// Number of jobs that depend on the root.
-    pub followers: u32,
+    pub dependents: u32,
     /// Jobs in each pipeline. The first depends on the root, each other on the one before it.
     pub depth: u32,
     /// The step at which users begin to submit the jobs.
@@ -24,7 +24,7 @@
 impl CascadePlan {
     /// Whether a job number belongs to the root or to a job that depends on it.
     pub(super) fn includes(&self, number: u32) -> bool {
-        (self.first..=self.first + self.followers).contains(&number)
+        (self.first..=self.first + self.dependents).contains(&number)
     }
 
     /// The number of the job that this one depends on, if it is in the cascade and not the root.
@@ -55,7 +55,7 @@
     /// The delays of the cascade, if the root's user and at least one other was told.
     pub fn cascade_times(&self) -> Option<CascadeTimes> {
         let root = JobId::new(&format!("req-{:06}", self.first_number + self.cascade?.first));
-        let (Stage::Cancelled, from) = self.told.get(&root)? else { return None };
+        let (Stage::Cancelled, from) = self.last_reported.get(&root)? else { return None };
         let mut delays: Vec<f64> =
             self.cascade_told.iter().map(|at| at - f64::from(*from) * STEP).collect();
         delays.sort_by(f64::total_cmp);
@@ -77,7 +77,7 @@
     }
 
     /// Number of final states of jobs in the store.
-    pub fn ends(&self) -> usize {
+    pub fn recorded_ends(&self) -> usize {
         self.kv.keys().filter(|key| key.starts_with("end/")).count()
     }
 
@@ -86,7 +86,7 @@
         let Some(plan) = self.cascade else { return };
         let Some(past) = self.step.checked_sub(plan.submit_from) else { return };
         let from = past * plan.per_step;
-        for k in from..(from + plan.per_step).min(plan.followers + 1) {
+        for k in from..(from + plan.per_step).min(plan.dependents + 1) {
             let number = plan.first + k;
             let mut spec = self.spec(number);
             (spec.kind, spec.priority) = (Kind::Array, Priority::Normal);
--- a/crates/rehearsal/src/world/cells.rs
+++ b/crates/rehearsal/src/world/cells.rs
@@ -33,14 +33,14 @@
 
     /// The stage that a job's user was last told, and the step since which.
     pub fn last_told(&self, job: &JobId) -> Option<(Stage, u32)> {
-        self.told.get(job).copied()
+        self.last_reported.get(job).copied()
     }
 
     /// Jobs whose users were told of the cancellation so long ago that no task may be left on any
     /// machine.
     pub fn surely_cancelled(&self) -> impl Iterator<Item = &JobId> {
-        let bound = CANCEL_S + self.beat.1 - LEASE_S;
-        self.told
+        let bound = CANCEL_S + self.heartbeat_and_lease_s.1 - LEASE_S;
+        self.last_reported
             .iter()
             .filter(move |(_, (stage, at))| {
                 *stage == Stage::Cancelled && f64::from(self.step - at) * STEP >= bound
--- a/crates/rehearsal/src/world/checks.rs
+++ b/crates/rehearsal/src/world/checks.rs
@@ -11,30 +11,33 @@
             let all_done = (0..needed.tasks)
                 .all(|index| self.finished.contains(&TaskId { job: dependency.clone(), index }));
             if !all_done {
-                self.broken.push(format!("too_early: {task} before {dependency} was done"));
+                self.violations.push(format!("too_early: {task} before {dependency} was done"));
             }
         }
     }
 
     /// Checks at the end of a run that all work was done.
-    pub fn check_over(&mut self) {
+    pub fn check_completed(&mut self) {
         self.check_served();
-        if self.broken.is_empty() {
+        if self.violations.is_empty() {
             for (id, spec) in &self.specs {
                 let over = self
-                    .told
+                    .last_reported
                     .get(id)
                     .is_some_and(|(s, _)| matches!(s, Stage::Done | Stage::Cancelled));
                 if self.accepted.contains(id) && spec.kind != Kind::Service && !over {
-                    self.broken.push(format!("{id} was never told over: {:?}", self.told.get(id)));
+                    self.violations.push(format!(
+                        "{id} was never told over: {:?}",
+                        self.last_reported.get(id)
+                    ));
                 }
             }
         }
     }
 
     /// Once all faults have been over for 90 s, no service waits while its team is below its limit
-    /// and a machine has room or could be rented. Arrays must be over by then, which `check_over`
-    /// checks.
+    /// and a machine has room or could be rented. Arrays must be over by then, which
+    /// `check_completed` checks.
     pub(super) fn check_served(&mut self) {
         if self.step < self.faults_over_from + 900 {
             return;
@@ -52,14 +55,14 @@
         }
         let waits = |(id, spec): &(&JobId, &JobSpec)| {
             let known = self.accepted_at.get(*id).is_some_and(|at| at + 900 < self.step);
-            let open = !matches!(self.told.get(*id), Some((Stage::Cancelled, _)));
+            let open = !matches!(self.last_reported.get(*id), Some((Stage::Cancelled, _)));
             let has: usize = live().map(|w| on(w, id)).sum();
             let here = !self.elsewhere.contains(*id);
             spec.kind == Kind::Service && known && open && here && has < spec.tasks as usize
         };
         let waiting: Vec<String> =
             self.specs.iter().filter(waits).map(|(id, _)| format!("waits: {id}")).collect();
-        self.broken.extend(waiting);
+        self.violations.extend(waiting);
     }
 
     /// Rule `forgotten`: once all faults are over, no accepted job goes unanswered for longer than
@@ -68,7 +71,7 @@
         for id in &self.accepted {
             let last = self.last_answer_at.get(id).copied().unwrap_or(0).max(self.faults_over_from);
             if self.step > last + MAX_UNANSWERED_STEPS {
-                self.broken.push(format!("forgotten: {id} unanswered since step {last}"));
+                self.violations.push(format!("forgotten: {id} unanswered since step {last}"));
             }
         }
     }
@@ -82,14 +85,14 @@
             return;
         }
         if self.last_term != 0 {
-            self.met.changes_of_leader.push(self.step);
+            self.observed.changes_of_leader.push(self.step);
             let running = self.machines.values().flat_map(|w| w.tasks.values());
             let used = running.filter(|r| r.state != TaskState::Exited).count();
-            self.met.changes_at_limit += u32::from(used as f64 >= self.size.1 - 1.0);
+            self.observed.changes_at_limit += u32::from(used as f64 >= self.size.1 - 1.0);
         }
         self.last_term = last;
         for (heartbeat, sent) in std::mem::take(&mut self.kept_heartbeats) {
-            self.met.kept += 1;
+            self.observed.held_heartbeats += 1;
             for node in 0..NODES {
                 self.after(0, Delivery::Heartbeat { node, heartbeat: heartbeat.clone(), sent });
             }
@@ -104,7 +107,7 @@
         };
         let step = self.step;
         if self.machines.values().any(runs) {
-            self.met.cancelled.push((step, by));
+            self.observed.cancelled.push((step, by));
         }
         let zone = if step < self.partition.2 { self.partition.0 } else { "" };
         let unreachable = |w: &Worker| {
@@ -112,22 +115,23 @@
                 || w.zone == zone
         };
         let on_one = self.machines.values().any(|w| runs(w) && unreachable(w));
-        self.met.cancelled_apart += u32::from(on_one);
+        self.observed.cancelled_unreachable += u32::from(on_one);
     }
 
     /// Rule `ran_cancelled`: no machine holds a task of a job whose user was told of the
     /// cancellation longer ago than tasks may take to stop.
     pub(super) fn check_cancelled(&mut self) {
-        for (id, (stage, at)) in &self.told {
+        for (id, (stage, at)) in &self.last_reported {
             if *stage != Stage::Cancelled
-                || f64::from(self.step - at) * STEP < CANCEL_S + self.beat.1 - LEASE_S
+                || f64::from(self.step - at) * STEP
+                    < CANCEL_S + self.heartbeat_and_lease_s.1 - LEASE_S
             {
                 continue;
             }
             for (m, w) in &self.machines {
                 let on = |(t, r): (&TaskId, &Running)| t.job == *id && r.state != TaskState::Exited;
                 if w.tasks.iter().any(on) {
-                    self.broken.push(format!("ran_cancelled: {id} on {m}"));
+                    self.violations.push(format!("ran_cancelled: {id} on {m}"));
                 }
             }
         }
--- a/crates/rehearsal/src/world/clock.rs
+++ b/crates/rehearsal/src/world/clock.rs
@@ -16,13 +16,13 @@
 
     /// Runs up to the given step, then checks that all work was done.
     pub fn run(&mut self, steps: u32) {
-        self.play(steps);
-        self.check_over();
+        self.advance_to(steps);
+        self.check_completed();
     }
 
     /// Runs up to the given step, or until a rule is violated.
-    pub fn play(&mut self, steps: u32) {
-        while self.step < steps && self.broken.is_empty() {
+    pub fn advance_to(&mut self, steps: u32) {
+        while self.step < steps && self.violations.is_empty() {
             self.advance(steps);
         }
     }
--- a/crates/rehearsal/src/world/direct.rs
+++ b/crates/rehearsal/src/world/direct.rs
@@ -24,11 +24,11 @@
         cmd: DirectCommands,
     ) {
         let clears = |c: &Command| matches!(c, Command::Forget { .. });
-        self.met.orders += u32::from(!cmd.commands.is_empty());
-        self.met.clearing_orders +=
+        self.observed.commands += u32::from(!cmd.commands.is_empty());
+        self.observed.clearing_commands +=
             u32::from(!cmd.commands.is_empty() && cmd.commands.iter().all(clears));
         self.directs_in_flight[node] += 1;
-        self.directs = self.directs.max(self.directs_in_flight[node]);
+        self.max_direct_commands = self.max_direct_commands.max(self.directs_in_flight[node]);
         let direct_outcome = self.direct_outcome(node, &machine);
         self.cancel_held_starts(direct_outcome, &cmd);
         let answer = direct_outcome == DirectOutcome::Answered;
@@ -38,9 +38,11 @@
         }
         let delay = match direct_outcome {
             DirectOutcome::Answered | DirectOutcome::AnswerLate => 0,
-            DirectOutcome::Late { least, most } => self.rng.random_range(least..most),
+            DirectOutcome::Late { min_steps, max_steps } => {
+                self.rng.random_range(min_steps..max_steps)
+            }
         };
-        self.met.late_answers += u32::from(direct_outcome == DirectOutcome::AnswerLate);
+        self.observed.late_answers += u32::from(direct_outcome == DirectOutcome::AnswerLate);
         self.after(
             delay,
             Delivery::Direct(DirectInFlight { node, boot, op, machine, cmd, answer }),
@@ -50,7 +52,7 @@
     /// Schedules the cancellation of jobs whose start command is delayed, if the active fault asks
     /// for it.
     fn cancel_held_starts(&mut self, direct_outcome: DirectOutcome, cmd: &DirectCommands) {
-        let wanted = self.held.is_some_and(|(held, until)| held.called_off && self.step < until);
+        let wanted = self.held.is_some_and(|(held, until)| held.cancelled && self.step < until);
         if !wanted || !matches!(direct_outcome, DirectOutcome::Late { .. }) {
             return;
         }
@@ -71,7 +73,12 @@
             });
         if let Some((held, _)) = self.held.filter(|(_, until)| self.step < *until && !cut) {
             match self.rng.random_range(0..held.one_in) {
-                0 => return DirectOutcome::Late { least: held.least, most: held.most },
+                0 => {
+                    return DirectOutcome::Late {
+                        min_steps: held.min_steps,
+                        max_steps: held.max_steps,
+                    };
+                }
                 1 => return DirectOutcome::AnswerLate,
                 _ => {}
             }
@@ -79,7 +86,7 @@
         if !cut && self.rng.random_range(0..LOST_ONE_IN) != 0 {
             return DirectOutcome::Answered;
         }
-        DirectOutcome::Late { least: 0, most: LATE_USUAL_MAX_STEPS }
+        DirectOutcome::Late { min_steps: 0, max_steps: LATE_USUAL_MAX_STEPS }
     }
 
     /// Executes direct commands that arrive at their machine.
@@ -88,7 +95,7 @@
         // Commands to an unreachable machine are delivered when it is reachable again.
         let until = self.machines.get(&machine).map_or(0, Worker::unreachable_until);
         if until > self.step {
-            self.met.held_orders += 1;
+            self.observed.delayed_commands += 1;
             if answer {
                 // The sender times out.
                 let event = Event::Direct(op, DirectResult::Unknown);
@@ -110,7 +117,7 @@
     /// Counts commands that arrive after their sender timed out, and those that start tasks of a
     /// job cancelled too long ago.
     fn note_late_commands(&mut self, machine: &MachineId, cmd: &DirectCommands) {
-        self.met.late_commands += 1;
+        self.observed.late_commands += 1;
         if self.machines.get(machine).is_none_or(|w| w.dead || w.agent_epoch != cmd.agent_epoch) {
             return;
         }
@@ -119,12 +126,12 @@
             TaskId::parse(task).is_some_and(|task| self.after_cancellation_deadline(&task.job))
         };
         let starts = cmd.commands.iter().filter(past).count();
-        self.met.starts_past_cancellation += starts as u32;
+        self.observed.starts_past_cancellation += starts as u32;
     }
 
     /// Whether a job was cancelled so long ago that none of its tasks may be on a machine.
     pub(super) fn after_cancellation_deadline(&self, job: &JobId) -> bool {
-        let Some((Stage::Cancelled, at)) = self.told.get(job) else { return false };
-        f64::from(self.step - at) * STEP > CANCEL_S + self.beat.1 - LEASE_S
+        let Some((Stage::Cancelled, at)) = self.last_reported.get(job) else { return false };
+        f64::from(self.step - at) * STEP > CANCEL_S + self.heartbeat_and_lease_s.1 - LEASE_S
     }
 }
--- a/crates/rehearsal/src/world/faults.rs
+++ b/crates/rehearsal/src/world/faults.rs
@@ -84,21 +84,21 @@
     MachineHangs(usize, u32),
     /// Some direct commands are delayed, and the answers to others, while all other messages to and
     /// from their machines arrive.
-    HeldCommands(Held, u32),
+    HeldCommands(HoldPlan, u32),
 }
 
 /// How direct commands are delayed.
 #[derive(Clone, Copy, Debug)]
-pub struct Held {
+pub struct HoldPlan {
     /// One in this many commands is delayed, and the answer to another one in this many.
     pub one_in: u32,
     /// Smallest delay, in steps.
-    pub least: u32,
+    pub min_steps: u32,
     /// Upper bound of the delay, in steps, exclusive.
-    pub most: u32,
+    pub max_steps: u32,
     /// Whether users cancel jobs whose start command is delayed, within two seconds after it was
     /// sent.
-    pub called_off: bool,
+    pub cancelled: bool,
 }
 
 impl Fault {
@@ -180,7 +180,7 @@
             }
             Fault::StoreDown(s) => {
                 if !self.kv.contains_key(marblebarrow_proto::records::LEADER) {
-                    self.met.outages_without_leader.push(step);
+                    self.observed.outages_without_leader.push(step);
                 }
                 self.store_down_until = step + s;
             }
--- a/crates/rehearsal/src/world/late_acceptance.rs
+++ b/crates/rehearsal/src/world/late_acceptance.rs
@@ -27,7 +27,7 @@
             put(spec_key(&dependent), cbor::to_value(&record)),
         ];
         self.store(&StoreRequest::Commit(Txn { conds: Vec::new(), writes }));
-        self.told.insert(cancelled.clone(), (Stage::Cancelled, self.step));
+        self.last_reported.insert(cancelled.clone(), (Stage::Cancelled, self.step));
         self.cancels.insert(cancelled, self.step);
         self.accepted.insert(dependent.clone());
         self.accepted_at.insert(dependent.clone(), self.step);
@@ -37,7 +37,7 @@
     }
 
     /// The stage that a job's user was last told, if any, and the step since which.
-    pub fn told(&self, id: &JobId) -> Option<(Stage, u32)> {
-        self.told.get(id).cloned()
+    pub fn last_reported(&self, id: &JobId) -> Option<(Stage, u32)> {
+        self.last_reported.get(id).cloned()
     }
 }
--- a/crates/rehearsal/src/world/lease_trace.rs
+++ b/crates/rehearsal/src/world/lease_trace.rs
@@ -69,7 +69,7 @@
 
 /// A lease that expired while its worker held tasks.
 #[derive(Clone, Debug)]
-pub struct LeaseLapse {
+pub struct LeaseExpiry {
     /// Name of the machine.
     pub machine: String,
     /// When the last heartbeat that renewed the lease was sent, in seconds.
@@ -80,7 +80,7 @@
     pub trace: LeaseTrace,
 }
 
-impl LeaseLapse {
+impl LeaseExpiry {
     /// The attempts that did not renew the lease, oldest first.
     pub fn attempts(&self) -> &[HeartbeatAttempt] {
         &self.trace.attempts
@@ -95,7 +95,7 @@
     }
 }
 
-impl fmt::Display for LeaseLapse {
+impl fmt::Display for LeaseExpiry {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} renewed {:.1} ended {:.1}:", self.machine, self.renewed_s, self.ended_s)?;
         for attempt in self.attempts() {
--- a/crates/rehearsal/src/world/messages.rs
+++ b/crates/rehearsal/src/world/messages.rs
@@ -70,9 +70,9 @@
 pub(super) enum DirectOutcome {
     /// The command and its answer both arrive.
     Answered,
-    /// The command arrives after at least `least` and fewer than `most` steps, and its sender times
-    /// out before.
-    Late { least: u32, most: u32 },
+    /// The command arrives after at least `min_steps` and fewer than `max_steps` steps, and its
+    /// sender times out before.
+    Late { min_steps: u32, max_steps: u32 },
     /// The command arrives at once, and its answer after the sender has timed out.
     AnswerLate,
 }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -15,7 +15,7 @@
 mod lease_trace;
 mod members;
 mod messages;
-mod met;
+mod observations;
 mod settings;
 mod store;
 mod store_limits;
@@ -26,10 +26,10 @@
 mod workers;
 
 pub use cascades::{CascadePlan, CascadeTimes};
-pub use faults::{Fault, Held};
-pub use lease_trace::{HeartbeatAttempt, HeartbeatOutcome, LeaseLapse, LeaseTrace};
+pub use faults::{Fault, HoldPlan};
+pub use lease_trace::{HeartbeatAttempt, HeartbeatOutcome, LeaseExpiry, LeaseTrace};
 pub use messages::{CellAnswer, OutgoingCall};
-pub use met::Met;
+pub use observations::Observations;
 pub use store::StoreWork;
 pub use store_limits::StoreLimits;
 
@@ -90,7 +90,7 @@
     cancel_at_end_until: u32,
     poll_storm_until: u32,
     /// How direct commands are delayed, and until when.
-    held: Option<(Held, u32)>,
+    held: Option<(HoldPlan, u32)>,
     /// Copies of heartbeats that reach every controller when the next leader takes over, and when
     /// each was sent.
     kept_heartbeats: Vec<(Heartbeat, f64)>,
@@ -122,7 +122,7 @@
     next_reply: u64,
     specs: BTreeMap<JobId, JobSpec>,
     accepted: BTreeSet<JobId>,
-    told: BTreeMap<JobId, (Stage, u32)>,
+    last_reported: BTreeMap<JobId, (Stage, u32)>,
     cancels: BTreeMap<JobId, u32>,
     finished: BTreeSet<TaskId>,
     /// Settings of this cell and of the other cells, if there are any.
@@ -145,45 +145,45 @@
     /// Answers to other cells' calls, with the number of each call, since this was last taken.
     pub cell_answers: Vec<(u64, CellAnswer)>,
     /// Counts of the run, by which tests check that faults took effect.
-    pub met: Met,
+    pub observed: Observations,
     /// Whether every third job is bound to a zone.
-    pub zoned: bool,
+    pub zone_bound_jobs: bool,
     /// Whether every fourth job is cancelled one second after it was accepted.
-    pub quarter: bool,
+    pub cancel_every_fourth: bool,
     /// Whether users also submit jobs that can never run.
-    pub odd: bool,
+    pub submit_unrunnable_jobs: bool,
     /// Violations of the safety rules.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Tasks started.
     pub starts: u32,
     /// Machines that a controller cordoned as slow or faulty.
     pub cordons: usize,
     /// Steps between submissions, and the step at which submissions end.
-    pub pace: (u32, u32),
+    pub submission_interval_and_end: (u32, u32),
     /// Whether the store executes and answers every request at once, apart from the faults of the
     /// run.
     pub store_answers_all: bool,
     /// Jobs submitted at the same time.
     pub jobs_at_once: u32,
     /// The step at which the first task of each job started.
-    pub begun: BTreeMap<JobId, u32>,
+    pub started_at: BTreeMap<JobId, u32>,
     /// The step at which the user of each job was first told that it is accepted.
     pub accepted_at: BTreeMap<JobId, u32>,
     /// The largest number of machines, and the team's limit in CPUs.
     pub size: (usize, f64),
     /// Heartbeat interval and lease of workers, in seconds.
-    pub beat: (f64, f64),
+    pub heartbeat_and_lease_s: (f64, f64),
     /// Replicas of each service.
     pub replicas: u32,
     /// Keys in a page of a range read from the store.
-    pub page: usize,
+    pub store_page_keys: usize,
     directs_in_flight: [usize; NODES],
     /// The largest number of tasks of an array.
-    pub width: u32,
+    pub max_tasks: u32,
     /// The largest number of direct commands that one controller had in flight.
-    pub directs: usize,
+    pub max_direct_commands: usize,
     /// The largest number of changes to the store within a second.
-    pub changes: usize,
+    pub max_changes_per_second: usize,
     /// Totals of the changes made to the store.
     pub store_work: StoreWork,
     recent_changes: Vec<(u32, usize)>,
@@ -191,13 +191,13 @@
     puts: BTreeMap<String, usize>,
     /// Tasks of jobs whose number is a multiple of this fail on every machine. Users cancel these
     /// jobs.
-    pub mistaken: Option<u32>,
-    /// Whether the tasks of a job end far apart, task `i` after `gap_s * i` seconds.
-    pub gaps: bool,
-    /// Seconds between the ends of consecutive tasks of a job if `gaps` is set.
-    pub gap_s: f64,
+    pub failing_job_interval: Option<u32>,
+    /// Whether the tasks of a job end far apart, task `i` after `stagger_s * i` seconds.
+    pub staggered_tasks: bool,
+    /// Seconds between the ends of consecutive tasks of a job if `staggered_tasks` is set.
+    pub stagger_s: f64,
     /// Task attempts that failed.
-    pub fails: u32,
+    pub failed_attempts: u32,
     /// Machines rented so far.
     pub rented: u32,
     /// Whether users submit no services.
@@ -211,14 +211,14 @@
     /// Whether arrays may use spot machines.
     pub spot_arrays: bool,
     /// Agent epochs that ended with tasks because the lease expired.
-    pub lapses: u32,
+    pub expired_leases: u32,
     /// Number of a low-priority job, and how many tasks it has. Each runs for a minute.
-    pub idle: Option<(u32, u32)>,
+    pub idle_job: Option<(u32, u32)>,
     /// Ordinary (not spot) machines rented so far.
     pub ordinary: u32,
     /// If set, there are no services, and the job of this number has this many tasks and a deadline
     /// of 1 s that it can't meet.
-    pub wide: Option<(u32, u32)>,
+    pub wide_job: Option<(u32, u32)>,
     /// If set, arrays form pipelines of this many jobs: each names the jobs before it in its
     /// pipeline as dependencies, and is submitted once they are accepted.
     pub pipeline: Option<u32>,
--- a/crates/rehearsal/src/world/store.rs
+++ b/crates/rehearsal/src/world/store.rs
@@ -89,7 +89,7 @@
                     .collect();
                 if !failed.is_empty() {
                     if !txn.writes.is_empty() {
-                        self.met.conflicts.push(self.step);
+                        self.observed.conflicts.push(self.step);
                     }
                     return StoreResult::Conflict(failed);
                 }
@@ -100,15 +100,15 @@
                     return StoreResult::Rejected;
                 }
                 if self.too_large(txn) {
-                    self.met.rejections += 1;
+                    self.observed.rejections += 1;
                     if self.store_limits.is_some_and(|limits| limits.announced) {
                         let key = txn.conds.last().map(|cond| cond.key.clone());
-                        self.broken.push(format!("too large a transaction: {key:?}"));
+                        self.violations.push(format!("too large a transaction: {key:?}"));
                     }
                     return StoreResult::Rejected;
                 }
                 if txn.writes.len() > 16 || txn.conds.len() > 64 {
-                    self.broken.push(format!("too large a transaction: {}", txn.writes.len()));
+                    self.violations.push(format!("too large a transaction: {}", txn.writes.len()));
                 }
                 if !txn.writes.is_empty() {
                     self.store_work.add(txn);
@@ -117,7 +117,7 @@
                     self.recent_changes.retain(|(at, _)| *at > second);
                     self.recent_changes.push((self.step, txn.writes.len()));
                     let changes = self.recent_changes.iter().map(|(_, n)| n).sum();
-                    self.changes = self.changes.max(changes);
+                    self.max_changes_per_second = self.max_changes_per_second.max(changes);
                 }
                 for w in &txn.writes {
                     match w {
@@ -148,15 +148,15 @@
                     .range(prefix.clone().max(after.clone())..)
                     .take_while(|(k, _)| k.starts_with(prefix))
                     .filter(|(k, _)| *k > after)
-                    .take(self.page + 1)
+                    .take(self.store_page_keys + 1)
                     .map(|(k, (v, version, _))| Item {
                         key: k.clone(),
                         value: v.clone(),
                         version: *version,
                     })
                     .collect();
-                let more = items.len() > self.page;
-                items.truncate(self.page);
+                let more = items.len() > self.store_page_keys;
+                items.truncate(self.store_page_keys);
                 StoreResult::Page(ItemPage { items, more, revision: self.revision })
             }
             StoreRequest::GrantLease(ttl) => {
--- a/crates/rehearsal/src/world/store_limits.rs
+++ b/crates/rehearsal/src/world/store_limits.rs
@@ -63,7 +63,7 @@
             _ => 0.0,
         };
         if budget.requests < 1.0 || budget.changes < changes {
-            self.met.store_refusals += 1;
+            self.observed.store_refusals += 1;
             return false;
         }
         budget.requests -= 1.0;
--- a/crates/rehearsal/src/world/tasks.rs
+++ b/crates/rehearsal/src/world/tasks.rs
@@ -62,11 +62,11 @@
     pub(super) fn start(&mut self, id: &MachineId, name: &str, attempt: Attempt) {
         let now = self.now();
         let Some(task) = TaskId::parse(name) else {
-            return self.broken.push(format!("invented: {name}"));
+            return self.violations.push(format!("invented: {name}"));
         };
         let spec = self.specs.get(&task.job).or_else(|| self.guest_specs.get(&task.job));
         let Some(spec) = spec.cloned() else {
-            return self.broken.push(format!("invented: {task}"));
+            return self.violations.push(format!("invented: {task}"));
         };
         let Some(w) = self.machines.get(id) else { return };
         if w.tasks.get(&task).is_some_and(|run| run.attempt == attempt) {
@@ -91,10 +91,10 @@
     /// Counts a start, and records the first one of its job.
     fn count_start(&mut self, task: &TaskId, spec: &JobSpec) {
         self.starts += 1;
-        let first = !self.begun.contains_key(&task.job);
-        self.met.dependents_started += u32::from(first && !spec.dependencies.is_empty());
-        self.begun.entry(task.job.clone()).or_insert(self.step);
-        self.met.zoned_starts += u32::from(spec.zone.is_some());
+        let first = !self.started_at.contains_key(&task.job);
+        self.observed.dependents_started += u32::from(first && !spec.dependencies.is_empty());
+        self.started_at.entry(task.job.clone()).or_insert(self.step);
+        self.observed.zoned_starts += u32::from(spec.zone.is_some());
     }
 
     /// Checks the rules of a start: `ran_twice`, `wrong_place`, `quota` and `ran_cancelled`.
@@ -104,19 +104,19 @@
             |w: &Worker| w.tasks.get(task).is_some_and(|run| run.state != TaskState::Exited);
         let twice = self.machines.iter().find(|(o, w)| *o != id && !w.dead && holds(w));
         if let Some((other, _)) = twice {
-            self.broken.push(format!("ran_twice: {task} on {id} and {other}"));
+            self.violations.push(format!("ran_twice: {task} on {id} and {other}"));
         }
         if w.spot && !spec.spot || spec.zone.as_ref().is_some_and(|zone| *zone != w.zone) {
-            self.broken.push(format!("wrong_place: {task} on {id}"));
+            self.violations.push(format!("wrong_place: {task} on {id}"));
         }
         let team: usize = self.machines.values().map(Worker::live_tasks).sum();
         if team as f64 + 1.0 > self.size.1 {
-            self.broken.push(format!("quota: {task} on {id}"));
+            self.violations.push(format!("quota: {task} on {id}"));
         }
-        if matches!(self.told.get(&task.job), Some((Stage::Cancelled, _))) {
-            self.met.late_starts += 1;
+        if matches!(self.last_reported.get(&task.job), Some((Stage::Cancelled, _))) {
+            self.observed.late_starts += 1;
             if self.after_cancellation_deadline(&task.job) {
-                self.broken.push(format!("ran_cancelled: {task} starts on {id}"));
+                self.violations.push(format!("ran_cancelled: {task} starts on {id}"));
             }
         }
     }
@@ -128,12 +128,12 @@
         let usual = self.rng.random_range(1.0..5.0);
         let run = match spec.priority {
             Priority::Low => LOW_PRIORITY_RUN_S,
-            _ if self.gaps && task.index > 0 => self.gap_s * f64::from(task.index),
+            _ if self.staggered_tasks && task.index > 0 => self.stagger_s * f64::from(task.index),
             _ => usual,
         };
         let run = run * if slow { SLOW_FACTOR } else { 1.0 };
         match spec.kind {
-            _ if self.mistaken(&task.job) => now + FAILING_TASK_RUN_S,
+            _ if self.always_fails(&task.job) => now + FAILING_TASK_RUN_S,
             Kind::Service => f64::INFINITY,
             _ if self.finished.contains(task) => now,
             _ => now + run,
--- a/crates/rehearsal/src/world/upgrade.rs
+++ b/crates/rehearsal/src/world/upgrade.rs
@@ -23,7 +23,7 @@
 
 impl World {
     /// Starts with all controllers on the version in production, to be upgraded by `restart`.
-    pub fn begin_upgrade(&mut self) {
+    pub fn start_upgrade(&mut self) {
         self.upgrading = true;
         self.hosts.iter_mut().for_each(|host| host.format = PRODUCTION_FORMAT);
     }
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/world/users.rs
@@ -21,21 +21,22 @@
     fn default_spec(&mut self, n: u32) -> JobSpec {
         // With several replicas every other job is a service, and none is cancelled.
         let turn = if self.replicas > 1 { n % 2 == 1 } else { n % 4 == 3 };
-        let service = turn && self.wide.is_none() && !self.no_services;
+        let service = turn && self.wide_job.is_none() && !self.no_services;
         JobSpec {
             id: JobId::new(&format!("req-{:06}", self.first_number + n)),
             class: if service { "s" } else { "a" }.into(),
             team: "t".into(),
             kind: if service { Kind::Service } else { Kind::Array },
             priority: if service { Priority::Production } else { Priority::Normal },
-            tasks: if service { self.replicas } else { self.rng.random_range(1..=self.width) },
+            tasks: if service { self.replicas } else { self.rng.random_range(1..=self.max_tasks) },
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 1.0,
             image: format!("i{}", n % 2),
             image_gb: 0.5,
             types: None,
-            zone: (self.zoned && n.is_multiple_of(3)).then(|| "ab"[(n % 2) as usize..][..1].into()),
+            zone: (self.zone_bound_jobs && n.is_multiple_of(3))
+                .then(|| "ab"[(n % 2) as usize..][..1].into()),
             one_zone: false,
             spread: false,
             spot: !service && self.spot_arrays,
@@ -78,7 +79,7 @@
                 if !seen.insert(dependency.clone()) {
                     continue;
                 }
-                if let Some((Stage::Cancelled, at)) = self.told.get(dependency) {
+                if let Some((Stage::Cancelled, at)) = self.last_reported.get(dependency) {
                     earliest = Some(earliest.map_or(*at, |e| e.min(*at)));
                 }
                 stack.push(dependency.clone());
@@ -100,12 +101,12 @@
     /// Adds job number `n` to those that users submit.
     fn submit_job(&mut self, n: u32) {
         let mut spec = self.spec(n);
-        if let Some((_, tasks)) = self.wide.filter(|(wide, _)| *wide == n) {
+        if let Some((_, tasks)) = self.wide_job.filter(|(wide_job, _)| *wide_job == n) {
             spec.kind = Kind::Array;
             spec.tasks = tasks;
             spec.deadline_s = Some(1.0);
         }
-        if let Some((_, tasks)) = self.idle.filter(|(idle, _)| *idle == n) {
+        if let Some((_, tasks)) = self.idle_job.filter(|(idle_job, _)| *idle_job == n) {
             spec.kind = Kind::Array;
             spec.priority = Priority::Low;
             (spec.class, spec.tasks, spec.spot) = ("i".into(), tasks, true);
@@ -117,7 +118,7 @@
 
     /// One step of all users: submissions, cancellations and polls that are due.
     pub(super) fn users(&mut self, steps: u32) {
-        let (every, until) = self.pace;
+        let (every, until) = self.submission_interval_and_end;
         if self.step % every == 5 % every && self.step < until {
             let first = self.step / every * self.jobs_at_once;
             (first..first + self.jobs_at_once).for_each(|n| self.submit_job(n));
@@ -130,7 +131,8 @@
         }
         for (id, spec) in self.specs.clone() {
             let n = self.rng.random_range(0..NODES);
-            let over = matches!(self.told.get(&id), Some((Stage::Done | Stage::Cancelled, _)));
+            let over =
+                matches!(self.last_reported.get(&id), Some((Stage::Done | Stage::Cancelled, _)));
             // Services, and one array in five, are cancelled at some time.
             let number = number_of(&id);
             let planned = self.cascade_cancel(number);
@@ -139,7 +141,7 @@
                 || planned.is_none()
                     && (spec.kind == Kind::Service
                         || number.is_multiple_of(5)
-                        || self.mistaken(&id))
+                        || self.always_fails(&id))
                     && self.replicas == 1
                     && self.filled_by.is_none()
                     && self.step > number * 25 + 250
@@ -189,7 +191,7 @@
                 }
             }
         }
-        if self.quarter {
+        if self.cancel_every_fourth {
             let number = number_of;
             let due = |(id, at): &(&JobId, &u32)| number(id).is_multiple_of(4) && step == *at + 10;
             let due = self.accepted_at.iter().filter(due).map(|(id, _)| id.clone());
@@ -198,11 +200,12 @@
         let due = |(at, _): &mut (u32, JobId)| *at <= step;
         let due: Vec<(u32, JobId)> = self.cancels_due.extract_if(.., due).collect();
         self.cancel_requested.extend(due.into_iter().map(|(_, id)| id));
-        if self.odd && step.is_multiple_of(40) {
+        if self.submit_unrunnable_jobs && step.is_multiple_of(40) {
             self.submit_impossible_job();
         }
-        let over =
-            |id: &JobId| matches!(self.told.get(id), Some((Stage::Done | Stage::Cancelled, _)));
+        let over = |id: &JobId| {
+            matches!(self.last_reported.get(id), Some((Stage::Done | Stage::Cancelled, _)))
+        };
         let open: Vec<JobId> =
             self.cancel_requested.iter().filter(|id| !over(id)).cloned().collect();
         for id in open {
@@ -229,9 +232,9 @@
     }
 
     /// Whether the tasks of a job fail on every machine.
-    pub(super) fn mistaken(&self, id: &JobId) -> bool {
+    pub(super) fn always_fails(&self, id: &JobId) -> bool {
         let number = number_of(id);
-        self.mistaken.is_some_and(|k| number.is_multiple_of(k))
+        self.failing_job_interval.is_some_and(|k| number.is_multiple_of(k))
     }
 
     /// Handles a controller's answer to a user, and checks it against earlier answers and the
@@ -244,12 +247,12 @@
         asked: u32,
         answer: &Answer,
     ) {
-        let known = self.told.get(id).cloned();
+        let known = self.last_reported.get(id).cloned();
         if id.as_str().starts_with("odd") {
             if matches!(answer, Answer::Job(..)) {
-                self.broken.push(format!("accepted, and can never run: {id}"));
+                self.violations.push(format!("accepted, and can never run: {id}"));
             }
-            self.met.odd += u32::from(matches!(answer, Answer::NeverRuns(_)));
+            self.observed.unrunnable_refused += u32::from(matches!(answer, Answer::NeverRuns(_)));
             return;
         }
         match answer {
@@ -264,50 +267,55 @@
                 if let Some((stage, _)) = final_before
                     && stage != status.stage
                 {
-                    self.broken.push(format!("went_back: {id} {stage:?} then {:?}", status.stage));
+                    self.violations
+                        .push(format!("went_back: {id} {stage:?} then {:?}", status.stage));
                 }
                 if status.stage == Stage::Cancelled && !self.cancel_asked_upstream(id) {
-                    self.broken.push(format!("went_back: {id} cancelled by nobody"));
+                    self.violations.push(format!("went_back: {id} cancelled by nobody"));
                 }
                 let open = matches!(status.stage, Stage::Queued | Stage::Running);
                 if let Some(at) = self.cancelled_upstream(id).filter(|_| open)
                     && f64::from(asked.saturating_sub(at)) * STEP > CANCEL_S
                 {
-                    self.broken.push(format!("orphaned: {id} {:?} at step {asked}", status.stage));
+                    self.violations
+                        .push(format!("orphaned: {id} {:?} at step {asked}", status.stage));
                 }
                 if status.stage == Stage::Done {
                     let tasks = self.specs[id].tasks;
                     let done = (0..tasks)
                         .all(|index| self.finished.contains(&TaskId { job: id.clone(), index }));
                     if !done {
-                        self.broken.push(format!("not_done: {id}"));
+                        self.violations.push(format!("not_done: {id}"));
                     }
                 }
                 let over = |s: &Stage| matches!(s, Stage::Done | Stage::Cancelled);
-                let news = self.told.get(id).is_none_or(|(s, _)| over(&status.stage) && !over(s));
+                let news =
+                    self.last_reported.get(id).is_none_or(|(s, _)| over(&status.stage) && !over(s));
                 if news {
                     if self.step < self.request_bursts_until {
-                        self.met.looks += 1;
+                        self.observed.close_polls += 1;
                         self.request_bursts.push((id.clone(), self.step));
                     }
                     if status.stage == Stage::Cancelled {
                         self.note_cancelled(by, id);
-                        self.met.cascaded += u32::from(!self.cancels.contains_key(id));
+                        self.observed.cascade_cancelled +=
+                            u32::from(!self.cancels.contains_key(id));
                         self.note_cascade_told(id);
                     }
                 }
-                let entry = self.told.entry(id.clone()).or_insert((status.stage, self.step));
+                let entry =
+                    self.last_reported.entry(id.clone()).or_insert((status.stage, self.step));
                 if entry.0 != status.stage && !matches!(entry.0, Stage::Done | Stage::Cancelled) {
                     *entry = (status.stage, self.step);
                 }
             }
             Answer::NotFound | Answer::NeverRuns(_) if self.accepted.contains(id) => {
-                self.broken.push(format!("forgotten: {id} {what} {answer:?}"));
+                self.violations.push(format!("forgotten: {id} {what} {answer:?}"));
             }
             Answer::Full(_) | Answer::Unavailable(_)
                 if what == 'p' && self.cascade.is_some_and(|c| c.includes(number_of(id))) =>
             {
-                self.met.cascade_unanswered += 1;
+                self.observed.cascade_unanswered += 1;
             }
             _ => {}
         }
--- a/crates/rehearsal/src/world/views.rs
+++ b/crates/rehearsal/src/world/views.rs
@@ -21,7 +21,7 @@
     }
 
     /// Number of machines that were not lost.
-    pub fn up(&self) -> usize {
+    pub fn machines_up(&self) -> usize {
         self.machines.values().filter(|w| !w.dead).count()
     }
 
--- a/crates/rehearsal/src/world/workers.rs
+++ b/crates/rehearsal/src/world/workers.rs
@@ -81,10 +81,10 @@
             return;
         }
         // A suspended worker does this when it resumes, before anything else.
-        if now - w.leased_from > self.beat.1 {
+        if now - w.leased_from > self.heartbeat_and_lease_s.1 {
             if !w.tasks.is_empty() {
-                self.lapses += 1;
-                self.met.lease_lapses.push(LeaseLapse {
+                self.expired_leases += 1;
+                self.observed.lease_expiries.push(LeaseExpiry {
                     machine: id.to_string(),
                     renewed_s: w.leased_from,
                     ended_s: now,
@@ -124,8 +124,8 @@
     /// Ends a task, and returns its outcome. May schedule a cancellation of its job.
     fn end_task(&mut self, task: &TaskId) -> Why {
         let number = number_of(&task.job);
-        if self.mistaken.is_some_and(|divisor| number.is_multiple_of(divisor)) {
-            self.fails += 1;
+        if self.failing_job_interval.is_some_and(|divisor| number.is_multiple_of(divisor)) {
+            self.failed_attempts += 1;
             return Why::Error;
         }
         self.finished.insert(task.clone());
@@ -134,7 +134,7 @@
             && self.step < self.cancel_at_end_until
             && self.rng.random_range(0..CANCELLED_AT_END_ONE_IN) == 0
         {
-            self.met.cancelled_at_end += 1;
+            self.observed.cancelled_at_end += 1;
             self.cancel_requested.insert(task.job.clone());
         }
         Why::Done
@@ -160,7 +160,7 @@
             return;
         }
         w.awaiting_since = Some(now);
-        w.next_heartbeat = now + self.beat.0;
+        w.next_heartbeat = now + self.heartbeat_and_lease_s.0;
         w.trace.sent(w.controller, now);
         let (node, cut) = (w.controller, w.cut_until);
         let outbound_cut = self.step < w.outbound_cut_until;
@@ -184,7 +184,7 @@
     fn send_late_copy(&mut self, node: usize, heartbeat: Heartbeat, sent: f64) {
         let node = (node + self.step as usize) % NODES;
         let delay = self.rng.random_range(1..self.copies.1.max(2));
-        self.met.copies += 1;
+        self.observed.copies += 1;
         self.deliveries.push((self.step + delay, Delivery::Heartbeat { node, heartbeat, sent }));
     }
 
@@ -199,7 +199,7 @@
         let now = self.now();
         let Some(w) = self.machines.get_mut(id) else { return };
         let unreachable = self.step < w.unreachable_until();
-        self.met.unheard += u32::from(unreachable);
+        self.observed.undelivered_answers += u32::from(unreachable);
         if w.dead || w.awaiting_since != Some(sent) || w.agent_epoch != agent_epoch || unreachable {
             return;
         }
@@ -240,7 +240,7 @@
         }
         let is_current = cmd.fencing_token >= w.fencing_token && cmd.agent_epoch == w.agent_epoch;
         if is_current {
-            self.met.mute_orders += u32::from(self.step < w.outbound_cut_until);
+            self.observed.one_way_commands += u32::from(self.step < w.outbound_cut_until);
             w.fencing_token = cmd.fencing_token;
             self.execute(id, &cmd.commands);
         }
--- a/crates/rehearsal/tests/cells.rs
+++ b/crates/rehearsal/tests/cells.rs
@@ -12,7 +12,7 @@
 fn run(plan: &Plan) -> FleetOfCells {
     let mut fleet = FleetOfCells::new(plan);
     fleet.run(FleetOfCells::steps_of(plan));
-    assert_eq!(fleet.broken, Vec::<String>::new(), "{plan:?}");
+    assert_eq!(fleet.violations, Vec::<String>::new(), "{plan:?}");
     fleet
 }
 
@@ -27,8 +27,8 @@
         for seed in 0..6 {
             let verdict = scenario.run(seed);
             assert!(verdict.passed(), "{verdict}");
-            if let Outcome::Cells { met, .. } = &verdict.outcome {
-                assert!(met.moved >= 3, "{verdict}");
+            if let Outcome::Cells { observed, .. } = &verdict.outcome {
+                assert!(observed.moved >= 3, "{verdict}");
             }
         }
     }
@@ -56,8 +56,8 @@
             ..Plan::one_full(seed)
         };
         let fleet = run(&plan);
-        refused += fleet.met.refused;
-        moved += fleet.met.moved;
+        refused += fleet.observed.refused;
+        moved += fleet.observed.moved;
     }
     assert!(refused >= 30 && moved >= 45, "{refused} refused, {moved} moved");
 }
@@ -75,8 +75,8 @@
             ..Plan::one_full(seed)
         };
         let fleet = run(&plan);
-        moved += fleet.met.moved;
-        refused += fleet.met.refused;
+        moved += fleet.observed.moved;
+        refused += fleet.observed.refused;
     }
     assert!(moved >= 170 && refused >= 100, "{moved} moved, {refused} refused");
 }
@@ -96,8 +96,8 @@
             ..Plan::one_full(seed)
         };
         let fleet = run(&plan);
-        assert_eq!(fleet.met.moved, u64::from(fleet.ends(0).accepted), "seed {seed}");
-        refused += fleet.met.refused;
+        assert_eq!(fleet.observed.moved, u64::from(fleet.ends(0).accepted), "seed {seed}");
+        refused += fleet.observed.refused;
     }
     assert!(refused >= 400, "{refused} refused");
 }
@@ -115,7 +115,7 @@
             ..Plan::one_full(seed)
         };
         let fleet = run(&plan);
-        wanted += fleet.met.cancels_wanted;
+        wanted += fleet.observed.cancels_wanted;
         cancelled += fleet.ends(0).cancelled;
     }
     assert!(wanted >= 25 && cancelled >= 120, "{wanted} wanted, {cancelled} cancelled");
@@ -137,7 +137,7 @@
             faults: (0..24).map(ends).collect(),
             ..Plan::one_full(seed)
         };
-        moved += run(&plan).met.moved;
+        moved += run(&plan).observed.moved;
     }
     assert!(moved >= 25, "{moved} moved");
 }
@@ -154,7 +154,7 @@
             faults: vec![pause(90, 0), pause(130, 1), pause(200, 2), pause(280, 0)],
             ..Plan::one_full(seed)
         };
-        moved += run(&plan).met.moved;
+        moved += run(&plan).observed.moved;
     }
     assert!(moved >= 45, "{moved} moved");
 }
@@ -171,7 +171,7 @@
             faults: (0..9).map(|n| restart_all(80 + n * 40, n as usize % 3)).collect(),
             ..Plan::one_full(seed)
         };
-        moved += run(&plan).met.moved;
+        moved += run(&plan).observed.moved;
     }
     assert!(moved >= 45, "{moved} moved");
 }
@@ -185,7 +185,7 @@
         let late = |cell| (50, CellFault::Within(cell, Fault::AnswersLate(500)));
         let plan =
             Plan { patience_s: 1.0, faults: (0..3).map(late).collect(), ..Plan::one_full(seed) };
-        moved += run(&plan).met.moved;
+        moved += run(&plan).observed.moved;
     }
     assert!(moved >= 45, "{moved} moved");
 }
@@ -195,7 +195,7 @@
 fn without_settings_for_cells_no_job_moves() {
     let plan = Plan { moving: false, ..Plan::one_full(1) };
     let fleet = run(&plan);
-    assert_eq!((fleet.met.moved, fleet.met.messages), (0, 0));
+    assert_eq!((fleet.observed.moved, fleet.observed.messages), (0, 0));
 }
 
 /// Any fault of a run of three cells, and the step at which it begins.
@@ -253,7 +253,7 @@
         };
         let mut fleet = FleetOfCells::new(&plan);
         fleet.run(FleetOfCells::steps_of(&plan));
-        prop_assert_eq!(&fleet.broken, &Vec::<String>::new());
+        prop_assert_eq!(&fleet.violations, &Vec::<String>::new());
     }
 }
 
@@ -267,7 +267,7 @@
         let mut fleet = FleetOfCells::new(&plan);
         fleet.cells[0].pipeline = Some(3);
         fleet.run(FleetOfCells::steps_of(&plan));
-        assert_eq!(fleet.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(fleet.violations, Vec::<String>::new(), "seed {seed}");
         let guests = &fleet.cells[1].guest_specs;
         for job in &fleet.cells[0].elsewhere {
             assert_eq!(guests[job].dependencies, [], "seed {seed}: {job} moved");
--- a/crates/rehearsal/tests/cells_ends.rs
+++ b/crates/rehearsal/tests/cells_ends.rs
@@ -50,7 +50,7 @@
         cell.store_answers_all = true;
     }
     fleet.run(FleetOfCells::steps_of(plan));
-    if fleet.broken.is_empty() { Ok(fleet) } else { Err(format!("{:?}", fleet.broken)) }
+    if fleet.violations.is_empty() { Ok(fleet) } else { Err(format!("{:?}", fleet.violations)) }
 }
 
 /// Steps within which a final state must be known in the home cell, including the time to write
--- a/crates/rehearsal/tests/cells_moments.rs
+++ b/crates/rehearsal/tests/cells_moments.rs
@@ -72,10 +72,10 @@
     sweep("moments", &[0, 1, 2, 3, 4, 5], |seed| {
         let plan = home_filled(seed, faults(seed));
         let mut fleet = FleetOfCells::new(&plan);
-        fleet.cells.iter_mut().for_each(|cell| cell.beat = SHORT_LEASES);
+        fleet.cells.iter_mut().for_each(|cell| cell.heartbeat_and_lease_s = SHORT_LEASES);
         fleet.run(FleetOfCells::steps_of(&plan));
-        if !fleet.broken.is_empty() {
-            return Err(format!("{:?}", fleet.broken));
+        if !fleet.violations.is_empty() {
+            return Err(format!("{:?}", fleet.violations));
         }
         let bound = BEGINS_WITHIN_STEPS + FAILOVER_STEPS + PAUSE_MAX_STEPS;
         let late = fleet.waits(0).into_iter().filter(|wait| *wait > bound).count();
@@ -97,8 +97,8 @@
         let plan = Plan { until: 20, ..home_filled(seed, Vec::new()) };
         let mut fleet = FleetOfCells::new(&plan);
         fleet.run(FleetOfCells::steps_of(&plan));
-        if !fleet.broken.is_empty() {
-            return Err(format!("{:?}", fleet.broken));
+        if !fleet.violations.is_empty() {
+            return Err(format!("{:?}", fleet.violations));
         }
         let service = fleet.cells[0].submitted().keys().next().cloned();
         let service = service.ok_or("no job was submitted")?;
--- a/crates/rehearsal/tests/cells_sweeps.rs
+++ b/crates/rehearsal/tests/cells_sweeps.rs
@@ -37,7 +37,7 @@
 /// Runs a plan to its end.
 fn play(fleet: &mut FleetOfCells, plan: &Plan) -> Result<(), String> {
     fleet.run(FleetOfCells::steps_of(plan) + STEPS_MORE);
-    if fleet.broken.is_empty() { Ok(()) } else { Err(format!("{:?}", fleet.broken)) }
+    if fleet.violations.is_empty() { Ok(()) } else { Err(format!("{:?}", fleet.violations)) }
 }
 
 /// Number of jobs of the first cell that waited longer than this.
@@ -143,7 +143,7 @@
         let faults = faults.map(|fault| (begins, CellFault::Within(0, fault))).collect();
         let plan = Plan { faults, ..home_filled(seed) };
         let mut fleet = FleetOfCells::new(&plan);
-        fleet.cells.iter_mut().for_each(|cell| cell.beat = SHORT_LEASES);
+        fleet.cells.iter_mut().for_each(|cell| cell.heartbeat_and_lease_s = SHORT_LEASES);
         play(&mut fleet, &plan)?;
         let late = late_jobs(&fleet, BEGINS_WITHIN_STEPS + FAILOVER_STEPS);
         if late == 0 { Ok(()) } else { Err(format!("{late} jobs began late")) }
