--- a/crates/rehearsal/benches/cells.rs
+++ b/crates/rehearsal/benches/cells.rs
@@ -5,7 +5,7 @@
 //! Run with `cargo bench -p marblebarrow-rehearsal --bench cells`. The figures don't depend on the
 //! machine.
 
-use marblebarrow_rehearsal::fleet_of_cells::{CellTrouble, FleetOfCells, Plan};
+use marblebarrow_rehearsal::fleet_of_cells::{CellFault, FleetOfCells, Plan};
 
 /// Runs of each configuration.
 const SEEDS: u64 = 12;
@@ -33,12 +33,12 @@
             let plan = plan(seed, moving);
             let mut fleet = FleetOfCells::new(&plan);
             fleet.run(FleetOfCells::steps_of(&plan));
-            assert!(fleet.broken.is_empty(), "{:?}", fleet.broken);
+            assert!(fleet.violations.is_empty(), "{:?}", fleet.violations);
             waits.extend(fleet.waits(0));
             accepted += fleet.ends(0).accepted;
-            moved += fleet.met.moved;
-            refused += fleet.met.refused;
-            messages += fleet.met.messages;
+            moved += fleet.observed.moved;
+            refused += fleet.observed.refused;
+            messages += fleet.observed.messages;
             changes += fleet.cells.iter().map(|cell| cell.store_work.changes).sum::<usize>();
             bytes += fleet.cells.iter().map(|cell| cell.store_work.bytes).sum::<usize>();
         }
@@ -61,12 +61,11 @@
     for seed in 0..SEEDS {
         let mut plan = plan(seed, true);
         if cut > 0 {
-            plan.troubles =
-                vec![(150, CellTrouble::Cut(0, 1, cut)), (150, CellTrouble::Cut(2, 0, cut))];
+            plan.faults = vec![(150, CellFault::Cut(0, 1, cut)), (150, CellFault::Cut(2, 0, cut))];
         }
         let mut fleet = FleetOfCells::new(&plan);
         fleet.run(FleetOfCells::steps_of(&plan));
-        assert!(fleet.broken.is_empty(), "{:?}", fleet.broken);
+        assert!(fleet.violations.is_empty(), "{:?}", fleet.violations);
         ages.extend(fleet.times_in_doubt());
     }
     println!(
--- a/crates/rehearsal/src/fleet_of_cells/mod.rs
+++ b/crates/rehearsal/src/fleet_of_cells/mod.rs
@@ -12,8 +12,8 @@
 mod plan;
 
 pub use ends::MovedEnd;
-pub use outcome::{Ends, Met};
-pub use plan::{CellTrouble, Plan};
+pub use outcome::{Ends, Observations};
+pub use plan::{CellFault, Plan};
 
 use crate::world::World;
 use digest::Digest;
@@ -31,14 +31,14 @@
     /// The cells, by index.
     pub cells: Vec<World>,
     /// Counts so far.
-    pub met: Met,
+    pub observed: Observations,
     /// Violations of the safety rules.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     digest: Digest,
     step: u32,
     links: Links,
     /// Faults that haven't begun, and the step at which each begins.
-    troubles: Vec<(u32, CellTrouble)>,
+    faults: Vec<(u32, CellFault)>,
     /// For each moved job, the cells that accepted it from its home cell.
     accepted_by: BTreeMap<JobId, BTreeSet<usize>>,
     moved_ends: MovedEnds,
@@ -54,15 +54,15 @@
     /// Creates the cells of a plan.
     pub fn new(plan: &Plan) -> Self {
         let mut plan = plan.clone();
-        plan.troubles.sort_by_key(|(at, _)| *at);
+        plan.faults.sort_by_key(|(at, _)| *at);
         Self {
             cells: plan.cells(),
-            met: Met::default(),
-            broken: Vec::new(),
+            observed: Observations::default(),
+            violations: Vec::new(),
             digest: Digest::default(),
             step: 0,
             links: Links::new(plan.seed, plan.faultless_links),
-            troubles: plan.troubles,
+            faults: plan.faults,
             accepted_by: BTreeMap::new(),
             moved_ends: MovedEnds::default(),
             specs_shared: 0,
@@ -80,12 +80,12 @@
     /// Runs up to the given step, then checks that all work was done. Stops early when a rule is
     /// violated.
     pub fn run(&mut self, steps: u32) {
-        while self.step < steps && self.broken.is_empty() {
+        while self.step < steps && self.violations.is_empty() {
             self.advance(steps);
         }
-        if self.broken.is_empty() {
-            self.cells.iter_mut().for_each(World::check_over);
-            self.collect_broken();
+        if self.violations.is_empty() {
+            self.cells.iter_mut().for_each(World::check_completed);
+            self.collect_violations();
         }
     }
 
@@ -123,7 +123,7 @@
     /// started.
     pub fn waits(&self, cell: usize) -> Vec<u32> {
         let accepted = &self.cells[cell].accepted_at;
-        let begun = |job| self.cells.iter().find_map(|world| world.begun.get(job));
+        let begun = |job| self.cells.iter().find_map(|world| world.started_at.get(job));
         accepted
             .iter()
             .filter_map(|(job, at)| begun(job).map(|begun| begun.saturating_sub(*at)))
@@ -145,15 +145,15 @@
         self.check();
         self.note_ends();
         self.measure_doubt();
-        self.collect_broken();
+        self.collect_violations();
         self.record_step();
     }
 
     /// Begins the cuts of links that are due. The cells begin their own faults.
     fn begin_cuts(&mut self) {
         let step = self.step;
-        for (_, trouble) in self.troubles.extract_if(.., |(at, _)| *at <= step) {
-            if let CellTrouble::Cut(from, to, steps) = trouble {
+        for (_, fault) in self.faults.extract_if(.., |(at, _)| *at <= step) {
+            if let CellFault::Cut(from, to, steps) = fault {
                 self.links.cut(from, to, step + steps);
             }
         }
@@ -198,7 +198,7 @@
             digest.add(world.store_work.changes as u64);
             digest.add(world.store_work.bytes as u64);
         }
-        digest.add(self.met.messages);
+        digest.add(self.observed.messages);
         digest.add(self.links.packets_in_flight() as u64);
         digest.add(self.accepted_by.len() as u64);
     }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! # Modules
 //!
-//! - [`world`]: one cell, with its [`Trouble`](world::Trouble)s (faults).
+//! - [`world`]: one cell, with its [`Fault`](world::Fault)s.
 //! - [`fleet_of_cells`]: several cells, and faulty links between them.
 //! - [`held_commands`]: a simulation of one cell in which commands to workers are delayed.
 //! - [`scenario`]: the named scenarios of `marblebarrow rehearse`, and their verdicts.
@@ -18,25 +18,25 @@
 //!
 //! 1. List the faults, each with the step at which it begins. Durations are in steps too. A
 //!    fault aimed at whichever controller leads at that step is wrapped in
-//!    [`Trouble::AtLeader`](world::Trouble::AtLeader).
+//!    [`Fault::OnLeader`](world::Fault::OnLeader).
 //! 2. Create a [`World`](world::World) from a seed and these faults, and set the public fields
 //!    that the case needs, such as the interval between submissions.
 //! 3. Run it long enough: work must end after the last fault, or the run is reported as
 //!    broken. [`World::run`](world::World::run) checks at its end that all work was done.
-//! 4. Assert that [`World::broken`](world::World::broken) is empty, and that the faults took
-//!    effect, by the counts of [`World::met`](world::World::met): a fault without effect proves
-//!    nothing. Then repeat it with other seeds.
+//! 4. Assert that [`World::violations`](world::World::violations) is empty, and that the faults
+//!    took effect, by the counts of [`World::observed`](world::World::observed): a fault without
+//!    effect proves nothing. Then repeat it with other seeds.
 //!
 //! ```
-//! use marblebarrow_rehearsal::world::{Trouble, World};
+//! use marblebarrow_rehearsal::world::{Fault, World};
 //!
 //! // The leader crashes 20 s after the start, and is restarted 4 s later.
-//! let crash = Trouble::AtLeader(Box::new(Trouble::Crash(0, 40)));
+//! let crash = Fault::OnLeader(Box::new(Fault::Crash(0, 40)));
 //! let mut world = World::new(1, vec![(200, crash)]);
 //! world.run(1_600);
-//! assert_eq!(world.broken, Vec::<String>::new());
+//! assert_eq!(world.violations, Vec::<String>::new());
 //! assert!(world.starts > 20);
-//! assert!(!world.met.changes_of_leader.is_empty());
+//! assert!(!world.observed.changes_of_leader.is_empty());
 //! ```
 //!
 //! Several cells are simulated in the same way, from a [`Plan`](fleet_of_cells::Plan). To make a
