--- a/crates/cells/src/inbound.rs
+++ b/crates/cells/src/inbound.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seconds between two rounds of deleting records that a home cell no longer needs. A home cell
-/// polls once a second, and the previous round has mostly been written by then.
+/// polls once a second, and most deletions of one round are written before its next poll.
 const DROP_INTERVAL_S: f64 = 1.0;
 
 /// The target cell's knowledge of an offered job.
@@ -35,8 +35,8 @@
     Accept,
     /// Record the refusal, then reply so.
     Refuse(RefusalReason),
-    /// A decision is being recorded, for this transfer or for too many others: the sender repeats
-    /// the offer.
+    /// A decision on this transfer is being recorded, or the limit of decisions being recorded at
+    /// once is reached: the sender repeats the offer.
     Busy,
 }
 
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct Inbound {
     cell: CellName,
-    known: BTreeSet<CellName>,
+    configured: BTreeSet<CellName>,
     terms: SenderTerms,
     recording: BTreeSet<TransferId>,
     recording_max: usize,
@@ -63,12 +63,12 @@
 }
 
 impl Inbound {
-    /// Creates the state of cell `cell`, with no decision being recorded. `known` are the
+    /// Creates the state of cell `cell`, with no decision being recorded. `configured` holds the
     /// configured cells; `recording_max` limits the decisions being recorded at once.
-    pub fn new(cell: CellName, known: BTreeSet<CellName>, recording_max: usize) -> Self {
+    pub fn new(cell: CellName, configured: BTreeSet<CellName>, recording_max: usize) -> Self {
         Self {
             cell,
-            known,
+            configured,
             terms: SenderTerms::default(),
             recording: BTreeSet::new(),
             recording_max,
@@ -79,7 +79,7 @@
 
     /// Checks that the sender is a configured cell and that its term is the latest known.
     pub fn admit(&mut self, sender: &Sender) -> Result<(), CellError> {
-        self.terms.admit(&sender.cell, sender.term, &self.known)
+        self.terms.admit(&sender.cell, sender.term, &self.configured)
     }
 
     /// Decides on an offer whose sender has passed [`Self::admit`].
@@ -121,10 +121,10 @@
         self.recording.remove(transfer);
     }
 
-    /// Returns whether records that an admitted home cell no longer needs may be deleted now. Each
-    /// home cell has its own schedule: with a shared one, the cell that polled first in each second
-    /// used up the turn even with nothing to delete, and records of another cell's jobs remained
-    /// for minutes.
+    /// Returns whether records that an admitted home cell no longer needs may be deleted now; if so,
+    /// the next round is due `DROP_INTERVAL_S` later. The interval is kept per home cell: with a
+    /// shared one, the cell that polls first in each second would use up the round even with nothing
+    /// to delete, and records of another cell's jobs would remain for minutes.
     pub fn drop_due(&mut self, now: f64, home: &CellName) -> bool {
         let next = self.next_drop.entry(home.clone()).or_insert(now);
         let due = now >= *next;
--- a/crates/core/src/cells/staying.rs
+++ b/crates/core/src/cells/staying.rs
@@ -14,7 +14,7 @@
 pub(super) struct StayingJobs(BTreeMap<JobId, StayReason>);
 
 impl StayingJobs {
-    /// Returns the number of jobs kept here by each reason.
+    /// Returns, for each reason, the number of waiting jobs that are not offered because of it.
     pub(super) fn counts(&self) -> BTreeMap<StayReason, u32> {
         let mut counts = BTreeMap::new();
         for reason in self.0.values() {
@@ -30,10 +30,12 @@
 }
 
 impl Leader {
-    /// Returns what keeps a waiting job in this cell, before any target cell is considered. `None`
-    /// means that the job may move.
+    /// Returns the first reason, in the order of the checks below, that keeps a waiting job in this
+    /// cell at time `now`. No target cell is considered yet. `None` means that the job may move, or
+    /// that no cells are configured.
     pub(super) fn stay_reason(&self, now: Secs, job: &Job) -> Option<StayReason> {
         let cells = self.cells.as_ref()?;
+        // `parts` holds the version of each progress record of the job, 0 if there is no record.
         let never_started = job.started.is_empty()
             && job.live.is_empty()
             && job.maybe_running.is_empty()
@@ -58,7 +60,7 @@
     }
 
     /// Returns whether the team's limit in this cell allows another task. A job that waits for this
-    /// limit is not short of machines, and must not evade the limit in another cell.
+    /// limit is not short of machines, and must not get around it in another cell.
     pub(super) fn team_has_room(&self, spec: &JobSpec) -> bool {
         let Some(team) = self.team(&spec.team) else {
             return false;
--- a/crates/core/src/cells/target.rs
+++ b/crates/core/src/cells/target.rs
@@ -156,7 +156,8 @@
             StoreResult::Rejected => {
                 self.refuse(reply, &offer, RefusalReason::Unsuitable, replica, out);
             }
-            // The acceptance may have been recorded; the next copy of the offer finds out.
+            // The acceptance may have been recorded. The sender repeats the offer, which is then
+            // decided by the records in the store.
             _ => reply_busy(reply, out),
         }
     }
@@ -175,10 +176,10 @@
         }
         let id = &offer.spec.id;
         let transfer = offer.transfer.clone();
-        // This condition fails if the job was accepted by a transaction that the replica has not
-        // seen yet.
         let inbound = replica.inbound.get(id).map_or(0, |(_, version)| *version);
         let key = refused_key(&transfer);
+        // The second condition fails if the job was accepted by a transaction that the replica has
+        // not seen yet.
         let conds = vec![cond(key.clone(), 0), cond(inbound_key(id), inbound)];
         let txn = Txn { conds, writes: vec![put(key, &RefusalRecord { reason })] };
         if let Some(cells) = &mut self.cells {
@@ -302,8 +303,8 @@
         Some(GuestStatus { job: id.clone(), transfer: tracked.transfer.clone(), state })
     }
 
-    /// Returns the finished jobs of which no record is left for their home cell, and deletes
-    /// further records that are no longer needed.
+    /// Returns the finished jobs of which no record is left for their home cell. If a round of
+    /// deletions is due, deletes the records of the other finished jobs whose spec is gone.
     fn drop_finished(
         &mut self,
         now: Secs,
@@ -323,7 +324,8 @@
             .as_mut()
             .is_some_and(|cells| cells.inbound.drop_due(now, &exchange.sender.cell));
         for f in finished.iter().filter(|_| due) {
-            // The record is kept until all tasks of a cancelled job are gone.
+            // The inbound record is kept as long as the job's spec: for a cancelled job, until all
+            // its tasks are gone.
             let over = !replica.specs.contains_key(&f.job);
             if let Some(version) = matching(f).filter(|_| over) {
                 self.drop_record(inbound_key(&f.job), version, out);
--- a/crates/core/src/consts/election.rs
+++ b/crates/core/src/consts/election.rs
@@ -19,7 +19,7 @@
 /// Number of heartbeat intervals without any worker heartbeat after which a leader, if several
 /// workers reported to it before, considers itself partitioned from them and resigns.
 pub const WORKERS_UNREACHABLE_HEARTBEATS: f64 = 1.3;
-/// Added to [`WORKERS_UNREACHABLE_HEARTBEATS`] intervals, in seconds.
+/// Margin added to the time given by [`WORKERS_UNREACHABLE_HEARTBEATS`], in seconds.
 pub const WORKERS_UNREACHABLE_MARGIN_S: f64 = 0.6;
 /// A step that runs this many seconds late shows that the process had no processor time; heartbeats
 /// missed in that time say nothing about the other processes.
@@ -32,9 +32,9 @@
 pub const RESIGN_BACKOFF_S: f64 = 8.0;
 /// Extra delay before a controller that hears from no other controller stands for election, in
 /// seconds. If the others are alive, this controller is the partitioned one, and they stand within
-/// less than this. It must not be longer: with one controller down and the leader stalled, the
-/// third waited 4 s; hundreds of workers that contacted it meanwhile moved on to the controller
-/// that was down, and their leases expired.
+/// less than this. It must not be longer: with one controller down and the leader stalled, workers
+/// that contact the third controller while it waits move on to the one that is down, and their
+/// leases expire. A wait of 4 s had this effect on hundreds of workers.
 pub const ISOLATED_DELAY_S: f64 = 1.0;
 /// Duration of a pledge not to stand for election, in seconds. A restarted process waits this long
 /// before it stands, so the value must stay short.
@@ -46,23 +46,22 @@
 /// the store shows them: minutes' worth at the store's highest rate, in half a MB.
 pub const CONFIRMED_CANCELLATIONS_MAX: usize = 4_096;
 /// Safety margin subtracted from the time in which cancelled tasks must stop, when computing how
-/// long a leader may renew leases without news of cancellations, in seconds. It covers the transit
-/// time of the answer and the worker's interval between lease checks.
+/// long a leader may renew leases without receiving new cancellations from the store, in seconds. It
+/// covers the transit time of the answer and the worker's interval between lease checks.
 pub const CANCEL_MARGIN_S: f64 = 1.0;
 /// Lower bound for the permitted lag of a leader's replica while the store serves the leader, in
-/// seconds, however short the time for cancelled tasks is: the blocking time of a watch, its slack
-/// and a retry.
+/// seconds. It covers the blocking time of a watch, its slack and a retry, and applies however short
+/// the time is in which cancelled tasks must stop.
 pub const WATCH_LAG_S: f64 = 4.5;
-/// A leader that the store serves but whose replica gets no updates resigns before the worker
-/// leases would have to run out. This is the lead time, as a share of the permitted replica age; it
-/// leaves room for an election. [`STALE_MAX_S`] caps it.
+/// Lead time of a resignation because of an old replica, as a share of the permitted replica age. A
+/// leader that the store serves but whose replica gets no updates resigns this long before the
+/// worker leases would have to run out, which leaves room for an election. [`STALE_MAX_S`] caps it.
 pub const STALE_SHARE: f64 = 0.4;
 /// Upper bound of the lead time given by [`STALE_SHARE`], in seconds.
 pub const STALE_MAX_S: f64 = 6.0;
-/// Share of the replica age at which a leader resigns that a watch may block; its answer may be
-/// late by the same share after that. The replica gets as old as two blocking times on a quiet
-/// store, and as two blocking times, the wait for a lost answer and a retry when one answer is
-/// lost.
+/// Blocking time of a watch, and also the wait for its answer after that, each as a share of the
+/// replica age at which a leader resigns. On a quiet store, the replica gets as old as two blocking
+/// times. If one answer is lost, the wait for it and a retry add to these.
 pub const WATCH_TIMING_SHARE: f64 = 0.2;
 /// Maximum blocking time of a watch, in seconds: short, so that a watch stuck behind a partition is
 /// soon given up.
@@ -75,9 +74,9 @@
 /// candidates seldom collide.
 pub const STAND_SPREAD_S: f64 = 0.15;
 /// Extra delay before a controller stands for election while the controller that workers try after
-/// it is unreachable, in seconds. Workers without an answer try the controllers in turn. If this
-/// controller won and then stalled, workers would spend two timeouts before they reach the third
-/// controller, more than the shortest leases last.
+/// it is unreachable, in seconds. There are three controllers, and workers without an answer try them
+/// in the cyclic order of their names. If this controller won and then stalled, workers would spend
+/// two timeouts before they reach the third controller, more than the shortest leases last.
 pub const NEXT_UNREACHABLE_DELAY_S: f64 = 0.5;
 /// Share of its interval by which a worker's heartbeat may be late (protocol page).
 pub const HEARTBEAT_JITTER: f64 = 0.25;
@@ -85,17 +84,17 @@
 /// covers the round trip to the controller.
 pub const PLACEMENT_MARGIN_S: f64 = 0.5;
 /// How long a controller must be unreachable before the leader hands over because of it, in
-/// seconds. A restart or a short partition is over by then, and a takeover costs users a second of
-/// starts.
+/// seconds. A restart or a short partition is over by then, and a takeover delays the starts of
+/// users' tasks by a second.
 pub const TRANSFER_SILENT_S: f64 = 10.0;
 /// Minimum time between a leader's election and a transfer of leadership, in seconds: its own
 /// takeover has to finish first.
 pub const TRANSFER_AFTER_S: f64 = 3.0;
-/// Minimum time between two leadership transfers by the same process, in seconds. Whatever flaps,
-/// each controller causes at most one such change a minute.
+/// Minimum time between two leadership transfers by the same process, in seconds. However often the
+/// reason for a transfer appears and disappears, each controller causes at most one a minute.
 pub const TRANSFER_EVERY_S: f64 = 60.0;
-/// How long a controller doesn't stand for election after it handed over, in seconds: enough for
-/// the other controller to win, and little lost if that one has just failed.
+/// How long a controller doesn't stand for election after it handed over, in seconds. The
+/// other controller can win in this time; if that one has just failed, little time is lost.
 pub const TRANSFER_GRACE_S: f64 = 2.0;
 /// Maximum time a worker heartbeat is held while an election is in progress, in seconds. Workers
 /// wait 4 s for an answer, and its transit takes a part of that.
@@ -115,6 +114,6 @@
 /// unconfirmed, in seconds. Each raise costs one change of the store and serves all machines that
 /// have unconfirmed starts by then.
 pub const RAISE_CANCELLED_EVERY_S: f64 = 1.0;
-/// Minimum time between two raises of the fencing token when only reserved capacity, or a task
-/// entry that can't be cleared, waits for it, in seconds.
+/// Minimum time between two raises of the fencing token, in seconds, when only reserved capacity or
+/// a task entry that can't be cleared waits for the next raise.
 pub const RAISE_EVERY_S: f64 = 3.0;
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -73,7 +73,8 @@
     /// Jobs whose cascade cancellation is durable in a cascade list and whose final state is
     /// not written yet.
     listed: BTreeSet<JobId>,
-    /// Writes of cancelled final states in flight.
+    /// Operations in flight that write the final state of a job cancelled by a cascade, each with
+    /// its job.
     cancels: HashMap<OpId, JobId>,
 }
 
@@ -99,8 +100,8 @@
                     self.cascade_from(job);
                 }
                 // The dependency is never done, so the job stays pending until the cascade
-                // cancels it. Without the pending entry, the job started before its
-                // cancellation was written.
+                // cancels it. Otherwise the job could start before its cancellation is
+                // written.
                 (Some(Outcome::Cancelled), _) | (_, DependencyState::Cancelled) => {
                     pending.insert(dependency.clone());
                     self.cascade_from(job);
@@ -162,7 +163,8 @@
         ready
     }
 
-    /// Removes a closed job from the graph: it no longer waits and is no longer cancelled.
+    /// Removes a closed job from the graph: it no longer waits, and no cascade cancellation of it
+    /// is left to write.
     pub fn forget(&mut self, job: &JobId) {
         self.to_cancel.remove(job);
         self.listed.remove(job);
@@ -254,8 +256,8 @@
         }
     }
 
-    /// Dependencies whose final state is due to be read now; with the reads in flight, at most
-    /// `limit`.
+    /// Dependencies whose final state is due to be read now. Together with the reads already in
+    /// flight there are at most `limit`.
     pub fn reads_due(&mut self, now: Secs, limit: usize) -> Vec<JobId> {
         let remaining = limit.saturating_sub(self.reads.len());
         let due: Vec<JobId> = self
@@ -268,7 +270,8 @@
         due
     }
 
-    /// Schedules a read of a job's final state, which probably exists.
+    /// Schedules a read of a job's final state after the write of its cascade cancellation met a
+    /// conflict, which suggests that the state has already been written.
     pub fn read_final_state(&mut self, job: &JobId, now: Secs) {
         self.to_read.entry(job.clone()).or_insert(now);
     }
@@ -311,7 +314,8 @@
         self.to_read.remove(job);
     }
 
-    /// Jobs whose queued cancellation is not in flight; with those in flight, at most `limit`.
+    /// Jobs whose queued cancellation is not in flight. Together with the cancellations already in
+    /// flight there are at most `limit`.
     pub fn cancels_due(&self, limit: usize) -> Vec<JobId> {
         let remaining = limit.saturating_sub(self.cancels.len());
         self.to_cancel
@@ -328,10 +332,10 @@
     }
 
     /// Handles the reply to a cascade cancellation and returns the job; `None` if `op` is no
-    /// such operation. `done` is whether the cancellation is now durable; if not, it is retried.
-    pub fn cancel_answered(&mut self, op: OpId, done: bool) -> Option<JobId> {
+    /// such operation. `durable` is whether the cancellation is now durable; if not, it is retried.
+    pub fn cancel_answered(&mut self, op: OpId, durable: bool) -> Option<JobId> {
         let job = self.cancels.remove(&op)?;
-        if done {
+        if durable {
             self.drop_cancel(&job);
         }
         Some(job)
--- a/crates/core/src/deprovision/boots.rs
+++ b/crates/core/src/deprovision/boots.rs
@@ -21,15 +21,16 @@
     fn has_boot_failed(&self, now: Secs, machine: &Booting) -> bool {
         let lag = self.facts.list_lag_s;
         let age = now - machine.since;
-        // The machine is no longer listed: it was either interrupted before it reported, or never
+        // Time since the machine list last included the machine, or since it was rented if the list
+        // never did. A machine that stays unlisted was interrupted before it reported, or was never
         // created.
         let unlisted = machine.listed_at.map_or(age, |at| now - at);
         let vanished = unlisted > lag * 3.0 + LIST_EVERY_S * 2.0;
         machine.failed || age > self.boot_timeout(machine) + lag || vanished
     }
 
-    /// Time in seconds after which a boot counts as failed. It is no shorter than the boots
-    /// currently expected in the machine's zone.
+    /// Time in seconds after which a boot counts as failed. It is at least [`BOOT_COUNTED`] times
+    /// the boot time currently expected in the machine's zone.
     fn boot_timeout(&self, machine: &Booting) -> Secs {
         let cloud = &self.cloud_requests;
         cloud.machine_type(&machine.kind).map_or(0.0, |t| {
--- a/crates/core/src/user_api/cancellations.rs
+++ b/crates/core/src/user_api/cancellations.rs
@@ -20,7 +20,8 @@
         if let Some(end) = self.terminal_states.get(&id) {
             return out.reply(to, Answer::Job(200, terminal_status(&id, end)));
         }
-        // The job waits for a dependency that is never done, so it has no task to stop.
+        // A direct or transitive dependency was cancelled, so the job never starts and has no task
+        // to stop.
         if self.cascaded(context).contains(&id) {
             return out.reply(to, Answer::Job(200, cancelled_status(id)));
         }
@@ -45,7 +46,7 @@
     }
 
     /// Cancels a job whose spec is known. If the job may be in another cell, the cancellation is
-    /// requested from that cell, unless it was before (`wanted`).
+    /// requested from that cell, unless it has already been requested (`wanted`).
     pub(super) fn cancel_known(
         &mut self,
         id: JobId,
@@ -58,7 +59,8 @@
         if record.forward.is_none() {
             return self.write_cancel(id, to, version, record.spec.tasks, out);
         }
-        // Only the cell that owns the job can confirm; the user has to retry until it has.
+        // The user gets a reply now, so the request no longer counts as in progress. Only the cell
+        // that owns the job can confirm the cancellation; the user has to retry until it has.
         self.writes -= 1;
         if !wanted {
             self.request_remote_cancel(&id, version, out);
@@ -80,7 +82,7 @@
         self.pending.insert(op, Pending::CancelWanted);
     }
 
-    /// Sends the transaction that cancels a job: its final state and its cancel mark.
+    /// Sends the transaction that cancels a job; it writes the job's final state and its cancel mark.
     pub(super) fn write_cancel(
         &mut self,
         id: JobId,
