--- a/crates/cells/src/rpc/identity.rs
+++ b/crates/cells/src/rpc/identity.rs
@@ -45,5 +45,5 @@
 }
 
 pub(super) fn job_from_wire(name: &str) -> Result<JobId, CellError> {
-    if JobId::well_formed(name) { Ok(JobId::new(name)) } else { Err(CellError::Malformed) }
+    if JobId::is_well_formed(name) { Ok(JobId::new(name)) } else { Err(CellError::Malformed) }
 }
--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -13,10 +13,10 @@
 use crate::cascaded_jobs::CascadedJobs;
 use crate::consts::{CASCADE_CHANGES, CASCADE_LISTS_PER_TXN, STORE_RETRY_S};
 use crate::event::{OpId, Secs, StoreResult};
-use marblebarrow_proto::cbor::{json_text_len, to_value};
+use marblebarrow_proto::cbor::{json_text_len_bound, to_value};
 use marblebarrow_proto::ids::JobId;
-use marblebarrow_proto::records::{CASCADE_GENERATION, CascadeRecord, LEADER, cascade_key};
-use marblebarrow_proto::wire::{Cond, Txn, Write};
+use marblebarrow_proto::records::{CASCADE_GENERATION_KEY, CascadeRecord, LEADER_KEY, cascade_key};
+use marblebarrow_proto::wire::{Condition, Txn, Write};
 use std::collections::BTreeSet;
 
 /// Length of the empty list record `{"jobs":[]}`, bytes.
@@ -163,11 +163,11 @@
             return None;
         }
         (writing.tried_generation, writing.outdated) = (generation, false);
-        let mut txn = Txn { conds: vec![leader_cond], writes: Vec::new() };
-        txn.conds.push(Cond { key: CASCADE_GENERATION.into(), version: generation });
-        txn.writes.push(put(CASCADE_GENERATION.into(), to_value(&true)));
+        let mut txn = Txn { conditions: vec![leader_cond], writes: Vec::new() };
+        txn.conditions.push(Condition { key: CASCADE_GENERATION_KEY.into(), version: generation });
+        txn.writes.push(put(CASCADE_GENERATION_KEY.into(), to_value(&true)));
         for NewList { key, jobs } in &writing.lists {
-            txn.conds.push(Cond { key: key.clone(), version: 0 });
+            txn.conditions.push(Condition { key: key.clone(), version: 0 });
             txn.writes.push(put(key.clone(), to_value(&CascadeRecord { jobs: jobs.clone() })));
         }
         Some(txn)
@@ -199,10 +199,10 @@
         }
         let over = |jobs: &[JobId]| !jobs.iter().any(&unfinished);
         let (key, list) = copy.lists().iter().find(|(_, list)| over(&list.jobs))?;
-        let listed = Cond { key: key.clone(), version: list.version };
-        let conds = vec![self.leader_condition(), listed];
+        let listed = Condition { key: key.clone(), version: list.version };
+        let conditions = vec![self.leader_condition(), listed];
         self.removal = Some(Removal { key: key.clone(), in_flight: None });
-        Some(Txn { conds, writes: vec![Write::Delete { key: key.clone() }] })
+        Some(Txn { conditions, writes: vec![Write::Delete { key: key.clone() }] })
     }
 
     /// Notes that the transaction of [`CascadeLists::removal_due`] was sent.
@@ -232,7 +232,7 @@
             }
             // The local copy is behind, perhaps because an earlier attempt was committed; the
             // copy will show the lists then.
-            StoreResult::Conflict(keys) if keys.iter().any(|key| key == CASCADE_GENERATION) => {
+            StoreResult::Conflict(keys) if keys.iter().any(|key| key == CASCADE_GENERATION_KEY) => {
                 writing.outdated = true;
             }
             _ => {}
@@ -267,8 +267,8 @@
         affordable
     }
 
-    fn leader_condition(&self) -> Cond {
-        Cond { key: LEADER.into(), version: self.leader_version }
+    fn leader_condition(&self) -> Condition {
+        Condition { key: LEADER_KEY.into(), version: self.leader_version }
     }
 }
 
@@ -282,7 +282,7 @@
     let mut remaining = 0;
     for job in jobs {
         // One more byte for the comma.
-        let bytes = json_text_len(job.as_str()) + 1;
+        let bytes = json_text_len_bound(job.as_str()) + 1;
         if bytes > remaining || lists.is_empty() {
             lists.push(Vec::new());
             remaining = value_bytes.saturating_sub(LIST_FRAME_BYTES);
--- a/crates/core/src/cells/home.rs
+++ b/crates/core/src/cells/home.rs
@@ -163,12 +163,12 @@
         // From here on no task of the job is started in this cell, whatever the outcome of the
         // transaction.
         job.blocked_by_transfer = true;
-        let conds = vec![
+        let conditions = vec![
             cond(spec_key(id), job.spec_version),
             cond(end_key(id), 0),
             cond(progress_key(id, 0), 0),
         ];
-        let txn = Txn { conds, writes: vec![put(spec_key(id), &intended)] };
+        let txn = Txn { conditions, writes: vec![put(spec_key(id), &intended)] };
         let (job, record) = (id.clone(), Box::new(intended));
         self.commit_for_cells(txn, |txn| Pending::Intent { job, txn, record }, out);
         Ok(())
--- a/crates/core/src/cells/mod.rs
+++ b/crates/core/src/cells/mod.rs
@@ -33,7 +33,7 @@
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::records::{self, SpecRecord};
 use marblebarrow_proto::transfer::{RefusalReason, TransferId};
-use marblebarrow_proto::wire::{Cond, Txn, Write};
+use marblebarrow_proto::wire::{Condition, Txn, Write};
 use staying::StayingJobs;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -176,7 +176,8 @@
         pending: impl FnOnce(Txn) -> Pending,
         out: &mut ActionSink,
     ) {
-        txn.conds.insert(0, Cond { key: records::LEADER.into(), version: self.version });
+        txn.conditions
+            .insert(0, Condition { key: records::LEADER_KEY.into(), version: self.version });
         let Some(cells) = &mut self.cells else { return };
         let op = out.store(StoreRequest::Commit(txn.clone()));
         cells.pending.insert(op, pending(txn));
@@ -197,7 +198,7 @@
             return WriteOutcome::Unrelated;
         };
         if let StoreResult::Conflict(keys) = result
-            && keys.iter().any(|key| key == records::LEADER)
+            && keys.iter().any(|key| key == records::LEADER_KEY)
         {
             return WriteOutcome::NotLeading;
         }
@@ -261,8 +262,8 @@
 }
 
 /// Builds a transaction condition on a key's version.
-fn cond(key: String, version: u64) -> Cond {
-    Cond { key, version }
+fn cond(key: String, version: u64) -> Condition {
+    Condition { key, version }
 }
 
 /// Builds a write of a CBOR-encoded value.
--- a/crates/core/src/cells/settle.rs
+++ b/crates/core/src/cells/settle.rs
@@ -93,7 +93,7 @@
         // Charged without waiting for the write rate, because the other cell already acts on its
         // verdict.
         self.writer.charge(writes.len() as f64);
-        let txn = Txn { conds: vec![cond(spec_key(id), job.spec_version)], writes };
+        let txn = Txn { conditions: vec![cond(spec_key(id), job.spec_version)], writes };
         let (job, record) = (id.clone(), Box::new(record));
         self.commit_for_cells(txn, |_| Pending::Settle { job, record }, out);
     }
@@ -159,8 +159,8 @@
         if !self.writer.afford(DROP_CHANGES) {
             return;
         }
-        let conds = vec![cond(key.clone(), version)];
-        let txn = Txn { conds, writes: vec![Write::Delete { key }] };
+        let conditions = vec![cond(key.clone(), version)];
+        let txn = Txn { conditions, writes: vec![Write::Delete { key }] };
         self.commit_for_cells(txn, |_| Pending::Drop, out);
     }
 
@@ -188,7 +188,7 @@
         let (version, tasks) = (job.spec_version, job.spec().tasks);
         let cancelled = end == GuestState::Cancelled;
         let acknowledge = AcknowledgeRecord { transfer: forward.transfer, target: forward.target };
-        let mut conds = vec![cond(spec_key(id), version), cond(end_key(id), 0)];
+        let mut conditions = vec![cond(spec_key(id), version), cond(end_key(id), 0)];
         let mut writes = vec![
             put(end_key(id), &EndRecord { cancelled, tasks }),
             put(acknowledge_key(id), &acknowledge),
@@ -197,10 +197,10 @@
         if replica.cancel_wanted.contains(id) {
             writes.push(Write::Delete { key: cancel_wanted_key(id) });
         } else {
-            conds.push(cond(cancel_wanted_key(id), 0));
+            conditions.push(cond(cancel_wanted_key(id), 0));
         }
         self.writer.charge(writes.len() as f64);
-        let txn = Txn { conds, writes };
+        let txn = Txn { conditions, writes };
         let job = id.clone();
         self.commit_for_cells(txn, |_| Pending::Finish { job, cancelled, tasks }, out);
     }
--- a/crates/core/src/cells/target.rs
+++ b/crates/core/src/cells/target.rs
@@ -105,7 +105,7 @@
         record.origin = Some(offer.transfer.clone());
         let inbound = InboundRecord { transfer: offer.transfer.clone() };
         let txn = Txn {
-            conds: vec![
+            conditions: vec![
                 cond(spec_key(&id), 0),
                 cond(end_key(&id), 0),
                 cond(inbound_key(&id), 0),
@@ -180,8 +180,8 @@
         let key = refused_key(&transfer);
         // The second condition fails if the job was accepted by a transaction that the replica has
         // not seen yet.
-        let conds = vec![cond(key.clone(), 0), cond(inbound_key(id), inbound)];
-        let txn = Txn { conds, writes: vec![put(key, &RefusalRecord { reason })] };
+        let conditions = vec![cond(key.clone(), 0), cond(inbound_key(id), inbound)];
+        let txn = Txn { conditions, writes: vec![put(key, &RefusalRecord { reason })] };
         if let Some(cells) = &mut self.cells {
             cells.inbound.recording(&transfer);
         }
@@ -343,7 +343,7 @@
         if !known {
             return self.refuse_request(reply, CellError::UnknownCell, out);
         }
-        let txn = Txn { conds: Vec::new(), writes: vec![put(lost_cell_key(&cell), &true)] };
+        let txn = Txn { conditions: Vec::new(), writes: vec![put(lost_cell_key(&cell), &true)] };
         self.commit_for_cells(txn, |_| Pending::DeclareLost { reply }, out);
     }
 
--- a/crates/core/src/cloud_requests/answers.rs
+++ b/crates/core/src/cloud_requests/answers.rs
@@ -6,7 +6,9 @@
 use crate::leader::Leader;
 use crate::provision::MachineOffer;
 use marblebarrow_proto::ids::MachineId;
-use marblebarrow_proto::wire::{ListedMachine, ListedState, MachineList, MachineType, Rent};
+use marblebarrow_proto::wire::{
+    ListedMachine, ListedState, MachineList, MachineType, RentalRequest,
+};
 
 impl Leader {
     /// Handles the cloud's response to a request.
@@ -64,7 +66,7 @@
     }
 
     /// Records the machines of a rent request; there may be fewer than requested.
-    fn rented(&mut self, now: Secs, rent: Rent, names: Vec<MachineId>) {
+    fn rented(&mut self, now: Secs, rent: RentalRequest, names: Vec<MachineId>) {
         self.log.debug(|| format!("event=rented request={} count={}", rent.request, names.len()));
         if (names.len() as u32) < rent.count {
             self.cloud_requests.no_capacity.insert(offer_of(&rent), now + NO_CAPACITY_S);
@@ -125,6 +127,6 @@
     }
 }
 
-fn offer_of(rent: &Rent) -> MachineOffer {
+fn offer_of(rent: &RentalRequest) -> MachineOffer {
     MachineOffer { machine_type: rent.kind.clone(), zone: rent.zone.clone(), spot: rent.spot }
 }
--- a/crates/core/src/cloud_requests/boots.rs
+++ b/crates/core/src/cloud_requests/boots.rs
@@ -5,7 +5,7 @@
 use crate::event::Secs;
 use crate::provision::MachineOffer;
 use marblebarrow_proto::ids::MachineId;
-use marblebarrow_proto::wire::{MachineType, Rent};
+use marblebarrow_proto::wire::{MachineType, RentalRequest};
 use std::collections::BTreeMap;
 
 /// A machine that was rented or listed but hasn't reported yet.
@@ -27,7 +27,7 @@
 
 impl Booting {
     /// A machine of a rent request that was sent at `since`.
-    pub(crate) fn rented(rent: &Rent, since: Secs) -> Self {
+    pub(crate) fn rented(rent: &RentalRequest, since: Secs) -> Self {
         Self {
             kind: rent.kind.clone(),
             zone: rent.zone.clone(),
--- a/crates/core/src/cloud_requests/mod.rs
+++ b/crates/core/src/cloud_requests/mod.rs
@@ -19,7 +19,7 @@
 use boots::MachinePool;
 use marblebarrow_proto::ids::{MachineId, Term};
 use marblebarrow_proto::job::{JobSpec, Kind};
-use marblebarrow_proto::wire::{ListedMachine, MachineType, Rent};
+use marblebarrow_proto::wire::{ListedMachine, MachineType, RentalRequest};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A request that the cloud hasn't answered yet.
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(crate) struct UnansweredRent {
     /// The request.
-    pub(crate) rent: Rent,
+    pub(crate) rent: RentalRequest,
     /// Time at which it was first sent.
     pub(crate) since: Secs,
 }
--- a/crates/core/src/dependency_check.rs
+++ b/crates/core/src/dependency_check.rs
@@ -17,7 +17,7 @@
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::records::{EndRecord, end_key, spec_key};
-use marblebarrow_proto::wire::{Cond, Txn};
+use marblebarrow_proto::wire::{Condition, Txn};
 use std::collections::VecDeque;
 
 /// What this controller knows of a dependency without asking the store.
@@ -81,7 +81,7 @@
 /// The transaction that commits only if none of these jobs was ever accepted.
 pub(crate) fn absence_transaction(jobs: &[JobId]) -> Txn {
     let keys = jobs.iter().flat_map(|job| [spec_key(job), end_key(job)]);
-    Txn { conds: keys.map(|key| Cond { key, version: 0 }).collect(), writes: Vec::new() }
+    Txn { conditions: keys.map(|key| Condition { key, version: 0 }).collect(), writes: Vec::new() }
 }
 
 impl DependencyCheck {
--- a/crates/core/src/election/campaign.rs
+++ b/crates/core/src/election/campaign.rs
@@ -7,8 +7,8 @@
 use crate::replica::Replica;
 use marblebarrow_proto::cbor::{from_value, to_value};
 use marblebarrow_proto::ids::Term;
-use marblebarrow_proto::records::{LEADER, LeaderRecord, TERM, TermRecord};
-use marblebarrow_proto::wire::{Cond, Item, Txn, Write};
+use marblebarrow_proto::records::{LEADER_KEY, LeaderRecord, TERM_KEY, TermRecord};
+use marblebarrow_proto::wire::{Condition, Item, Txn, Write};
 
 /// The term counter as read from the state service.
 struct TermCounter {
@@ -104,7 +104,7 @@
         out: &mut ActionSink,
     ) {
         let StoreResult::LeaseGranted(lease) = result else { return self.become_follower(now) };
-        self.step.send(now, StoreRequest::Get(TERM.into()), out);
+        self.step.send(now, StoreRequest::Get(TERM_KEY.into()), out);
         self.role = Role::ReadingTerm { lease: *lease, since };
     }
 
@@ -154,13 +154,13 @@
         let leader = LeaderRecord { node: self.me.clone(), term: term.0, lease, boot: self.boot };
         let counter = TermRecord { term: term.0 };
         Txn {
-            conds: vec![
-                Cond { key: LEADER.into(), version: 0 },
-                Cond { key: TERM.into(), version: counter_version },
+            conditions: vec![
+                Condition { key: LEADER_KEY.into(), version: 0 },
+                Condition { key: TERM_KEY.into(), version: counter_version },
             ],
             writes: vec![
-                Write::Put { key: LEADER.into(), value: to_value(&leader), lease: Some(lease) },
-                Write::Put { key: TERM.into(), value: to_value(&counter), lease: None },
+                Write::Put { key: LEADER_KEY.into(), value: to_value(&leader), lease: Some(lease) },
+                Write::Put { key: TERM_KEY.into(), value: to_value(&counter), lease: None },
             ],
         }
     }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -4,8 +4,8 @@
 use marblebarrow_proto::ids::{CellName, JobId, MachineId, NodeId};
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::wire::{
-    Command, Heartbeat, HeartbeatAnswer, Item, ItemPage, JobStatus, MachineList, MachineType, Rent,
-    Txn, WatchEvent,
+    Command, Heartbeat, HeartbeatAnswer, Item, ItemPage, JobStatus, MachineList, MachineType,
+    RentalRequest, Txn, WatchEvent,
 };
 
 /// Seconds of the monotonic clock since the process started.
@@ -118,7 +118,7 @@
         after: Option<MachineId>,
     },
     /// Rent machines.
-    Rent(Rent),
+    Rent(RentalRequest),
     /// Return machines.
     Release(Vec<MachineId>),
 }
--- a/crates/core/src/fencing.rs
+++ b/crates/core/src/fencing.rs
@@ -11,8 +11,8 @@
 use crate::consts::STORE_RETRY_S;
 use crate::event::{ActionSink, OpId, Secs, StoreRequest, StoreResult};
 use marblebarrow_proto::cbor::{from_value, to_value};
-use marblebarrow_proto::records::{LEADER, TERM, TermRecord};
-use marblebarrow_proto::wire::{Cond, Item, Txn, Write};
+use marblebarrow_proto::records::{LEADER_KEY, TERM_KEY, TermRecord};
+use marblebarrow_proto::wire::{Condition, Item, Txn, Write};
 
 /// The stored counter as last read or written.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -77,7 +77,7 @@
                 1
             }
             None => {
-                self.step = Some(RaiseStep::Reading(out.store(StoreRequest::Get(TERM.into()))));
+                self.step = Some(RaiseStep::Reading(out.store(StoreRequest::Get(TERM_KEY.into()))));
                 1
             }
         }
@@ -87,12 +87,12 @@
     fn commit(&mut self, counter: Counter, out: &mut ActionSink) {
         let token = counter.value.max(self.highest) + 1;
         let txn = Txn {
-            conds: vec![
-                Cond { key: LEADER.into(), version: self.leader_version },
-                Cond { key: TERM.into(), version: counter.version },
+            conditions: vec![
+                Condition { key: LEADER_KEY.into(), version: self.leader_version },
+                Condition { key: TERM_KEY.into(), version: counter.version },
             ],
             writes: vec![Write::Put {
-                key: TERM.into(),
+                key: TERM_KEY.into(),
                 value: to_value(&TermRecord { term: token }),
                 lease: None,
             }],
@@ -146,7 +146,7 @@
                 self.counter = Some(Counter { value: token, version: *version });
                 RaiseOutcome::Raised(token)
             }
-            StoreResult::Conflict(keys) if keys.iter().any(|key| key == LEADER) => {
+            StoreResult::Conflict(keys) if keys.iter().any(|key| key == LEADER_KEY) => {
                 RaiseOutcome::NotLeading
             }
             // May have been executed, or may be executed later: the counter is read again.
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -6,7 +6,7 @@
 use marblebarrow_proto::ids::{Attempt, MachineId, TaskId};
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::records::MachineRecord;
-use marblebarrow_proto::wire::{MachineType, Why};
+use marblebarrow_proto::wire::{EndReason, MachineType};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine known to the leader, from a report or from the store.
@@ -69,7 +69,7 @@
     /// Whether there is something new to send to it.
     pub direct_send_due: bool,
     /// Ended attempts that it still lists, and why they ended.
-    pub ended_attempts: BTreeMap<(TaskId, Attempt), Why>,
+    pub ended_attempts: BTreeMap<(TaskId, Attempt), EndReason>,
     /// The operation of the direct commands in flight.
     pub direct_in_flight: Option<OpId>,
     /// Time before which no direct commands are sent.
--- a/crates/core/src/heartbeats/outcomes.rs
+++ b/crates/core/src/heartbeats/outcomes.rs
@@ -6,7 +6,7 @@
 use crate::leader::Leader;
 use marblebarrow_proto::ids::{JobId, MachineId, TaskId};
 use marblebarrow_proto::job::Kind;
-use marblebarrow_proto::wire::Why;
+use marblebarrow_proto::wire::EndReason;
 
 /// How many tasks of a job must have ended before a much slower one counts as slow.
 const SLOW_SAMPLES_MIN: u32 = 2;
@@ -38,18 +38,20 @@
 /// The end of a task, as far as it concerns its machine.
 struct TaskEnd {
     outcome: Outcome,
-    why: Why,
+    why: EndReason,
     /// Whether the job has succeeded before, so that a failure indicates a fault of the machine.
     job_has_succeeded: bool,
     run_time: RunTime,
 }
 
-fn outcome_of(why: Why) -> Outcome {
+fn outcome_of(why: EndReason) -> Outcome {
     match why {
-        Why::Done => Outcome::Done,
-        Why::Error => Outcome::Error,
-        Why::NoRoom | Why::Busy | Why::Unknown => Outcome::Refused,
-        Why::Stopped | Why::Peers | Why::Alone | Why::Other => Outcome::Lost,
+        EndReason::Done => Outcome::Done,
+        EndReason::Error => Outcome::Error,
+        EndReason::NoRoom | EndReason::Busy | EndReason::Unknown => Outcome::Refused,
+        EndReason::Stopped | EndReason::Peers | EndReason::Alone | EndReason::Other => {
+            Outcome::Lost
+        }
     }
 }
 
@@ -61,13 +63,13 @@
         now: Secs,
         id: &MachineId,
         task: &TaskId,
-        why: Why,
+        why: EndReason,
         placed: bool,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let run_time = RunTime::of(job, task.index, now);
         let outcome = outcome_of(why);
-        if why == Why::Alone {
+        if why == EndReason::Alone {
             job.restart_whole_gang = true;
         }
         if placed && outcome != Outcome::Done && job.spec().kind == Kind::Gang {
--- a/crates/core/src/heartbeats/tasks.rs
+++ b/crates/core/src/heartbeats/tasks.rs
@@ -6,7 +6,7 @@
 use crate::leader::Leader;
 use marblebarrow_proto::ids::{Attempt, MachineId, TaskId};
 use marblebarrow_proto::job::Kind;
-use marblebarrow_proto::wire::{HeartbeatTask, TaskState, Why};
+use marblebarrow_proto::wire::{EndReason, HeartbeatTask, TaskState};
 use std::collections::BTreeSet;
 
 impl Leader {
@@ -146,8 +146,8 @@
 }
 
 /// Why the task ended; `None` if it hasn't.
-fn exit_reason(entry: &HeartbeatTask) -> Option<Why> {
-    (entry.state == TaskState::Exited).then(|| entry.why.unwrap_or(Why::Other))
+fn exit_reason(entry: &HeartbeatTask) -> Option<EndReason> {
+    (entry.state == TaskState::Exited).then(|| entry.end_reason.unwrap_or(EndReason::Other))
 }
 
 /// State of an attempt that an earlier leader started, as listed in a heartbeat.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -18,7 +18,7 @@
 use crate::user_api::{RequestContext, UserApi};
 use crate::waiting_heartbeats::WaitingHeartbeats;
 use marblebarrow_proto::ids::{JobId, NodeId};
-use marblebarrow_proto::records::TERM;
+use marblebarrow_proto::records::TERM_KEY;
 use marblebarrow_proto::wire::MachineType;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -279,7 +279,7 @@
             self.out.actions.push(Action::PeerHeartbeat { store_ok, leading });
         }
         if self.store_probe.is_none() && now - self.store_ok_at > STORE_PROBE_S {
-            self.store_probe = Some(self.out.store(StoreRequest::Get(TERM.into())));
+            self.store_probe = Some(self.out.store(StoreRequest::Get(TERM_KEY.into())));
         }
         let known = self.types.is_some() || self.replica.types.is_some();
         if !known && self.types_op.is_none() && now >= self.next_types {
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -23,7 +23,7 @@
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::job::Kind;
 use marblebarrow_proto::records::{EndRecord, cancel_key, end_key, spec_key};
-use marblebarrow_proto::wire::{Cond, Txn, Write};
+use marblebarrow_proto::wire::{Condition, Txn, Write};
 
 /// A job that still waits for its dependencies and is expected to become ready soon.
 #[derive(Debug)]
@@ -284,9 +284,9 @@
             Write::Put { key: cancel_key(id), value: to_value(&true), lease: None }
         };
         Some(Txn {
-            conds: vec![
-                Cond { key: spec_key(id), version: job.spec_version },
-                Cond { key: end_key(id), version: 0 },
+            conditions: vec![
+                Condition { key: spec_key(id), version: job.spec_version },
+                Condition { key: end_key(id), version: 0 },
             ],
             writes: vec![end, then],
         })
--- a/crates/core/src/provision/late_tasks.rs
+++ b/crates/core/src/provision/late_tasks.rs
@@ -151,7 +151,8 @@
     /// that uses them ends.
     fn cpu_timeline(&self, now: Secs, capacity: &[Capacity]) -> CpuTimeline {
         // CPUs are distinguished by location only if some waiting task can't use every machine.
-        let by_location = self.arrays().any(|job| is_projected(job) && job.spec().bound());
+        let by_location =
+            self.arrays().any(|job| is_projected(job) && job.spec().has_placement_constraints());
         let mut cpus = CpuTimeline::default();
         for machine in capacity {
             let location = by_location.then_some(machine.location);
--- a/crates/core/src/provision/mod.rs
+++ b/crates/core/src/provision/mod.rs
@@ -26,7 +26,7 @@
 use crate::leader::Leader;
 use bin_packing::{Capacity, TaskNeeds};
 use marblebarrow_proto::job::{JobSpec, Kind};
-use marblebarrow_proto::wire::Rent;
+use marblebarrow_proto::wire::RentalRequest;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -199,7 +199,7 @@
                 "event=rent request={request} type={kind} zone={zone} spot={spot} count={count}"
             )
         });
-        let rent = Rent { request, kind, zone, spot, count: count.min(RENT_MAX) };
+        let rent = RentalRequest { request, kind, zone, spot, count: count.min(RENT_MAX) };
         self.cloud_requests.send_rent(UnansweredRent { rent, since: now }, out);
     }
 }
--- a/crates/core/src/record_shape.rs
+++ b/crates/core/src/record_shape.rs
@@ -6,7 +6,7 @@
     VALUE_FILL,
 };
 use crate::facts::Facts;
-use marblebarrow_proto::cbor::{json_len, json_text_len, to_value};
+use marblebarrow_proto::cbor::{json_len, json_text_len_bound, to_value};
 use marblebarrow_proto::ids::MachineId;
 use marblebarrow_proto::intset::{IntSet, PackedSet};
 use marblebarrow_proto::records::{MachineBlock, MachineRecord, NumberSet, ProgressRecord};
@@ -121,16 +121,16 @@
 fn trim_images(id: &MachineId, record: &mut MachineRecord, limits: ShapeLimits) -> usize {
     let limit = (limits.record_bytes() as f64 * MACHINE_RECORD_SHARE) as usize;
     let texts = [id.as_str(), &record.kind, &record.zone, &record.addr];
-    let base = ENTRY_FRAME_BYTES + texts.map(json_text_len).iter().sum::<usize>();
+    let base = ENTRY_FRAME_BYTES + texts.map(json_text_len_bound).iter().sum::<usize>();
     let mut bytes = base;
     // Recently held images come last.
     let fitting = record.images.iter().rev().take_while(|image| {
-        bytes += json_text_len(image) + 1;
+        bytes += json_text_len_bound(image) + 1;
         bytes <= limit
     });
     let kept = fitting.count();
     record.images.drain(..record.images.len() - kept);
-    base + record.images.iter().map(|image| json_text_len(image) + 1).sum::<usize>()
+    base + record.images.iter().map(|image| json_text_len_bound(image) + 1).sum::<usize>()
 }
 
 /// The sets of a job that one progress record holds.
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -11,7 +11,7 @@
 use marblebarrow_proto::cbor::from_value;
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::records::{
-    MACHINES, MachineBlock, PROGRESS, ProgressRecord, parse_progress_key,
+    MACHINES_PREFIX, MachineBlock, PROGRESS_PREFIX, ProgressRecord, parse_progress_key,
 };
 use marblebarrow_proto::wire::Item;
 use std::collections::BTreeSet;
@@ -33,7 +33,8 @@
 impl Leader {
     /// Sends the first read of the records.
     pub(crate) fn start_loading(&mut self, out: &mut ActionSink) {
-        let op = out.store(StoreRequest::Range { prefix: PROGRESS.into(), after: String::new() });
+        let op =
+            out.store(StoreRequest::Range { prefix: PROGRESS_PREFIX.into(), after: String::new() });
         self.loading = Some(Loading {
             op: Some(op),
             retry_at: 0.0,
@@ -58,7 +59,7 @@
             return self.finish_loading(now, wall_ms, replica, out);
         }
         if l.op.is_none() && now >= l.retry_at {
-            let prefix = if l.machines { MACHINES } else { PROGRESS };
+            let prefix = if l.machines { MACHINES_PREFIX } else { PROGRESS_PREFIX };
             l.op = Some(
                 out.store(StoreRequest::Range { prefix: prefix.into(), after: l.after.clone() }),
             );
@@ -132,7 +133,8 @@
             }
         }
         for item in l.machine_items {
-            let Some(block) = item.key.strip_prefix(MACHINES).and_then(|b| b.parse().ok()) else {
+            let Some(block) = item.key.strip_prefix(MACHINES_PREFIX).and_then(|b| b.parse().ok())
+            else {
                 continue;
             };
             let Ok(found) = from_value::<MachineBlock>(&item.value) else {
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -166,31 +166,31 @@
         if self.versions.get(&key).is_some_and(|&v| v >= version) {
             return None;
         }
-        let change = if key == records::LEADER {
+        let change = if key == records::LEADER_KEY {
             self.leader = from_value(value).ok().map(|r| (r, version));
             Some(Change::Leader)
-        } else if key == records::TYPES {
+        } else if key == records::MACHINE_TYPES_KEY {
             self.types = from_value(value).ok();
             self.types_version = version;
             None
-        } else if key == records::COMMON_FORMAT {
+        } else if key == records::COMMON_FORMAT_KEY {
             if let Ok(record) = from_value(value) {
                 self.common_format = Some((record, version));
             }
             None
-        } else if let Some(id) = key.strip_prefix(records::SPECS) {
+        } else if let Some(id) = key.strip_prefix(records::SPECS_PREFIX) {
             let id = JobId::new(id);
             let record = from_value::<SpecRecord>(value).ok()?;
             self.specs.insert(id.clone(), (Arc::new(record), version));
             Some(Change::Job(id))
-        } else if let Some(id) = key.strip_prefix(records::CANCELS) {
+        } else if let Some(id) = key.strip_prefix(records::CANCELS_PREFIX) {
             let id = JobId::new(id);
             self.cancel_marks.insert(id.clone(), version);
             Some(Change::Cancelled(id))
-        } else if key == records::CASCADE_GENERATION {
+        } else if key == records::CASCADE_GENERATION_KEY {
             self.cascaded.set_generation(version);
             None
-        } else if key.starts_with(records::CASCADES) {
+        } else if key.starts_with(records::CASCADES_PREFIX) {
             self.cascaded.put(&key, from_value(value).ok()?, version);
             None
         } else {
@@ -206,15 +206,15 @@
             return None;
         }
         self.versions.remove(key);
-        if key == records::LEADER {
+        if key == records::LEADER_KEY {
             self.leader = None;
             return Some(Change::Leader);
         }
-        if let Some(id) = key.strip_prefix(records::SPECS) {
+        if let Some(id) = key.strip_prefix(records::SPECS_PREFIX) {
             self.specs.remove(&JobId::new(id));
-        } else if let Some(id) = key.strip_prefix(records::CANCELS) {
+        } else if let Some(id) = key.strip_prefix(records::CANCELS_PREFIX) {
             self.cancel_marks.remove(&JobId::new(id));
-        } else if key.starts_with(records::CASCADES) {
+        } else if key.starts_with(records::CASCADES_PREFIX) {
             self.cascaded.remove(key);
         } else {
             self.delete_transfer(key);
@@ -223,29 +223,29 @@
     }
 
     fn put_transfer(&mut self, key: &str, value: &Value, version: u64) {
-        if let Some(id) = key.strip_prefix(transfer::INBOUND) {
+        if let Some(id) = key.strip_prefix(transfer::INBOUND_PREFIX) {
             if let Ok(record) = from_value(value) {
                 self.inbound.insert(JobId::new(id), (record, version));
             }
-        } else if let Some(id) = key.strip_prefix(transfer::ACKNOWLEDGE) {
+        } else if let Some(id) = key.strip_prefix(transfer::ACKNOWLEDGE_PREFIX) {
             if let Ok(record) = from_value(value) {
                 self.acknowledge.insert(JobId::new(id), (record, version));
             }
-        } else if let Some(id) = key.strip_prefix(transfer::CANCEL_WANTED) {
+        } else if let Some(id) = key.strip_prefix(transfer::CANCEL_WANTED_PREFIX) {
             self.cancel_wanted.insert(JobId::new(id));
-        } else if let Some(cell) = key.strip_prefix(transfer::LOST_CELLS) {
+        } else if let Some(cell) = key.strip_prefix(transfer::LOST_CELLS_PREFIX) {
             self.lost_cells.insert(CellName::new(cell));
         }
     }
 
     fn delete_transfer(&mut self, key: &str) {
-        if let Some(id) = key.strip_prefix(transfer::INBOUND) {
+        if let Some(id) = key.strip_prefix(transfer::INBOUND_PREFIX) {
             self.inbound.remove(&JobId::new(id));
-        } else if let Some(id) = key.strip_prefix(transfer::ACKNOWLEDGE) {
+        } else if let Some(id) = key.strip_prefix(transfer::ACKNOWLEDGE_PREFIX) {
             self.acknowledge.remove(&JobId::new(id));
-        } else if let Some(id) = key.strip_prefix(transfer::CANCEL_WANTED) {
+        } else if let Some(id) = key.strip_prefix(transfer::CANCEL_WANTED_PREFIX) {
             self.cancel_wanted.remove(&JobId::new(id));
-        } else if let Some(cell) = key.strip_prefix(transfer::LOST_CELLS) {
+        } else if let Some(cell) = key.strip_prefix(transfer::LOST_CELLS_PREFIX) {
             self.lost_cells.remove(&CellName::new(cell));
         }
     }
--- a/crates/core/src/tests/cascade.rs
+++ b/crates/core/src/tests/cascade.rs
@@ -34,7 +34,7 @@
     while !queued.is_empty() {
         lists.plan(&queued, CASCADE_LIST_BYTES, MAX_CHANGES);
         let txn = lists.write_due(0.0, &copy).expect("due");
-        assert!(txn.writes.len() <= MAX_CHANGES && txn.conds.len() <= 4 * MAX_CHANGES);
+        assert!(txn.writes.len() <= MAX_CHANGES && txn.conditions.len() <= 4 * MAX_CHANGES);
         for write in &txn.writes {
             let Write::Put { value, .. } = write else { panic!("only puts") };
             if let Ok(record) = marblebarrow_proto::cbor::from_value::<CascadeRecord>(value) {
@@ -76,13 +76,13 @@
     let mut lists = lists_of(20);
     let txn = lists.write_due(0.0, &CascadedJobs::default()).expect("due");
     lists.write_sent(OpId(1));
-    let refused = StoreResult::Conflict(vec![CASCADE_GENERATION.into()]);
+    let refused = StoreResult::Conflict(vec![CASCADE_GENERATION_KEY.into()]);
     assert_eq!(lists.answered(0.1, OpId(1), &refused), CascadeOutcome::Pending);
     assert!(lists.write_due(60.0, &CascadedJobs::default()).is_none(), "the copy is unchanged");
     let mut newer = CascadedJobs::default();
     newer.set_generation(44);
     let again = lists.write_due(60.0, &newer).expect("the copy has a newer generation");
-    let required = again.conds.iter().find(|c| c.key == CASCADE_GENERATION);
+    let required = again.conditions.iter().find(|c| c.key == CASCADE_GENERATION_KEY);
     assert_eq!(required.map(|c| c.version), Some(44));
     // If the copy shows the lists themselves, an earlier attempt was committed.
     let shown = lists.take_visible(&copy_after(&txn, 45));
@@ -99,8 +99,8 @@
     let last = JobId::new("req-000019");
     assert!(lists.removal_due(0.0, &copy, |job| *job == last).is_none(), "one is unfinished");
     let removal = lists.removal_due(0.0, &copy, |_| false).expect("due");
-    let keys: Vec<_> = removal.conds.iter().map(|c| (c.key.as_str(), c.version)).collect();
-    assert_eq!(keys, [(LEADER, 70), (cascade_key(7, 0).as_str(), 45)]);
+    let keys: Vec<_> = removal.conditions.iter().map(|c| (c.key.as_str(), c.version)).collect();
+    assert_eq!(keys, [(LEADER_KEY, 70), (cascade_key(7, 0).as_str(), 45)]);
     lists.removal_sent(OpId(9));
     assert_eq!(lists.answered(0.2, OpId(9), &StoreResult::Committed(50)), CascadeOutcome::Removed);
     assert!(lists.removal_due(0.3, &copy, |_| false).is_none(), "not twice");
--- a/crates/core/src/user_api/cancellations.rs
+++ b/crates/core/src/user_api/cancellations.rs
@@ -7,7 +7,7 @@
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::records::{EndRecord, SpecRecord, cancel_key, end_key, spec_key};
 use marblebarrow_proto::transfer::cancel_wanted_key;
-use marblebarrow_proto::wire::{Cond, Txn, Write};
+use marblebarrow_proto::wire::{Condition, Txn, Write};
 
 impl UserApi {
     pub(super) fn cancel(
@@ -71,7 +71,10 @@
     /// Records for the leader that a job in another cell is to be cancelled.
     pub(super) fn request_remote_cancel(&mut self, id: &JobId, version: u64, out: &mut ActionSink) {
         let txn = Txn {
-            conds: vec![Cond { key: spec_key(id), version }, Cond { key: end_key(id), version: 0 }],
+            conditions: vec![
+                Condition { key: spec_key(id), version },
+                Condition { key: end_key(id), version: 0 },
+            ],
             writes: vec![Write::Put {
                 key: cancel_wanted_key(id),
                 value: to_value(&true),
@@ -93,9 +96,9 @@
     ) {
         let end = EndRecord { cancelled: true, tasks };
         let txn = Txn {
-            conds: vec![
-                Cond { key: spec_key(&id), version },
-                Cond { key: end_key(&id), version: 0 },
+            conditions: vec![
+                Condition { key: spec_key(&id), version },
+                Condition { key: end_key(&id), version: 0 },
             ],
             writes: vec![
                 Write::Put { key: end_key(&id), value: to_value(&end), lease: None },
--- a/crates/core/src/user_api/cascade_reads.rs
+++ b/crates/core/src/user_api/cascade_reads.rs
@@ -11,7 +11,9 @@
 use crate::consts::STORE_RETRY_S;
 use crate::event::{ActionSink, Secs, StoreRequest, StoreResult};
 use marblebarrow_proto::cbor::from_value;
-use marblebarrow_proto::records::{CASCADE_GENERATION, CASCADE_RECORDS, CASCADES};
+use marblebarrow_proto::records::{
+    CASCADE_GENERATION_KEY, CASCADE_RECORDS_PREFIX, CASCADES_PREFIX,
+};
 use marblebarrow_proto::wire::Item;
 
 /// The cascade lists as last read from the store, and the read in flight.
@@ -46,7 +48,7 @@
     }
 
     fn read_cascade_page(&mut self, after: String, out: &mut ActionSink) {
-        let op = out.store(StoreRequest::Range { prefix: CASCADE_RECORDS.into(), after });
+        let op = out.store(StoreRequest::Range { prefix: CASCADE_RECORDS_PREFIX.into(), after });
         self.pending.insert(op, Pending::CascadePage);
     }
 
@@ -85,9 +87,9 @@
 
 /// Adds a record to the lists. A list that can't be decoded is skipped, as the watch does.
 fn apply_item(lists: &mut CascadedJobs, item: &Item) {
-    if item.key == CASCADE_GENERATION {
+    if item.key == CASCADE_GENERATION_KEY {
         lists.set_generation(item.version);
-    } else if item.key.starts_with(CASCADES)
+    } else if item.key.starts_with(CASCADES_PREFIX)
         && let Ok(record) = from_value(&item.value)
     {
         lists.put(&item.key, record, item.version);
--- a/crates/core/src/user_api/polls.rs
+++ b/crates/core/src/user_api/polls.rs
@@ -9,8 +9,8 @@
 use crate::consts::*;
 use crate::event::{ActionSink, Answer, ReplyTo, Secs, StoreRequest, StoreResult, TaskCounts};
 use marblebarrow_proto::ids::JobId;
-use marblebarrow_proto::records::{CASCADE_GENERATION, end_key, spec_key};
-use marblebarrow_proto::wire::{Cond, JobStatus, Stage, Txn};
+use marblebarrow_proto::records::{CASCADE_GENERATION_KEY, end_key, spec_key};
+use marblebarrow_proto::wire::{Condition, JobStatus, Stage, Txn};
 use std::collections::BTreeSet;
 
 /// A user's query for the state of a job.
@@ -97,9 +97,10 @@
         if asked.is_empty() {
             return;
         }
-        let mut conds: Vec<Cond> = keys.into_iter().map(|key| Cond { key, version: 0 }).collect();
-        conds.push(self.generation_condition(context));
-        let op = out.store(StoreRequest::Commit(Txn { conds, writes: Vec::new() }));
+        let mut conditions: Vec<Condition> =
+            keys.into_iter().map(|key| Condition { key, version: 0 }).collect();
+        conditions.push(self.generation_condition(context));
+        let op = out.store(StoreRequest::Commit(Txn { conditions, writes: Vec::new() }));
         self.check_in_flight = true;
         self.pending.insert(op, Pending::Check(asked));
     }
@@ -112,9 +113,9 @@
         poll: Poll,
         out: &mut ActionSink,
     ) {
-        let end = Cond { key: end_key(&poll.job), version: 0 };
-        let conds = vec![end, self.generation_condition(context)];
-        let op = out.store(StoreRequest::Commit(Txn { conds, writes: Vec::new() }));
+        let end = Condition { key: end_key(&poll.job), version: 0 };
+        let conditions = vec![end, self.generation_condition(context)];
+        let op = out.store(StoreRequest::Commit(Txn { conditions, writes: Vec::new() }));
         self.pending.insert(op, Pending::OpenCheck(poll));
     }
 
@@ -243,9 +244,9 @@
     }
 
     /// The condition that no cascade list was added that this controller doesn't know.
-    fn generation_condition(&self, context: &RequestContext<'_>) -> Cond {
+    fn generation_condition(&self, context: &RequestContext<'_>) -> Condition {
         let version = self.cascaded(context).generation();
-        Cond { key: CASCADE_GENERATION.into(), version }
+        Condition { key: CASCADE_GENERATION_KEY.into(), version }
     }
 
     /// The DAG dependencies of a job that are unfinished as far as this controller knows: their
@@ -268,5 +269,5 @@
 }
 
 fn names_generation(failed_keys: &[String]) -> bool {
-    failed_keys.iter().any(|key| key == CASCADE_GENERATION)
+    failed_keys.iter().any(|key| key == CASCADE_GENERATION_KEY)
 }
--- a/crates/core/src/user_api/submissions.rs
+++ b/crates/core/src/user_api/submissions.rs
@@ -12,7 +12,7 @@
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::job::JobSpec;
 use marblebarrow_proto::records::{EndRecord, SpecRecord, end_key, spec_key};
-use marblebarrow_proto::wire::{Cond, Txn, Write};
+use marblebarrow_proto::wire::{Condition, Txn, Write};
 
 impl UserApi {
     /// Handles a submission: answers it at once, or starts the requests that accept it.
@@ -66,9 +66,9 @@
         let id = spec.id.clone();
         let record = SpecRecord::submitted(spec, context.wall_ms);
         let txn = Txn {
-            conds: vec![
-                Cond { key: spec_key(&id), version: 0 },
-                Cond { key: end_key(&id), version: 0 },
+            conditions: vec![
+                Condition { key: spec_key(&id), version: 0 },
+                Condition { key: end_key(&id), version: 0 },
             ],
             writes: vec![Write::Put { key: spec_key(&id), value: to_value(&record), lease: None }],
         };
@@ -153,9 +153,9 @@
     ) {
         let end = EndRecord { cancelled: true, tasks };
         let txn = Txn {
-            conds: vec![
-                Cond { key: spec_key(&id), version: 0 },
-                Cond { key: end_key(&id), version: 0 },
+            conditions: vec![
+                Condition { key: spec_key(&id), version: 0 },
+                Condition { key: end_key(&id), version: 0 },
             ],
             writes: vec![Write::Put { key: end_key(&id), value: to_value(&end), lease: None }],
         };
--- a/crates/core/src/worker_commands.rs
+++ b/crates/core/src/worker_commands.rs
@@ -8,7 +8,7 @@
 use crate::leader::Leader;
 use crate::unconfirmed_starts::AttemptKey;
 use marblebarrow_proto::ids::{MachineId, TaskId};
-use marblebarrow_proto::wire::{Command, Why};
+use marblebarrow_proto::wire::{Command, EndReason};
 use std::cmp::Ordering;
 
 /// A machine that waits for a direct command.
@@ -71,7 +71,7 @@
             let (task, attempt) = key;
             let safe = match self.jobs.get(&task.job) {
                 None => true,
-                Some(j) => *why != Why::Done || j.stored_finished.contains(task.index),
+                Some(j) => *why != EndReason::Done || j.stored_finished.contains(task.index),
             };
             if safe && !m.unconfirmed_starts.contains(key) {
                 commands.push(Command::Forget { task: task.to_string(), attempt: *attempt });
--- a/crates/core/src/writer/answers.rs
+++ b/crates/core/src/writer/answers.rs
@@ -39,7 +39,7 @@
                 }
                 self.push_direct(now, out);
             }
-            StoreResult::Conflict(keys) if keys.iter().any(|k| k == records::LEADER) => {
+            StoreResult::Conflict(keys) if keys.iter().any(|k| k == records::LEADER_KEY) => {
                 return false;
             }
             // Not executed, so the versions are unchanged.
--- a/crates/core/src/writer/batch.rs
+++ b/crates/core/src/writer/batch.rs
@@ -14,7 +14,7 @@
 use marblebarrow_proto::intset::IntSet;
 use marblebarrow_proto::job::Kind;
 use marblebarrow_proto::records::*;
-use marblebarrow_proto::wire::{Cond, Txn, Write};
+use marblebarrow_proto::wire::{Condition, Txn, Write};
 
 /// A transaction under construction.
 struct Batch {
@@ -39,11 +39,11 @@
     fn put(&mut self, key: String, version: u64, SizedValue { value, bytes }: SizedValue) {
         self.bytes += bytes;
         self.largest_value = self.largest_value.max(bytes);
-        self.txn.conds.push(Cond { key: key.clone(), version });
+        self.txn.conditions.push(Condition { key: key.clone(), version });
         self.txn.writes.push(Write::Put { key, value, lease: None });
     }
     fn delete(&mut self, key: String, version: u64) {
-        self.txn.conds.push(Cond { key: key.clone(), version });
+        self.txn.conditions.push(Condition { key: key.clone(), version });
         self.txn.writes.push(Write::Delete { key });
     }
 }
@@ -88,7 +88,7 @@
     fn batch(&mut self, now: Secs, replica: &Replica) -> Batch {
         let mut b = Batch {
             txn: Txn {
-                conds: vec![Cond { key: LEADER.into(), version: self.version }],
+                conditions: vec![Condition { key: LEADER_KEY.into(), version: self.version }],
                 writes: Vec::new(),
             },
             entries: Vec::new(),
@@ -314,7 +314,7 @@
             // Too many types for one value; a starting controller then waits for the cloud.
             return;
         }
-        b.put(TYPES.into(), replica.types_version, types);
+        b.put(MACHINE_TYPES_KEY.into(), replica.types_version, types);
         b.entries.push(Entry::Types);
     }
 
@@ -328,7 +328,7 @@
         }
         self.writer.format_sent = format;
         let version = replica.common_format.as_ref().map_or(0, |(_, version)| *version);
-        b.put(COMMON_FORMAT.into(), version, SizedValue::of(&FormatRecord { format }));
+        b.put(COMMON_FORMAT_KEY.into(), version, SizedValue::of(&FormatRecord { format }));
         b.entries.push(Entry::Format(format));
     }
 }
--- a/crates/core/src/writer/mod.rs
+++ b/crates/core/src/writer/mod.rs
@@ -13,7 +13,7 @@
 use crate::record_shape::{ProgressSets, ShapeLimits, TransactionShape};
 use marblebarrow_proto::ids::{JobId, MachineId};
 use marblebarrow_proto::records::{
-    COMMON_FORMAT, PART_TASKS, TYPES, block_key, end_key, progress_key, spec_key,
+    COMMON_FORMAT_KEY, MACHINE_TYPES_KEY, PART_TASKS, block_key, end_key, progress_key, spec_key,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use uncertain::UncertainRecords;
@@ -52,8 +52,8 @@
             Self::Close { job, cancelled: false, .. } => end_key(job),
             Self::Close { job, .. } => spec_key(job),
             Self::Garbage(key, _) => key.clone(),
-            Self::Types => TYPES.into(),
-            Self::Format(_) => COMMON_FORMAT.into(),
+            Self::Types => MACHINE_TYPES_KEY.into(),
+            Self::Format(_) => COMMON_FORMAT_KEY.into(),
         }
     }
 
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -7,7 +7,7 @@
 use marblebarrow_core::node::Node;
 use marblebarrow_proto::cbor::to_value;
 use marblebarrow_proto::ids::{Attempt, JobId, MachineId, NodeId};
-use marblebarrow_proto::records::{LEADER, LeaderRecord, cancel_key};
+use marblebarrow_proto::records::{LEADER_KEY, LeaderRecord, cancel_key};
 use marblebarrow_proto::wire::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -113,7 +113,7 @@
         answer_store(&mut node, now, load);
         answer_store(&mut node, now, load);
         if node.authority().is_some() {
-            let events = vec![put(LEADER.into(), leader_record(), 5)];
+            let events = vec![put(LEADER_KEY.into(), leader_record(), 5)];
             node.handle(now, 0, watch(now, 5, WatchContent::Events(events)));
         }
     }
@@ -212,7 +212,7 @@
     assert_eq!(revision, 5);
     // The peer knows the leader, and cancellations from before and after the leader's last update.
     let mut peer = self::node(1, &[0, 2]);
-    let mut items = vec![put(LEADER.into(), leader_record(), 5), cancel(999_999, 4)];
+    let mut items = vec![put(LEADER_KEY.into(), leader_record(), 5), cancel(999_999, 4)];
     items.extend((0..job_count).map(|n| cancel(n, 100 + u64::from(n))));
     peer.handle(now, 0, watch(now, 0, WatchContent::Reset(Vec::new())));
     peer.handle(now, 0, watch(now, 5_000, WatchContent::Events(items)));
@@ -256,7 +256,7 @@
         task: format!("req-{n:06}/0"),
         attempt: Attempt(1),
         state: TaskState::Running,
-        why: None,
+        end_reason: None,
     };
     let heartbeat = heartbeat(1, 1, vec![task(0), task(job_count - 1), task(job_count)]);
     node.take_actions();
--- a/crates/core/tests/cluster/workloads.rs
+++ b/crates/core/tests/cluster/workloads.rs
@@ -195,7 +195,7 @@
 #[test]
 fn a_transaction_round_trips_through_cbor() {
     let txn = marblebarrow_proto::wire::Txn {
-        conds: vec![marblebarrow_proto::wire::Cond { key: "k".into(), version: 3 }],
+        conditions: vec![marblebarrow_proto::wire::Condition { key: "k".into(), version: 3 }],
         writes: Vec::new(),
     };
     let decoded: marblebarrow_proto::wire::Txn =
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -9,7 +9,7 @@
 use marblebarrow_proto::cbor::to_value;
 use marblebarrow_proto::ids::{JobId, MachineId, NodeId};
 use marblebarrow_proto::job::{JobSpec, Kind, Priority};
-use marblebarrow_proto::records::{LEADER, LeaderRecord, SpecRecord, TERM, TermRecord};
+use marblebarrow_proto::records::{LEADER_KEY, LeaderRecord, SpecRecord, TERM_KEY, TermRecord};
 use marblebarrow_proto::records::{cancel_key, spec_key};
 use marblebarrow_proto::wire::*;
 use std::collections::BTreeMap;
@@ -292,7 +292,8 @@
         for command in commands {
             if let Command::Start { task, attempt } = command {
                 let (task, attempt) = (task.clone(), *attempt);
-                let running = HeartbeatTask { task, attempt, state: TaskState::Running, why: None };
+                let running =
+                    HeartbeatTask { task, attempt, state: TaskState::Running, end_reason: None };
                 self.worker.tasks.push(running);
             }
         }
@@ -302,7 +303,7 @@
         match request {
             StoreRequest::GrantLease(_) => StoreResult::LeaseGranted(7),
             StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_) => StoreResult::LeaseRenewed,
-            StoreRequest::Get(key) if key == TERM => self.read_counter(),
+            StoreRequest::Get(key) if key == TERM_KEY => self.read_counter(),
             StoreRequest::Get(_) => StoreResult::Value(None),
             StoreRequest::Range { .. } => {
                 let page = ItemPage { items: Vec::new(), more: false, revision: self.revision };
@@ -315,7 +316,7 @@
     fn read_counter(&self) -> StoreResult {
         let (term, version) = self.counter;
         let value = to_value(&TermRecord { term });
-        let item = Item { key: TERM.into(), value, version };
+        let item = Item { key: TERM_KEY.into(), value, version };
         StoreResult::Value((version != 0).then_some(item))
     }
 
@@ -328,16 +329,17 @@
                 Write::Delete { .. } => None,
             })
             .collect();
-        if puts.contains_key(LEADER) {
+        if puts.contains_key(LEADER_KEY) {
             self.revision = ELECTION_VERSION;
             self.counter = (1, ELECTION_VERSION);
             let record = LeaderRecord { node: NodeId::new("c0"), term: 1, lease: 7, boot: 0 };
             let value = to_value(&record);
-            let event = WatchEvent::Put { key: LEADER.into(), value, version: ELECTION_VERSION };
+            let event =
+                WatchEvent::Put { key: LEADER_KEY.into(), value, version: ELECTION_VERSION };
             self.deliver_watch(WatchContent::Events(vec![event]));
             return StoreResult::Committed(ELECTION_VERSION);
         }
-        if puts.contains_key(TERM) {
+        if puts.contains_key(TERM_KEY) {
             return self.raise(txn);
         }
         let closes =
@@ -350,14 +352,17 @@
     }
 
     fn raise(&mut self, txn: &Txn) -> StoreResult {
-        let cond = |key: &str, version| txn.conds.contains(&Cond { key: key.into(), version });
-        assert!(cond(LEADER, ELECTION_VERSION), "not conditional on the leader key: {txn:?}");
+        let cond =
+            |key: &str, version| txn.conditions.contains(&Condition { key: key.into(), version });
+        assert!(cond(LEADER_KEY, ELECTION_VERSION), "not conditional on the leader key: {txn:?}");
         match self.raise_outcome {
             RaiseTxnOutcome::Refused => return StoreResult::Refused,
-            RaiseTxnOutcome::LeaderChanged => return StoreResult::Conflict(vec![LEADER.into()]),
+            RaiseTxnOutcome::LeaderChanged => {
+                return StoreResult::Conflict(vec![LEADER_KEY.into()]);
+            }
             RaiseTxnOutcome::Succeed | RaiseTxnOutcome::AnswerLost => {}
         }
-        assert!(cond(TERM, self.counter.1), "not conditional on the counter: {txn:?}");
+        assert!(cond(TERM_KEY, self.counter.1), "not conditional on the counter: {txn:?}");
         self.revision += 1;
         self.counter = (self.counter.0 + 1, self.revision);
         self.raised.push(self.counter.0);
--- a/crates/core/tests/stuck_watch.rs
+++ b/crates/core/tests/stuck_watch.rs
@@ -16,7 +16,7 @@
 use marblebarrow_proto::cbor::to_value;
 use marblebarrow_proto::job::{JobSpec, Kind, Priority};
 use marblebarrow_proto::records::{
-    CASCADE_GENERATION, CascadeRecord, EndRecord, SpecRecord, cascade_key, end_key, spec_key,
+    CASCADE_GENERATION_KEY, CascadeRecord, EndRecord, SpecRecord, cascade_key, end_key, spec_key,
 };
 use marblebarrow_proto::wire::{Item, ItemPage, Stage};
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
 fn cancel(kv: &mut BTreeMap<String, Item>, list: u32, jobs: &[u32], version: u64) {
     let record = CascadeRecord { jobs: jobs.iter().copied().map(job).collect() };
     put(kv, cascade_key(3, list), to_value(&record), version);
-    put(kv, CASCADE_GENERATION.into(), to_value(&true), version);
+    put(kv, CASCADE_GENERATION_KEY.into(), to_value(&true), version);
 }
 
 impl Fixture {
@@ -146,7 +146,7 @@
                 assert!(txn.writes.is_empty(), "polls change nothing");
                 let version = |key: &String| self.kv.get(key).map_or(0, |item| item.version);
                 let failed: Vec<String> = txn
-                    .conds
+                    .conditions
                     .iter()
                     .filter(|cond| version(&cond.key) != cond.version)
                     .map(|cond| cond.key.clone())
--- a/crates/core/tests/uncertain_records.rs
+++ b/crates/core/tests/uncertain_records.rs
@@ -16,7 +16,9 @@
 use marblebarrow_proto::cbor::to_value;
 use marblebarrow_proto::ids::{MachineId, NodeId, TaskId};
 use marblebarrow_proto::job::{JobSpec, Kind, Priority};
-use marblebarrow_proto::records::{PROGRESS, SpecRecord, WATCHED, progress_key, spec_key};
+use marblebarrow_proto::records::{
+    PROGRESS_PREFIX, SpecRecord, WATCHED_PREFIX, progress_key, spec_key,
+};
 use marblebarrow_proto::wire::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -161,7 +163,7 @@
 
     fn put(&mut self, key: &str, value: ciborium::Value) {
         self.kv.insert(key.to_owned(), (value.clone(), self.revision));
-        if key.starts_with(WATCHED) {
+        if key.starts_with(WATCHED_PREFIX) {
             let version = self.revision;
             let event = WatchEvent::Put { key: key.to_owned(), value, version };
             self.deliver_watch(WatchContent::Events(vec![event]));
@@ -258,7 +260,8 @@
             if !self.worker.tasks.iter().any(|t| t.task == *task) {
                 self.started.push(id);
                 let (task, attempt) = (task.clone(), *attempt);
-                let running = HeartbeatTask { task, attempt, state: TaskState::Running, why: None };
+                let running =
+                    HeartbeatTask { task, attempt, state: TaskState::Running, end_reason: None };
                 self.worker.tasks.push(running);
             }
         }
@@ -321,7 +324,7 @@
     fn execute(&mut self, txn: &Txn) -> StoreResult {
         let version = |key: &String| self.kv.get(key).map_or(0, |(_, version)| *version);
         let failed: Vec<String> = txn
-            .conds
+            .conditions
             .iter()
             .filter(|cond| version(&cond.key) != cond.version)
             .map(|cond| cond.key.clone())
@@ -356,7 +359,7 @@
 }
 
 fn writes_progress(txn: &Txn) -> bool {
-    keys_written(txn).any(|key| key.starts_with(PROGRESS))
+    keys_written(txn).any(|key| key.starts_with(PROGRESS_PREFIX))
 }
 
 /// The answer to a transaction is lost, and then the answer to a read of one of its records. Neither
--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -11,7 +11,7 @@
 use marblebarrow_proto::ids::{JobId, NodeId};
 use marblebarrow_proto::job::{JobSpec, Kind, Priority};
 use marblebarrow_proto::records::{
-    CASCADE_GENERATION, CascadeRecord, EndRecord, SpecRecord, cascade_key, end_key, spec_key,
+    CASCADE_GENERATION_KEY, CascadeRecord, EndRecord, SpecRecord, cascade_key, end_key, spec_key,
 };
 use marblebarrow_proto::wire::{Item, JobStatus, MachineType, Stage, Write};
 use std::collections::BTreeMap;
@@ -190,7 +190,7 @@
                     Action::Reply(_, answer) => reply = Some(answer),
                     Action::Store(op, StoreRequest::Commit(txn)) => {
                         asked += 1;
-                        let keys = txn.conds.into_iter().map(|c| c.key).collect();
+                        let keys = txn.conditions.into_iter().map(|c| c.key).collect();
                         node.handle(at, 0, Event::Store(op, StoreResult::Conflict(keys)));
                     }
                     Action::Store(op, StoreRequest::Get(key)) if key.starts_with("end/") => {
@@ -232,9 +232,9 @@
         StoreRequest::Commit(txn) => txn,
         _ => return StoreResult::Refused,
     };
-    assert!(txn.conds.len() <= CONDS_PER_OP, "{} conditions", txn.conds.len());
+    assert!(txn.conditions.len() <= CONDS_PER_OP, "{} conditions", txn.conditions.len());
     let version = |key: &String| store.get(key).map_or(0, |item| item.version);
-    if let Some(failed) = txn.conds.iter().find(|c| version(&c.key) != c.version) {
+    if let Some(failed) = txn.conditions.iter().find(|c| version(&c.key) != c.version) {
         return StoreResult::Conflict(vec![failed.key.clone()]);
     }
     for write in txn.writes {
@@ -414,7 +414,8 @@
     let spec = Item { key: spec_key(&id(1)), value: record, version: 1 };
     let list = to_value(&CascadeRecord { jobs: vec![id(1)] });
     let list = Item { key: cascade_key(3, 0), value: list, version: 1 };
-    let generation = Item { key: CASCADE_GENERATION.into(), value: to_value(&true), version: 1 };
+    let generation =
+        Item { key: CASCADE_GENERATION_KEY.into(), value: to_value(&true), version: 1 };
     let all = [spec.clone(), list, generation];
     let mut store: Store = all.iter().map(|i| (i.key.clone(), i.clone())).collect();
 
--- a/crates/proto/src/cbor.rs
+++ b/crates/proto/src/cbor.rs
@@ -1,5 +1,5 @@
 //! CBOR encoding and decoding. Senders may encode an amount as an integer or as a float of
-//! any width, so every floating-point field is decoded with [`f64_lax`].
+//! any width, so every floating-point field is decoded with [`f64_from_number`].
 
 use ciborium::Value;
 use serde::{Deserialize, Deserializer, Serialize, de::DeserializeOwned, de::Error as _};
@@ -55,7 +55,7 @@
 
 /// Upper bound on the length of a string encoded as JSON, quotes included, in bytes. Never
 /// less than [`json_len`], and computed without encoding the string.
-pub fn json_text_len(text: &str) -> usize {
+pub fn json_text_len_bound(text: &str) -> usize {
     let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '\\';
     let length = |c: char| if plain(c) { 1 } else { JSON_ESCAPE_LEN };
     text.chars().map(length).sum::<usize>() + 2
@@ -79,7 +79,7 @@
 }
 
 /// Converts a CBOR integer or float to `f64`; `None` for any other type.
-pub fn number(v: &Value) -> Option<f64> {
+pub fn as_f64(v: &Value) -> Option<f64> {
     match v {
         Value::Float(f) => Some(*f),
         Value::Integer(i) => Some(i128::from(*i) as f64),
@@ -88,16 +88,16 @@
 }
 
 /// Serde helper: decodes a float that may have been encoded as an integer.
-pub fn f64_lax<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
+pub fn f64_from_number<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
     let v = Value::deserialize(d)?;
-    number(&v).ok_or_else(|| D::Error::custom("expected a number"))
+    as_f64(&v).ok_or_else(|| D::Error::custom("expected a number"))
 }
 
-/// Serde helper: like [`f64_lax`], but null decodes as `None`.
-pub fn opt_f64_lax<'de, D: Deserializer<'de>>(d: D) -> Result<Option<f64>, D::Error> {
+/// Serde helper: like [`f64_from_number`], but null decodes as `None`.
+pub fn opt_f64_from_number<'de, D: Deserializer<'de>>(d: D) -> Result<Option<f64>, D::Error> {
     let v = Value::deserialize(d)?;
     match v {
         Value::Null => Ok(None),
-        v => number(&v).map(Some).ok_or_else(|| D::Error::custom("expected a number or null")),
+        v => as_f64(&v).map(Some).ok_or_else(|| D::Error::custom("expected a number or null")),
     }
 }
--- a/crates/proto/src/ids.rs
+++ b/crates/proto/src/ids.rs
@@ -125,7 +125,7 @@
 
 impl JobId {
     /// Whether the text is a valid job id: `req-` and 1 to 20 decimal digits.
-    pub fn well_formed(s: &str) -> bool {
+    pub fn is_well_formed(s: &str) -> bool {
         s.strip_prefix("req-")
             .is_some_and(|d| (1..=20).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
     }
--- a/crates/proto/src/job.rs
+++ b/crates/proto/src/job.rs
@@ -88,19 +88,19 @@
     #[serde(rename = "pieces")]
     pub tasks: u32,
     /// CPUs per task.
-    #[serde(rename = "vcpus", deserialize_with = "cbor::f64_lax")]
+    #[serde(rename = "vcpus", deserialize_with = "cbor::f64_from_number")]
     pub cpus: f64,
     /// GPUs per task.
-    #[serde(rename = "cards", deserialize_with = "cbor::f64_lax")]
+    #[serde(rename = "cards", deserialize_with = "cbor::f64_from_number")]
     pub gpus: f64,
     /// Memory per task, GB.
-    #[serde(rename = "mem_gb", deserialize_with = "cbor::f64_lax")]
+    #[serde(rename = "mem_gb", deserialize_with = "cbor::f64_from_number")]
     pub memory_gb: f64,
     /// Image that a machine must hold to run a task.
     #[serde(rename = "mould")]
     pub image: String,
     /// Size of the image, GB.
-    #[serde(rename = "size_gb", deserialize_with = "cbor::f64_lax")]
+    #[serde(rename = "size_gb", deserialize_with = "cbor::f64_from_number")]
     pub image_gb: f64,
     /// Machine types that the tasks may run on; `None` allows any.
     #[serde(rename = "builds", default)]
@@ -117,16 +117,16 @@
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// The submitter's estimate of a task's run time, seconds.
-    #[serde(rename = "guess_s", deserialize_with = "cbor::f64_lax")]
+    #[serde(rename = "guess_s", deserialize_with = "cbor::f64_from_number")]
     pub estimate_s: f64,
     /// Progress between checkpoints, seconds of run time; 0: the task saves no checkpoints.
-    #[serde(rename = "mark_s", deserialize_with = "cbor::f64_lax")]
+    #[serde(rename = "mark_s", deserialize_with = "cbor::f64_from_number")]
     pub checkpoint_s: f64,
     /// Time that a task needs to save its state when it is stopped, seconds.
-    #[serde(rename = "stow_s", deserialize_with = "cbor::f64_lax")]
+    #[serde(rename = "stow_s", deserialize_with = "cbor::f64_from_number")]
     pub save_s: f64,
     /// Deadline for the completion of the job, seconds after submission.
-    #[serde(rename = "due_s", default, deserialize_with = "cbor::opt_f64_lax")]
+    #[serde(rename = "due_s", default, deserialize_with = "cbor::opt_f64_from_number")]
     pub deadline_s: Option<f64>,
     /// Jobs that must be done before any task of this job starts. Omitted from the record
     /// when empty, so that a spec without dependencies is stored byte for byte as by the
@@ -138,7 +138,7 @@
 
 /// The reason why a submission is invalid.
 #[derive(Debug, thiserror::Error, PartialEq)]
-pub enum BadJob {
+pub enum InvalidJob {
     /// The body is not CBOR, or not a map.
     #[error("body is not a cbor map")]
     NotAMap,
@@ -148,7 +148,7 @@
 }
 
 /// The fields of a submission, looked up by wire name. Each accessor reports an absent or
-/// invalid field as [`BadJob::Field`].
+/// invalid field as [`InvalidJob::Field`].
 struct Fields<'a>(&'a [(Value, Value)]);
 
 impl<'a> Fields<'a> {
@@ -160,54 +160,54 @@
         self.get(name).filter(|v| !v.is_null())
     }
     /// A non-empty string of at most [`MAX_NAME_LEN`] bytes.
-    fn text(&self, name: &'static str) -> Result<String, BadJob> {
-        let t = self.get(name).and_then(Value::as_text).ok_or(BadJob::Field(name))?;
+    fn text(&self, name: &'static str) -> Result<String, InvalidJob> {
+        let t = self.get(name).and_then(Value::as_text).ok_or(InvalidJob::Field(name))?;
         if t.is_empty() || t.len() > MAX_NAME_LEN {
-            Err(BadJob::Field(name))
+            Err(InvalidJob::Field(name))
         } else {
             Ok(t.to_owned())
         }
     }
     /// A finite number, 0 or greater.
-    fn amount(&self, name: &'static str) -> Result<f64, BadJob> {
-        let n = self.get(name).and_then(cbor::number).ok_or(BadJob::Field(name))?;
-        if n.is_finite() && n >= 0.0 { Ok(n) } else { Err(BadJob::Field(name)) }
+    fn amount(&self, name: &'static str) -> Result<f64, InvalidJob> {
+        let n = self.get(name).and_then(cbor::as_f64).ok_or(InvalidJob::Field(name))?;
+        if n.is_finite() && n >= 0.0 { Ok(n) } else { Err(InvalidJob::Field(name)) }
     }
-    fn flag(&self, name: &'static str) -> Result<bool, BadJob> {
-        self.get(name).and_then(Value::as_bool).ok_or(BadJob::Field(name))
+    fn flag(&self, name: &'static str) -> Result<bool, InvalidJob> {
+        self.get(name).and_then(Value::as_bool).ok_or(InvalidJob::Field(name))
     }
     /// The variant of an enum with this wire name.
-    fn choice<T: serde::de::DeserializeOwned>(&self, name: &'static str) -> Result<T, BadJob> {
-        let v = self.get(name).filter(|v| v.is_text()).ok_or(BadJob::Field(name))?;
-        v.deserialized().map_err(|_| BadJob::Field(name))
+    fn choice<T: serde::de::DeserializeOwned>(&self, name: &'static str) -> Result<T, InvalidJob> {
+        let v = self.get(name).filter(|v| v.is_text()).ok_or(InvalidJob::Field(name))?;
+        v.deserialized().map_err(|_| InvalidJob::Field(name))
     }
 }
 
 impl JobSpec {
     /// Whether the job restricts zone, machine types or the use of spot machines, so that some
     /// machines are excluded whatever their free capacity.
-    pub fn bound(&self) -> bool {
+    pub fn has_placement_constraints(&self) -> bool {
         self.zone.is_some() || self.types.is_some() || !self.spot
     }
 
     /// Decodes and validates the body of a submission. Unknown fields are ignored.
-    pub fn parse(body: &[u8]) -> Result<Self, BadJob> {
-        let value: Value = cbor::decode(body).map_err(|_| BadJob::NotAMap)?;
-        let f = Fields(value.as_map().ok_or(BadJob::NotAMap)?);
+    pub fn parse(body: &[u8]) -> Result<Self, InvalidJob> {
+        let value: Value = cbor::decode(body).map_err(|_| InvalidJob::NotAMap)?;
+        let f = Fields(value.as_map().ok_or(InvalidJob::NotAMap)?);
         let id = f.text("ref")?;
-        if !JobId::well_formed(&id) {
-            return Err(BadJob::Field("ref"));
+        if !JobId::is_well_formed(&id) {
+            return Err(InvalidJob::Field("ref"));
         }
         let tasks = f
             .get("pieces")
             .and_then(Value::as_integer)
             .and_then(|i| u32::try_from(i).ok())
             .filter(|n| (1..=MAX_TASKS).contains(n))
-            .ok_or(BadJob::Field("pieces"))?;
+            .ok_or(InvalidJob::Field("pieces"))?;
         let types = match f.optional("builds") {
             None => None,
             Some(v) => {
-                let list = v.as_array().ok_or(BadJob::Field("builds"))?;
+                let list = v.as_array().ok_or(InvalidJob::Field("builds"))?;
                 let names: Option<Vec<String>> = list
                     .iter()
                     .map(|t| t.as_text().filter(|t| t.len() <= MAX_NAME_LEN).map(str::to_owned))
@@ -215,7 +215,7 @@
                 Some(
                     names
                         .filter(|n| n.len() <= MAX_MACHINE_TYPES)
-                        .ok_or(BadJob::Field("builds"))?,
+                        .ok_or(InvalidJob::Field("builds"))?,
                 )
             }
         };
@@ -253,14 +253,14 @@
 
 /// Validates `waits_on`: a list of well-formed job ids, at most [`MAX_DEPENDENCIES`] after
 /// duplicates are removed. The order of first occurrence is kept.
-fn parse_dependencies(value: &Value) -> Result<Vec<JobId>, BadJob> {
+fn parse_dependencies(value: &Value) -> Result<Vec<JobId>, InvalidJob> {
     const FIELD: &str = "waits_on";
-    let list = value.as_array().ok_or(BadJob::Field(FIELD))?;
+    let list = value.as_array().ok_or(InvalidJob::Field(FIELD))?;
     let mut dependencies: Vec<JobId> = Vec::with_capacity(list.len());
     for item in list {
-        let name = item.as_text().ok_or(BadJob::Field(FIELD))?;
-        if !JobId::well_formed(name) {
-            return Err(BadJob::Field(FIELD));
+        let name = item.as_text().ok_or(InvalidJob::Field(FIELD))?;
+        if !JobId::is_well_formed(name) {
+            return Err(InvalidJob::Field(FIELD));
         }
         let id = JobId::new(name);
         if !dependencies.contains(&id) {
@@ -268,7 +268,7 @@
         }
     }
     if dependencies.len() > MAX_DEPENDENCIES {
-        return Err(BadJob::Field(FIELD));
+        return Err(InvalidJob::Field(FIELD));
     }
     Ok(dependencies)
 }
--- a/crates/proto/src/records.rs
+++ b/crates/proto/src/records.rs
@@ -12,35 +12,35 @@
 use serde::{Deserialize, Serialize};
 
 /// Key prefix of everything that controllers watch.
-pub const WATCHED: &str = "w/";
+pub const WATCHED_PREFIX: &str = "w/";
 /// Key of the [`LeaderRecord`], attached to the leader's lease.
-pub const LEADER: &str = "w/lead";
+pub const LEADER_KEY: &str = "w/lead";
 /// Key of the [`TermRecord`]. It remains when the leader key expires.
-pub const TERM: &str = "term";
+pub const TERM_KEY: &str = "term";
 /// Key of the machine types, stored so that they are known after a start while the cloud is
 /// unavailable.
-pub const TYPES: &str = "w/types";
+pub const MACHINE_TYPES_KEY: &str = "w/types";
 /// Key of the lowest record format among the controllers; see [`FormatRecord`].
-pub const COMMON_FORMAT: &str = "w/format";
+pub const COMMON_FORMAT_KEY: &str = "w/format";
 /// Key prefix of job specs; see [`SpecRecord`].
-pub const SPECS: &str = "w/spec/";
+pub const SPECS_PREFIX: &str = "w/spec/";
 /// Key prefix of cancellations.
-pub const CANCELS: &str = "w/cut/";
+pub const CANCELS_PREFIX: &str = "w/cut/";
 /// Key prefix of the lists of jobs cancelled by a cascade; see [`CascadeRecord`].
-pub const CASCADES: &str = "w/cascade/";
+pub const CASCADES_PREFIX: &str = "w/cascade/";
 /// Key of the cascade generation, written in each transaction that adds a list under
-/// [`CASCADES`]: its version shows whether a copy of the lists is complete. The key sorts
+/// [`CASCADES_PREFIX`]: its version shows whether a copy of the lists is complete. The key sorts
 /// before the lists, so that a read of several pages never combines a new generation with
 /// old lists.
-pub const CASCADE_GENERATION: &str = "w/cascade-generation";
+pub const CASCADE_GENERATION_KEY: &str = "w/cascade-generation";
 /// Key prefix of final states; see [`EndRecord`].
-pub const ENDS: &str = "end/";
+pub const ENDS_PREFIX: &str = "end/";
 /// Common key prefix of the cascade generation and the cascade lists, which sort in this order.
-pub const CASCADE_RECORDS: &str = "w/cascade";
+pub const CASCADE_RECORDS_PREFIX: &str = "w/cascade";
 /// Key prefix of job progress; see [`ProgressRecord`].
-pub const PROGRESS: &str = "p/";
+pub const PROGRESS_PREFIX: &str = "p/";
 /// Key prefix of blocks of machine records; see [`MachineBlock`].
-pub const MACHINES: &str = "m/";
+pub const MACHINES_PREFIX: &str = "m/";
 
 /// Tasks per progress record: two bitmaps of this many bits stay far below the smallest value
 /// limit of the state service.
@@ -48,31 +48,31 @@
 
 /// Key of a job's spec.
 pub fn spec_key(id: &JobId) -> String {
-    format!("{SPECS}{id}")
+    format!("{SPECS_PREFIX}{id}")
 }
 /// Key of a job's cancellation.
 pub fn cancel_key(id: &JobId) -> String {
-    format!("{CANCELS}{id}")
+    format!("{CANCELS_PREFIX}{id}")
 }
 /// Key of a job's final state.
 pub fn end_key(id: &JobId) -> String {
-    format!("{ENDS}{id}")
+    format!("{ENDS_PREFIX}{id}")
 }
 /// Key of the cascade list with this number among those written by the leader of `term`.
 pub fn cascade_key(term: u64, number: u32) -> String {
-    format!("{CASCADES}{term:010}/{number:06}")
+    format!("{CASCADES_PREFIX}{term:010}/{number:06}")
 }
 /// Key of part `part` of a job's progress.
 pub fn progress_key(id: &JobId, part: u32) -> String {
-    format!("{PROGRESS}{id}/{part:03}")
+    format!("{PROGRESS_PREFIX}{id}/{part:03}")
 }
 /// Key of a block of machine records.
 pub fn block_key(block: u32) -> String {
-    format!("{MACHINES}{block:05}")
+    format!("{MACHINES_PREFIX}{block:05}")
 }
 /// Parses a progress key into the job and the part; `None` if it isn't one.
 pub fn parse_progress_key(key: &str) -> Option<(JobId, u32)> {
-    let (job, part) = key.strip_prefix(PROGRESS)?.rsplit_once('/')?;
+    let (job, part) = key.strip_prefix(PROGRESS_PREFIX)?.rsplit_once('/')?;
     Some((JobId::new(job), part.parse().ok()?))
 }
 
@@ -197,13 +197,13 @@
 
 /// Maximum span of a set that is stored exactly. A bitmap of this many bits takes 5 KiB as
 /// CBOR, which leaves room for the tasks of a part within the smallest value limit (8 KiB).
-pub const NUMBERS_SPAN: u32 = 32_768;
+pub const MAX_EXACT_SPAN: u32 = 32_768;
 /// Maximum number of ranges stored for a set with a larger span: 512 pairs of numbers take
 /// 5 KiB as CBOR.
-pub const NUMBER_RANGES_MAX: usize = 512;
+pub const MAX_NUMBER_RANGES: usize = 512;
 
 impl NumberSet {
-    /// Packs a set. A set that spans more than [`NUMBERS_SPAN`] may unpack as a superset, as
+    /// Packs a set. A set that spans more than [`MAX_EXACT_SPAN`] may unpack as a superset, as
     /// its narrowest gaps are filled. A job then appears to be on more machines than it is; a
     /// new leader waits for these as well, and no machine is lost.
     ///
@@ -213,10 +213,10 @@
     pub fn pack(set: &IntSet) -> Self {
         let Some((from, last)) = set.bounds() else { return Self::default() };
         let len = last - from + 1;
-        if len <= NUMBERS_SPAN {
+        if len <= MAX_EXACT_SPAN {
             return Self { from, len, set: PackedSet::pack(set, from, len) };
         }
-        let coarse = set.with_ranges_at_most(NUMBER_RANGES_MAX);
+        let coarse = set.with_ranges_at_most(MAX_NUMBER_RANGES);
         Self { from, len, set: PackedSet::pack(&coarse, from, len) }
     }
 
--- a/crates/proto/src/tests/job.rs
+++ b/crates/proto/src/tests/job.rs
@@ -33,7 +33,7 @@
     .collect()
 }
 
-fn parse(m: Vec<(Value, Value)>) -> Result<JobSpec, BadJob> {
+fn parse(m: Vec<(Value, Value)>) -> Result<JobSpec, InvalidJob> {
     JobSpec::parse(&cbor::encode(&Value::Map(m)))
 }
 
@@ -65,7 +65,7 @@
     for n in [0i64, 100_001, i64::MAX] {
         let mut m = example();
         m[5].1 = Value::from(n);
-        assert_eq!(parse(m), Err(BadJob::Field("pieces")));
+        assert_eq!(parse(m), Err(InvalidJob::Field("pieces")));
     }
 }
 
@@ -106,9 +106,9 @@
     let most = with(ids[..MAX_DEPENDENCIES].to_vec()).map(|s| s.dependencies.len());
     assert_eq!(most, Ok(MAX_DEPENDENCIES));
     for list in [ids, vec![Value::from(7)], vec![Value::Text("nonsense".into())]] {
-        assert_eq!(with(list), Err(BadJob::Field("waits_on")));
+        assert_eq!(with(list), Err(InvalidJob::Field("waits_on")));
     }
     let mut not_a_list = example();
     not_a_list.push((Value::Text("waits_on".into()), Value::Text("req-1".into())));
-    assert_eq!(parse(not_a_list), Err(BadJob::Field("waits_on")));
+    assert_eq!(parse(not_a_list), Err(InvalidJob::Field("waits_on")));
 }
--- a/crates/proto/src/tests/wire.rs
+++ b/crates/proto/src/tests/wire.rs
@@ -9,7 +9,7 @@
     let body = Value::serialized(&heartbeat_value()).expect("value");
     let heartbeat: Heartbeat = cbor::decode(&cbor::encode(&body)).expect("report");
     assert_eq!(heartbeat.tasks[0].state, TaskState::Other);
-    assert_eq!(heartbeat.tasks[1].why, Some(Why::Done));
+    assert_eq!(heartbeat.tasks[1].end_reason, Some(EndReason::Done));
     assert_eq!(heartbeat.notice_s, Some(7.0));
 }
 
@@ -46,7 +46,7 @@
 #[test]
 fn transactions_round_trip() {
     let txn = Txn {
-        conds: vec![Cond { key: "a".into(), version: 0 }],
+        conditions: vec![Condition { key: "a".into(), version: 0 }],
         writes: vec![
             Write::Put { key: "a".into(), value: Value::from(1), lease: Some(7) },
             Write::Delete { key: "b".into() },
--- a/crates/proto/src/transfer.rs
+++ b/crates/proto/src/transfer.rs
@@ -8,35 +8,35 @@
 
 /// Key prefix of jobs accepted from other cells, kept until the home cell has recorded their
 /// final state.
-pub const INBOUND: &str = "w/in/";
+pub const INBOUND_PREFIX: &str = "w/in/";
 /// Key prefix of final states that the home cell has yet to acknowledge to the target cell.
-pub const ACKNOWLEDGE: &str = "w/ack/";
+pub const ACKNOWLEDGE_PREFIX: &str = "w/ack/";
 /// Key prefix of cancellations requested by users for jobs that may be in another cell.
-pub const CANCEL_WANTED: &str = "w/want/";
+pub const CANCEL_WANTED_PREFIX: &str = "w/want/";
 /// Key prefix of cells that an operator declared lost.
-pub const LOST_CELLS: &str = "w/lost/";
+pub const LOST_CELLS_PREFIX: &str = "w/lost/";
 /// Key prefix of transfers that were refused; a refusal is final.
-pub const REFUSED: &str = "refused/";
+pub const REFUSED_PREFIX: &str = "refused/";
 
 /// Key of a job accepted from another cell.
 pub fn inbound_key(job: &JobId) -> String {
-    format!("{INBOUND}{job}")
+    format!("{INBOUND_PREFIX}{job}")
 }
 /// Key of an acknowledgement that is still to be delivered.
 pub fn acknowledge_key(job: &JobId) -> String {
-    format!("{ACKNOWLEDGE}{job}")
+    format!("{ACKNOWLEDGE_PREFIX}{job}")
 }
 /// Key of a requested cancellation.
 pub fn cancel_wanted_key(job: &JobId) -> String {
-    format!("{CANCEL_WANTED}{job}")
+    format!("{CANCEL_WANTED_PREFIX}{job}")
 }
 /// Key of a cell declared lost.
 pub fn lost_cell_key(cell: &CellName) -> String {
-    format!("{LOST_CELLS}{cell}")
+    format!("{LOST_CELLS_PREFIX}{cell}")
 }
 /// Key of a refused transfer.
 pub fn refused_key(transfer: &TransferId) -> String {
-    format!("{REFUSED}{transfer}")
+    format!("{REFUSED_PREFIX}{transfer}")
 }
 
 /// Unique id of a transfer. Each term of a cell has one leader, which numbers its transfers.
--- a/crates/proto/src/wire/cloud.rs
+++ b/crates/proto/src/wire/cloud.rs
@@ -15,7 +15,7 @@
 //! | `stage` (`starting`) | state (booting) |
 //! | `truncated` | more pages follow (`more`) |
 
-use crate::cbor::f64_lax;
+use crate::cbor::f64_from_number;
 use crate::ids::MachineId;
 use serde::{Deserialize, Serialize};
 
@@ -26,28 +26,28 @@
     #[serde(rename = "sku")]
     pub name: String,
     /// Number of CPUs.
-    #[serde(rename = "vcpus", deserialize_with = "f64_lax")]
+    #[serde(rename = "vcpus", deserialize_with = "f64_from_number")]
     pub cpus: f64,
     /// Number of GPUs.
-    #[serde(rename = "cards", deserialize_with = "f64_lax")]
+    #[serde(rename = "cards", deserialize_with = "f64_from_number")]
     pub gpus: f64,
     /// Memory, GB.
-    #[serde(rename = "mem_gb", deserialize_with = "f64_lax")]
+    #[serde(rename = "mem_gb", deserialize_with = "f64_from_number")]
     pub memory_gb: f64,
     /// Size of the image cache, GB.
-    #[serde(deserialize_with = "f64_lax")]
+    #[serde(deserialize_with = "f64_from_number")]
     pub cache_gb: f64,
     /// Image fetch rate, GB per second.
-    #[serde(deserialize_with = "f64_lax")]
+    #[serde(deserialize_with = "f64_from_number")]
     pub fetch_gb_per_s: f64,
     /// Price per hour of a regular (non-spot) machine.
-    #[serde(deserialize_with = "f64_lax")]
+    #[serde(deserialize_with = "f64_from_number")]
     pub price: f64,
     /// Current price per hour of a spot machine.
-    #[serde(deserialize_with = "f64_lax")]
+    #[serde(deserialize_with = "f64_from_number")]
     pub spot_price: f64,
     /// Typical boot time, seconds.
-    #[serde(rename = "startup_s", deserialize_with = "f64_lax")]
+    #[serde(rename = "startup_s", deserialize_with = "f64_from_number")]
     pub boot_s: f64,
     /// Zones that offer the machine type.
     #[serde(rename = "quarters")]
@@ -64,7 +64,7 @@
 
 /// A request to rent machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rent {
+pub struct RentalRequest {
     /// Name of the request, never reused.
     #[serde(rename = "hire")]
     pub request: String,
@@ -126,7 +126,7 @@
     #[serde(rename = "stage")]
     pub state: ListedState,
     /// Time since the rental request, seconds.
-    #[serde(deserialize_with = "f64_lax")]
+    #[serde(deserialize_with = "f64_from_number")]
     pub age_s: f64,
 }
 
--- a/crates/proto/src/wire/mod.rs
+++ b/crates/proto/src/wire/mod.rs
@@ -11,15 +11,16 @@
 mod workers;
 
 pub use cloud::{
-    ListedMachine, ListedState, MachineList, MachineNames, MachineType, Rent, TypeList,
+    ListedMachine, ListedState, MachineList, MachineNames, MachineType, RentalRequest, TypeList,
 };
 pub use store::{
-    Cond, Item, ItemPage, LeaseGranted, LeaseRequest, Txn, TxnAnswer, WatchAnswer, WatchEvent,
-    Write,
+    Condition, Item, ItemPage, LeaseRequest, LeaseResponse, Txn, TxnAnswer, WatchAnswer,
+    WatchEvent, Write,
 };
 pub use users::{JobStatus, Stage, UnknownDependencies};
 pub use workers::{
-    Command, DirectCommands, Elsewhere, Heartbeat, HeartbeatAnswer, HeartbeatTask, TaskState, Why,
+    Command, DirectCommands, EndReason, Heartbeat, HeartbeatAnswer, HeartbeatTask, LeaderRedirect,
+    TaskState,
 };
 
 #[cfg(test)]
--- a/crates/proto/src/wire/store.rs
+++ b/crates/proto/src/wire/store.rs
@@ -15,7 +15,7 @@
 
 /// A condition of a transaction: the key must have the given version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Cond {
+pub struct Condition {
     /// The key.
     pub key: String,
     /// Version that the key must have; 0: the key must be absent.
@@ -52,7 +52,7 @@
 pub struct Txn {
     /// Conditions that must all hold.
     #[serde(rename = "when")]
-    pub conds: Vec<Cond>,
+    pub conditions: Vec<Condition>,
     /// Writes to apply.
     pub writes: Vec<Write>,
 }
@@ -140,7 +140,7 @@
 
 /// Response to a lease request that was granted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaseGranted {
+pub struct LeaseResponse {
     /// Id of the lease.
     #[serde(rename = "hold")]
     pub lease: u64,
--- a/crates/proto/src/wire/workers.rs
+++ b/crates/proto/src/wire/workers.rs
@@ -22,7 +22,7 @@
 //! | `leave_s` | grace period, seconds |
 //! | `foreman` | the controller to report to instead |
 
-use crate::cbor::opt_f64_lax;
+use crate::cbor::opt_f64_from_number;
 use crate::ids::{Attempt, MachineId};
 use serde::{Deserialize, Serialize};
 
@@ -51,7 +51,7 @@
 
 /// Reason why a task ended. Unknown values decode as `Other`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum EndReason {
     /// Completed.
     #[serde(rename = "done")]
     Done,
@@ -95,7 +95,7 @@
     pub state: TaskState,
     /// Reason why the task ended; `None` if it hasn't.
     #[serde(rename = "cause", default)]
-    pub why: Option<Why>,
+    pub end_reason: Option<EndReason>,
 }
 
 /// A worker's heartbeat, with the complete state of its machine.
@@ -126,7 +126,7 @@
     #[serde(rename = "baton")]
     pub fencing_token: u64,
     /// Seconds until the cloud reclaims the spot machine; `None` without notice.
-    #[serde(rename = "warning_s", default, deserialize_with = "opt_f64_lax")]
+    #[serde(rename = "warning_s", default, deserialize_with = "opt_f64_from_number")]
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "pieces")]
@@ -200,7 +200,7 @@
 
 /// Response to a worker that should send its heartbeats to another controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct LeaderRedirect {
     /// Node name of the leader; `None` if no leader is known.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
--- a/crates/proto/tests/number_set.rs
+++ b/crates/proto/tests/number_set.rs
@@ -3,7 +3,7 @@
 
 use marblebarrow_proto::cbor::encode;
 use marblebarrow_proto::intset::{IntSet, PackedSet};
-use marblebarrow_proto::records::{NUMBERS_SPAN, NumberSet, PART_TASKS, ProgressRecord};
+use marblebarrow_proto::records::{MAX_EXACT_SPAN, NumberSet, PART_TASKS, ProgressRecord};
 use proptest::prelude::*;
 
 /// The smallest value limit that settings allow, bytes.
@@ -61,7 +61,7 @@
         }
         prop_assert_eq!(stored.bounds(), set.bounds());
         let (first, last) = set.bounds().expect("not empty");
-        if last - first < NUMBERS_SPAN {
+        if last - first < MAX_EXACT_SPAN {
             prop_assert_eq!(stored, set);
         }
     }
--- a/crates/rehearsal/src/fleet_of_cells/checks.rs
+++ b/crates/rehearsal/src/fleet_of_cells/checks.rs
@@ -6,7 +6,7 @@
 use crate::fleet_of_cells::FleetOfCells;
 use crate::world::World;
 use marblebarrow_proto::ids::JobId;
-use marblebarrow_proto::transfer::{CANCEL_WANTED, REFUSED};
+use marblebarrow_proto::transfer::{CANCEL_WANTED_PREFIX, REFUSED_PREFIX};
 use std::collections::BTreeSet;
 
 impl FleetOfCells {
@@ -39,8 +39,8 @@
     fn count_moves(&mut self) {
         self.observed.moved = self.accepted_by.len() as u64;
         let count = |prefix| self.cells.iter().map(|cell| cell.puts_under(prefix)).sum::<usize>();
-        self.observed.refused = count(REFUSED) as u64;
-        self.observed.cancels_wanted = count(CANCEL_WANTED) as u64;
+        self.observed.refused = count(REFUSED_PREFIX) as u64;
+        self.observed.cancels_wanted = count(CANCEL_WANTED_PREFIX) as u64;
     }
 
     /// Rules `ran_twice` and `ran_cancelled`: no job starts in two cells, and no other cell holds a
--- a/crates/rehearsal/src/world/cells.rs
+++ b/crates/rehearsal/src/world/cells.rs
@@ -2,7 +2,7 @@
 //! read.
 
 use super::*;
-use marblebarrow_proto::records::{SPECS, SpecRecord, end_key};
+use marblebarrow_proto::records::{SPECS_PREFIX, SpecRecord, end_key};
 
 impl World {
     /// Delivers a request of another cell to a controller.
@@ -57,7 +57,7 @@
 
     /// Jobs recorded in this cell as accepted from other cells.
     pub fn inbound(&self) -> impl Iterator<Item = JobId> + '_ {
-        let prefix = marblebarrow_proto::transfer::INBOUND;
+        let prefix = marblebarrow_proto::transfer::INBOUND_PREFIX;
         self.kv
             .range(prefix.to_owned()..)
             .take_while(move |(key, _)| key.starts_with(prefix))
@@ -66,8 +66,8 @@
 
     /// Jobs whose records say that they are offered to another cell but not yet accepted.
     pub fn in_doubt(&self) -> Vec<JobId> {
-        let specs = self.kv.range(SPECS.to_owned()..);
-        let records = specs.take_while(|(key, _)| key.starts_with(SPECS));
+        let specs = self.kv.range(SPECS_PREFIX.to_owned()..);
+        let records = specs.take_while(|(key, _)| key.starts_with(SPECS_PREFIX));
         records
             .filter_map(|(_, (value, ..))| cbor::from_value::<SpecRecord>(value).ok())
             .filter(|record| record.forward.as_ref().is_some_and(|forward| !forward.accepted))
--- a/crates/rehearsal/src/world/cloud.rs
+++ b/crates/rehearsal/src/world/cloud.rs
@@ -46,7 +46,7 @@
     }
 
     /// Rents machines. A repeated request returns the same machines and rents no others.
-    fn rent(&mut self, rent: &Rent) -> CloudResult {
+    fn rent(&mut self, rent: &RentalRequest) -> CloudResult {
         if let Some(names) = self.rents.get(&rent.request) {
             return CloudResult::Rented(names.clone());
         }
@@ -74,7 +74,7 @@
     }
 
     /// Adds a booting machine and returns its name.
-    fn boot_machine(&mut self, rent: &Rent) -> MachineId {
+    fn boot_machine(&mut self, rent: &RentalRequest) -> MachineId {
         let tenths = if self.step < self.boots.1 { self.boots.0 } else { USUAL_BOOT_TENTHS };
         self.next_machine += 1;
         let never_up =
@@ -104,7 +104,7 @@
 
 impl Worker {
     /// The worker of a machine that comes up, in its first agent epoch, at `up_at`.
-    fn booting(rent: &Rent, up_at: f64) -> Self {
+    fn booting(rent: &RentalRequest, up_at: f64) -> Self {
         Self {
             kind: rent.kind.clone(),
             zone: rent.zone.clone(),
--- a/crates/rehearsal/src/world/controllers.rs
+++ b/crates/rehearsal/src/world/controllers.rs
@@ -1,7 +1,7 @@
 //! Controller processes: their starts, ticks and watches, and the delivery of events to them.
 
 use super::*;
-use marblebarrow_proto::records::WATCHED;
+use marblebarrow_proto::records::WATCHED_PREFIX;
 
 /// Upper bound of the delay of late answers of the store, in steps. It is below the timeout of
 /// store requests.
@@ -113,8 +113,8 @@
     fn send_snapshot(&mut self, n: usize, now: f64) {
         let items = self
             .kv
-            .range(WATCHED.to_owned()..)
-            .take_while(|(key, _)| key.starts_with(WATCHED))
+            .range(WATCHED_PREFIX.to_owned()..)
+            .take_while(|(key, _)| key.starts_with(WATCHED_PREFIX))
             .map(|(key, (value, version, _))| Item {
                 key: key.clone(),
                 value: value.clone(),
@@ -136,7 +136,7 @@
         let first = self.history.partition_point(|(revision, ..)| *revision <= after);
         let events: Vec<WatchEvent> = self.history[first..]
             .iter()
-            .filter(|(_, key, _)| key.starts_with(WATCHED))
+            .filter(|(_, key, _)| key.starts_with(WATCHED_PREFIX))
             .map(|(revision, key, value)| match value {
                 Some(value) => {
                     WatchEvent::Put { key: key.clone(), value: value.clone(), version: *revision }
--- a/crates/rehearsal/src/world/faults.rs
+++ b/crates/rehearsal/src/world/faults.rs
@@ -179,7 +179,7 @@
                 self.begin(inner.at_controller(leader));
             }
             Fault::StoreDown(s) => {
-                if !self.kv.contains_key(marblebarrow_proto::records::LEADER) {
+                if !self.kv.contains_key(marblebarrow_proto::records::LEADER_KEY) {
                     self.observed.outages_without_leader.push(step);
                 }
                 self.store_down_until = step + s;
--- a/crates/rehearsal/src/world/late_acceptance.rs
+++ b/crates/rehearsal/src/world/late_acceptance.rs
@@ -26,7 +26,7 @@
             put(end_key(&cancelled), cbor::to_value(&end)),
             put(spec_key(&dependent), cbor::to_value(&record)),
         ];
-        self.store(&StoreRequest::Commit(Txn { conds: Vec::new(), writes }));
+        self.store(&StoreRequest::Commit(Txn { conditions: Vec::new(), writes }));
         self.last_reported.insert(cancelled.clone(), (Stage::Cancelled, self.step));
         self.cancels.insert(cancelled, self.step);
         self.accepted.insert(dependent.clone());
--- a/crates/rehearsal/src/world/members.rs
+++ b/crates/rehearsal/src/world/members.rs
@@ -35,7 +35,7 @@
 pub(super) struct Running {
     pub(super) attempt: Attempt,
     pub(super) state: TaskState,
-    pub(super) why: Option<Why>,
+    pub(super) why: Option<EndReason>,
     pub(super) ends: f64,
 }
 
--- a/crates/rehearsal/src/world/store.rs
+++ b/crates/rehearsal/src/world/store.rs
@@ -82,7 +82,7 @@
         match req {
             StoreRequest::Commit(txn) => {
                 let failed: Vec<String> = txn
-                    .conds
+                    .conditions
                     .iter()
                     .filter(|c| self.kv.get(&c.key).map_or(0, |v| v.1) != c.version)
                     .map(|c| c.key.clone())
@@ -102,12 +102,12 @@
                 if self.too_large(txn) {
                     self.observed.rejections += 1;
                     if self.store_limits.is_some_and(|limits| limits.announced) {
-                        let key = txn.conds.last().map(|cond| cond.key.clone());
+                        let key = txn.conditions.last().map(|cond| cond.key.clone());
                         self.violations.push(format!("too large a transaction: {key:?}"));
                     }
                     return StoreResult::Rejected;
                 }
-                if txn.writes.len() > 16 || txn.conds.len() > 64 {
+                if txn.writes.len() > 16 || txn.conditions.len() > 64 {
                     self.violations.push(format!("too large a transaction: {}", txn.writes.len()));
                 }
                 if !txn.writes.is_empty() {
--- a/crates/rehearsal/src/world/store_limits.rs
+++ b/crates/rehearsal/src/world/store_limits.rs
@@ -79,7 +79,7 @@
             Write::Delete { .. } => 0,
         });
         txn.writes.len() > limits.changes_per_transaction
-            || txn.conds.len() > CONDITIONS_PER_CHANGE * limits.changes_per_transaction
+            || txn.conditions.len() > CONDITIONS_PER_CHANGE * limits.changes_per_transaction
             || values.max().is_some_and(|bytes| bytes > limits.value_bytes)
     }
 }
--- a/crates/rehearsal/src/world/tasks.rs
+++ b/crates/rehearsal/src/world/tasks.rs
@@ -13,11 +13,11 @@
 
 impl Worker {
     /// The reason why the worker refuses to start a task, if it does.
-    fn refusal(&self, task: &TaskId) -> Option<Why> {
+    fn refusal(&self, task: &TaskId) -> Option<EndReason> {
         if self.tasks.contains_key(task) {
-            Some(Why::Busy)
+            Some(EndReason::Busy)
         } else if self.live_tasks() >= TASKS_PER_MACHINE {
-            Some(Why::NoRoom)
+            Some(EndReason::NoRoom)
         } else {
             None
         }
@@ -44,7 +44,7 @@
         let Some(run) = w.tasks.get_mut(&task) else { return };
         if run.attempt == attempt && run.state != TaskState::Exited {
             run.state = TaskState::Exited;
-            run.why = Some(Why::Stopped);
+            run.why = Some(EndReason::Stopped);
             w.report_soon(now);
         }
     }
@@ -82,7 +82,7 @@
         let state = if why.is_some() { TaskState::Exited } else { TaskState::Running };
         if let Some(w) = self.machines.get_mut(id) {
             w.report_soon(now);
-            if why != Some(Why::Busy) {
+            if why != Some(EndReason::Busy) {
                 w.tasks.insert(task, Running { attempt, state, why, ends });
             }
         }
--- a/crates/rehearsal/src/world/upgrade.rs
+++ b/crates/rehearsal/src/world/upgrade.rs
@@ -5,7 +5,7 @@
 use super::*;
 use marblebarrow_core::consts::PRODUCTION_FORMAT;
 use marblebarrow_core::membership::Announcement;
-use marblebarrow_proto::records::{COMMON_FORMAT, FormatRecord};
+use marblebarrow_proto::records::{COMMON_FORMAT_KEY, FormatRecord};
 
 /// Tells a new process at once that every controller runs this version, which a real one learns
 /// from the first heartbeats of its peers. If the announcements were sent as messages, they would
@@ -47,7 +47,7 @@
 
     /// The format that, as the store records, every controller supports.
     pub fn format_in_store(&self) -> Option<u32> {
-        let (value, ..) = self.kv.get(COMMON_FORMAT)?;
+        let (value, ..) = self.kv.get(COMMON_FORMAT_KEY)?;
         let record: Option<FormatRecord> = cbor::from_value(value).ok();
         record.map(|record| record.format)
     }
@@ -56,7 +56,7 @@
     /// its own, since no controller has read the store yet.
     pub fn record_format(&mut self, format: u32) {
         let value = cbor::to_value(&FormatRecord { format });
-        self.kv.insert(COMMON_FORMAT.into(), (value, self.revision, None));
+        self.kv.insert(COMMON_FORMAT_KEY.into(), (value, self.revision, None));
     }
 
     /// Announces a controller's version to its peers, as its heartbeats do.
--- a/crates/rehearsal/src/world/workers.rs
+++ b/crates/rehearsal/src/world/workers.rs
@@ -58,7 +58,7 @@
                     task: t.to_string(),
                     attempt: r.attempt,
                     state: r.state,
-                    why: r.why,
+                    end_reason: r.why,
                 })
                 .collect(),
         })
@@ -122,11 +122,11 @@
     }
 
     /// Ends a task, and returns its outcome. May schedule a cancellation of its job.
-    fn end_task(&mut self, task: &TaskId) -> Why {
+    fn end_task(&mut self, task: &TaskId) -> EndReason {
         let number = number_of(&task.job);
         if self.failing_job_interval.is_some_and(|divisor| number.is_multiple_of(divisor)) {
             self.failed_attempts += 1;
-            return Why::Error;
+            return EndReason::Error;
         }
         self.finished.insert(task.clone());
         self.newly_finished.push(task.clone());
@@ -137,7 +137,7 @@
             self.observed.cancelled_at_end += 1;
             self.cancel_requested.insert(task.job.clone());
         }
-        Why::Done
+        EndReason::Done
     }
 
     /// Whether all tasks of a job that was submitted in this cell are finished.
--- a/src/server/response.rs
+++ b/src/server/response.rs
@@ -4,7 +4,7 @@
 use marblebarrow_core::event::Answer;
 use marblebarrow_proto::cbor;
 use marblebarrow_proto::ids::JobId;
-use marblebarrow_proto::wire::{Elsewhere, UnknownDependencies};
+use marblebarrow_proto::wire::{LeaderRedirect, UnknownDependencies};
 use serde::Serialize;
 
 /// An HTTP response.
@@ -35,7 +35,7 @@
 
     /// 421, naming the leader if it is known.
     pub fn misdirected(leader: Option<String>) -> Self {
-        Self::with_body(421, &Elsewhere { report_to: leader })
+        Self::with_body(421, &LeaderRedirect { report_to: leader })
     }
 
     /// Converts an answer of the core.
--- a/src/server/user_routes.rs
+++ b/src/server/user_routes.rs
@@ -32,7 +32,7 @@
         Some(id) => (id, true),
         None => (job_path, false),
     };
-    if !JobId::well_formed(id) {
+    if !JobId::is_well_formed(id) {
         return Err(Response::error(404, "no such job"));
     }
     match (method, abort) {
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -5,7 +5,7 @@
 use marblebarrow_core::consts::PAGE_LIMIT;
 use marblebarrow_core::event::{StoreRequest, StoreResult};
 use marblebarrow_proto::cbor;
-use marblebarrow_proto::wire::{LeaseGranted, LeaseRequest, TxnAnswer};
+use marblebarrow_proto::wire::{LeaseRequest, LeaseResponse, TxnAnswer};
 
 /// Makes a request to the store and interprets its answer.
 pub fn store_call(client: &mut Client, request: &StoreRequest) -> StoreResult {
@@ -58,7 +58,7 @@
         (StoreRequest::Range { .. }, 200) => {
             cbor::decode(body).map_or(StoreResult::Unknown, StoreResult::Page)
         }
-        (StoreRequest::GrantLease(_), 200) => cbor::decode::<LeaseGranted>(body)
+        (StoreRequest::GrantLease(_), 200) => cbor::decode::<LeaseResponse>(body)
             .map_or(StoreResult::Unknown, |given| StoreResult::LeaseGranted(given.lease)),
         (StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_), 404) => StoreResult::NoLease,
         (StoreRequest::KeepAlive(_) | StoreRequest::RevokeLease(_), 200..=299) => {
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -9,7 +9,7 @@
 use marblebarrow_core::event::{Event, Secs, StoreRequest, StoreResult, WatchContent, WatchNews};
 use marblebarrow_core::facts::WatchTiming;
 use marblebarrow_proto::cbor;
-use marblebarrow_proto::records::WATCHED;
+use marblebarrow_proto::records::WATCHED_PREFIX;
 use marblebarrow_proto::wire::WatchAnswer;
 use std::net::SocketAddr;
 use std::thread;
@@ -106,7 +106,7 @@
         let mut first = None;
         let sent = self.clock.now();
         loop {
-            let request = StoreRequest::Range { prefix: WATCHED.into(), after };
+            let request = StoreRequest::Range { prefix: WATCHED_PREFIX.into(), after };
             let StoreResult::Page(page) = store_call(&mut self.client, &request) else {
                 return Err(WatchError::NoAnswer);
             };
@@ -127,7 +127,7 @@
         // answer without changes proves the copy up to date.
         let block = if self.failures > 0 { Duration::ZERO } else { self.timing.block };
         let block_ms = block.as_millis();
-        let path = format!("/watch?under={WATCHED}&after={after}&block_ms={block_ms}");
+        let path = format!("/watch?under={WATCHED_PREFIX}&after={after}&block_ms={block_ms}");
         let sent = self.clock.now();
         match self.client.call("GET", &path, &[], block + self.timing.slack) {
             Ok(response) if response.status == 200 => {
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -4,7 +4,7 @@
 mod stand_in;
 
 use marblebarrow_proto::ids::{JobId, TaskId};
-use marblebarrow_proto::transfer::INBOUND;
+use marblebarrow_proto::transfer::INBOUND_PREFIX;
 use stand_in::{CellPlan, Cells, Plan};
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::Command;
@@ -95,17 +95,18 @@
         assert_eq!(ran_in, 1, "{job} must run in exactly one cell, ran in {ran_in}");
         let task = TaskId { job: job.clone(), index: 0 };
         assert_eq!(completions.get(&task), Some(&1), "completions of {job}");
-        let accepted = cells
-            .clusters
-            .iter()
-            .filter(|cluster| cluster.keys_ever_put(INBOUND).contains(&format!("{INBOUND}{job}")));
+        let accepted = cells.clusters.iter().filter(|cluster| {
+            cluster.keys_ever_put(INBOUND_PREFIX).contains(&format!("{INBOUND_PREFIX}{job}"))
+        });
         assert_eq!(accepted.count(), 1, "{job} must be accepted by exactly one other cell");
     }
     // Every running controller of the home cell keeps the reported stage; the other cells
     // delete their records of transferred jobs.
     cells.clusters[0].until(&id(0), "done");
     for cluster in &cells.clusters[1..] {
-        cluster.wait_for("records of transferred jobs are deleted", |c| c.key_count(INBOUND) == 0);
+        cluster.wait_for("records of transferred jobs are deleted", |c| {
+            c.key_count(INBOUND_PREFIX) == 0
+        });
     }
     let changes = cells.clusters[0].store_changes() - changes_before;
     println!("{changes} changes of the home store for {JOBS} jobs");
--- a/tests/stand_in/cloud.rs
+++ b/tests/stand_in/cloud.rs
@@ -28,7 +28,7 @@
             Reply::Answer(200, cbor::encode(&TypeList { types: vec![t] }))
         }
         ("POST", "/hosts") => {
-            let rent: Rent = cbor::decode(body).expect("valid rent request");
+            let rent: RentalRequest = cbor::decode(body).expect("valid rent request");
             let available = plan.machines_most.saturating_sub(fleet.rented());
             let count = available.min(rent.count as usize);
             if rent.spot || count == 0 {
--- a/tests/stand_in/cluster.rs
+++ b/tests/stand_in/cluster.rs
@@ -8,7 +8,7 @@
 use super::worker::{Fleet, HeldCommand};
 use marblebarrow_proto::cbor;
 use marblebarrow_proto::ids::{JobId, TaskId};
-use marblebarrow_proto::records::{LEADER, LeaderRecord, SPECS};
+use marblebarrow_proto::records::{LEADER_KEY, LeaderRecord, SPECS_PREFIX};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -190,13 +190,13 @@
 
     /// The leader record in the store.
     fn leader(&self) -> LeaderRecord {
-        let record = self.store.0.lock().expect("store").value(LEADER);
+        let record = self.store.0.lock().expect("store").value(LEADER_KEY);
         cbor::from_value(&record.expect("a leader record")).expect("valid leader record")
     }
 
     /// Number of times the leader record was written.
     pub fn leaders(&self) -> usize {
-        self.store.0.lock().expect("store").put_count(LEADER)
+        self.store.0.lock().expect("store").put_count(LEADER_KEY)
     }
 
     /// Submits services until the start of one is sent as a direct command, which the worker holds
@@ -335,8 +335,9 @@
     /// unfinished jobs.
     fn show_logs(&self) {
         eprintln!("logs of the controllers: {}", self.dir.display());
-        let specs = self.store.0.lock().map(|store| store.current_keys(SPECS)).unwrap_or_default();
-        let open = specs.iter().filter_map(|key| key.strip_prefix(SPECS));
+        let specs =
+            self.store.0.lock().map(|store| store.current_keys(SPECS_PREFIX)).unwrap_or_default();
+        let open = specs.iter().filter_map(|key| key.strip_prefix(SPECS_PREFIX));
         for job in open.take(OPEN_JOBS_SHOWN) {
             let logs = (0..self.nodes.len()).map(|i| log_file(&self.dir, i));
             for log in logs {
--- a/tests/stand_in/store.rs
+++ b/tests/stand_in/store.rs
@@ -135,7 +135,7 @@
 
     fn commit(&mut self, txn: Txn) -> (u16, Vec<u8>) {
         let failed: Vec<String> = txn
-            .conds
+            .conditions
             .iter()
             .filter(|c| self.kv.get(&c.key).map_or(0, |v| v.1) != c.version)
             .map(|c| c.key.clone())
@@ -198,7 +198,7 @@
             store.next_lease += 1;
             let (lease_id, ttl) = (store.next_lease, Duration::from_millis(request.ttl_ms));
             store.leases.insert(lease_id, (ttl, Instant::now() + ttl));
-            (200, cbor::encode(&LeaseGranted { lease: lease_id }))
+            (200, cbor::encode(&LeaseResponse { lease: lease_id }))
         }
         (_, p) if p.starts_with("/grants/") => {
             let lease_id: u64 =
--- a/tests/stand_in/worker.rs
+++ b/tests/stand_in/worker.rs
@@ -14,7 +14,7 @@
 struct Running {
     attempt: Attempt,
     ends: Option<Instant>,
-    why: Option<Why>,
+    why: Option<EndReason>,
 }
 
 struct Worker {
@@ -207,7 +207,7 @@
             .iter_mut()
             .filter(|(_, r)| r.why.is_none() && r.ends.is_some_and(|e| now >= e))
             .map(|(t, r)| {
-                r.why = Some(Why::Done);
+                r.why = Some(EndReason::Done);
                 t.clone()
             })
             .collect();
@@ -225,7 +225,7 @@
             task: t.to_string(),
             attempt: r.attempt,
             state: if r.why.is_some() { TaskState::Exited } else { TaskState::Running },
-            why: r.why,
+            end_reason: r.why,
         };
         Heartbeat {
             machine: self.id.clone(),
@@ -257,7 +257,7 @@
                     let task = TaskId::parse(task).expect("valid task id");
                     let stopped = self.tasks.get_mut(&task).filter(|r| r.attempt == *attempt);
                     if let Some(r) = stopped.filter(|r| r.why.is_none()) {
-                        r.why = Some(Why::Stopped);
+                        r.why = Some(EndReason::Stopped);
                         self.set_running(&task, false);
                     }
                 }
@@ -339,7 +339,7 @@
                 }
             }
             Some((421, body)) => {
-                let e: Elsewhere = cbor::decode(&body).expect("valid redirect");
+                let e: LeaderRedirect = cbor::decode(&body).expect("valid redirect");
                 let named = e.report_to.and_then(|n| n.strip_prefix('c')?.parse::<usize>().ok());
                 at = named.filter(|n| *n != at).unwrap_or((at + 1) % nodes.len());
             }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -6,7 +6,7 @@
 mod stand_in;
 
 use marblebarrow_core::consts::{FORMAT, PRODUCTION_FORMAT};
-use marblebarrow_proto::records::COMMON_FORMAT;
+use marblebarrow_proto::records::COMMON_FORMAT_KEY;
 use stand_in::{Cluster, Plan, stage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -146,7 +146,7 @@
         for n in 0..=i {
             cluster.wait_for("current member list", |c| members(c, n) == Some(expected(i + 1)));
         }
-        let recorded = cluster.keys_ever_put(COMMON_FORMAT);
+        let recorded = cluster.keys_ever_put(COMMON_FORMAT_KEY);
         assert_eq!(
             recorded.len(),
             usize::from(i == 2),
