--- a/crates/cells/src/rpc/mod.rs
+++ b/crates/cells/src/rpc/mod.rs
@@ -11,5 +11,5 @@
 mod operator;
 mod status;
 
-pub use operator::lost_cell_in;
-pub use status::error_of;
+pub use operator::parse_declared_lost_cell;
+pub use status::error_from_status;
--- a/crates/cells/src/rpc/operator.rs
+++ b/crates/cells/src/rpc/operator.rs
@@ -45,7 +45,7 @@
 /// Returns the cell that an operator declares lost. Its name must be typed twice and match,
 /// otherwise the request is [`CellError::Malformed`]: jobs of a cell that is declared lost may
 /// start again in their home cells.
-pub fn lost_cell_in(request: &wire::DeclareLostRequest) -> Result<CellName, CellError> {
+pub fn parse_declared_lost_cell(request: &wire::DeclareLostRequest) -> Result<CellName, CellError> {
     if request.cell != request.typed_name {
         return Err(CellError::Malformed);
     }
--- a/crates/cells/src/rpc/status.rs
+++ b/crates/cells/src/rpc/status.rs
@@ -19,7 +19,7 @@
 
 /// Returns the error that a status received from another cell stands for. A status that no cell
 /// produces, such as for a broken connection, is [`CellError::NoAnswer`].
-pub fn error_of(status: &Status) -> CellError {
+pub fn error_from_status(status: &Status) -> CellError {
     match status.code() {
         Code::PermissionDenied => CellError::UnknownCell,
         Code::FailedPrecondition => CellError::StaleTerm,
--- a/crates/cells/tests/rpc.rs
+++ b/crates/cells/tests/rpc.rs
@@ -3,7 +3,7 @@
 
 use marblebarrow_cells::message::{CellError, Exchange, ExchangeReply, Offer, OfferReply, Verdict};
 use marblebarrow_cells::outbound::EXCHANGE_JOBS_MAX;
-use marblebarrow_cells::rpc::{error_of, lost_cell_in};
+use marblebarrow_cells::rpc::{error_from_status, parse_declared_lost_cell};
 use marblebarrow_cells::wire;
 use marblebarrow_proto::transfer::RefusalReason;
 use proptest::prelude::*;
@@ -30,10 +30,10 @@
     ] {
         let status = Status::from(error);
         assert_eq!(status.code(), code);
-        assert_eq!(error_of(&status), error);
+        assert_eq!(error_from_status(&status), error);
     }
-    assert_eq!(error_of(&Status::unavailable("gone")), CellError::NoAnswer);
-    assert_eq!(error_of(&Status::deadline_exceeded("late")), CellError::NoAnswer);
+    assert_eq!(error_from_status(&Status::unavailable("gone")), CellError::NoAnswer);
+    assert_eq!(error_from_status(&Status::deadline_exceeded("late")), CellError::NoAnswer);
 }
 
 #[test]
@@ -68,7 +68,7 @@
     };
     assert_eq!(Offer::try_from(offer), Err(CellError::Malformed));
     let loss = wire::DeclareLostRequest { cell: "one".into(), typed_name: "two".into() };
-    assert_eq!(lost_cell_in(&loss), Err(CellError::Malformed));
+    assert_eq!(parse_declared_lost_cell(&loss), Err(CellError::Malformed));
 }
 
 /// A field that an older version omits has a harmless default; a field that a newer version adds is
--- a/src/cells.rs
+++ b/src/cells.rs
@@ -7,7 +7,7 @@
     CONNECT_TIMEOUT,
 };
 use marblebarrow_cells::message::{CellError, CellReply, CellRequest, OfferReply};
-use marblebarrow_cells::rpc::{error_of, lost_cell_in};
+use marblebarrow_cells::rpc::{error_from_status, parse_declared_lost_cell};
 use marblebarrow_cells::settings::{CellsSettings, OtherCell};
 use marblebarrow_cells::wire::cells_client::CellsClient;
 use marblebarrow_cells::wire::cells_server::{Cells, CellsServer};
@@ -146,12 +146,12 @@
     match request {
         CellRequest::Exchange(exchange) => {
             let reply = client.exchange(ExchangeRequest::from(exchange)).await;
-            let reply = reply.map_err(|status| error_of(&status))?.into_inner();
+            let reply = reply.map_err(|status| error_from_status(&status))?.into_inner();
             reply.try_into().map(CellReply::Exchange)
         }
         CellRequest::Offer(offer) => {
             let reply = client.offer(OfferRequest::from(offer.as_ref())).await;
-            let reply = reply.map_err(|status| error_of(&status))?.into_inner();
+            let reply = reply.map_err(|status| error_from_status(&status))?.into_inner();
             OfferReply::try_from(reply).map(CellReply::Offer)
         }
         // Only operators' tools make these calls.
@@ -229,7 +229,7 @@
         &self,
         request: Request<DeclareLostRequest>,
     ) -> Result<Response<DeclareLostReply>, Status> {
-        let cell = lost_cell_in(request.get_ref()).map(CellRequest::DeclareLost);
+        let cell = parse_declared_lost_cell(request.get_ref()).map(CellRequest::DeclareLost);
         self.ask(cell).await?;
         Ok(Response::new(DeclareLostReply {}))
     }
