--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -28,7 +28,7 @@
     let machines =
         std::env::args().filter_map(|a| a.parse().ok()).next().unwrap_or(DEFAULT_MACHINES);
     let plan = Plan {
-        machines_most: machines,
+        max_machines: machines,
         team_cpus: 1e6,
         times: WorkerTimes { lease_s: 12.0, cancel_s: 32.0 },
         report_s: 2.0,
--- a/crates/core/src/consts/state_service.rs
+++ b/crates/core/src/consts/state_service.rs
@@ -31,13 +31,13 @@
 /// Maximum share of a value that one machine's record may take; beyond it, the least recently held
 /// images are left out. At 1/6 of a value each, six records fit into a block, so a block of
 /// [`BLOCK_MACHINES`] = 24 machines written by an earlier version or under wider limits splits into
-/// at most 24 / 6 = 4 blocks, which fit into one transaction of [`CHANGES_LEAST`] changes.
+/// at most 24 / 6 = 4 blocks, which fit into one transaction of [`MIN_TXN_CHANGES`] changes.
 pub const MACHINE_RECORD_SHARE: f64 = 1.0 / 6.0;
 /// Share of the value limit that records fill. The margin is needed because the way the state
 /// service encodes JSON (spaces, escapes) is not specified.
 pub const VALUE_FILL: f64 = 0.8;
 /// Number of changes that a transaction must allow: a block split in four, or a job's end.
-pub const CHANGES_LEAST: usize = 4;
+pub const MIN_TXN_CHANGES: usize = 4;
 /// Number of consecutive refusals after which the size of the next transactions is halved, until
 /// one succeeds. A burst of changes by others is over after one or two retries.
 pub const REFUSALS_PER_HALVING: u32 = 3;
--- a/crates/core/src/election/pledges.rs
+++ b/crates/core/src/election/pledges.rs
@@ -43,7 +43,7 @@
     ) {
         if now >= self.next_request {
             self.next_request = now + PLEDGE_EVERY_S;
-            out.actions.push(Action::AskPledges { term: term.0, revision });
+            out.actions.push(Action::RequestPledges { term: term.0, revision });
         }
     }
 
@@ -54,7 +54,7 @@
         if !answer.granted || answer.more {
             return;
         }
-        if answer.whole {
+        if answer.complete {
             let at = self.complete_answer_at.entry(peer.clone()).or_insert(sent);
             *at = at.max(sent);
         }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -45,7 +45,7 @@
     /// Commands for a worker.
     Heartbeat(HeartbeatAnswer),
     /// Redirects to that controller, if one is known (421).
-    Elsewhere(Option<NodeId>),
+    RedirectTo(Option<NodeId>),
     /// The job doesn't exist.
     NotFound,
     /// The job can never run, for this reason.
@@ -53,7 +53,7 @@
     /// The job names these DAG dependencies, which were never accepted (422).
     UnknownDependencies(Vec<JobId>),
     /// The controller is overloaded; retry after this many seconds.
-    Full(u32),
+    Overloaded(u32),
     /// The controller can't answer now; retry after this many seconds.
     Unavailable(u32),
     /// The controllers and the version that each runs.
@@ -155,7 +155,7 @@
 
 /// An update from the watch.
 #[derive(Clone, Debug)]
-pub struct WatchNews {
+pub struct WatchUpdate {
     /// When the request that this answers was sent.
     pub sent: Secs,
     /// With this update, the replica is complete up to this revision.
@@ -180,7 +180,7 @@
     pub granted: bool,
     /// The answer includes every cancellation that the peer confirmed and that the leader may not
     /// know.
-    pub whole: bool,
+    pub complete: bool,
     /// Cancelled jobs, and the revisions of their cancellations.
     pub cancelled: Vec<(JobId, u64)>,
     /// There are more cancellations after the last of these.
@@ -207,7 +207,7 @@
 
 /// A message from another controller.
 #[derive(Clone, Debug)]
-pub enum PeerNews {
+pub enum PeerEvent {
     /// A peer's heartbeat, or its answer to one.
     Heartbeat {
         /// The peer.
@@ -226,7 +226,7 @@
         runs: crate::membership::Announcement,
     },
     /// A leader requests a pledge.
-    PledgeAsked {
+    PledgeRequested {
         /// Where to send the answer.
         reply: ReplyTo,
         /// The leader.
@@ -239,7 +239,7 @@
         after: Option<JobId>,
     },
     /// A peer answered a pledge request.
-    Pledged {
+    PledgeReceived {
         /// The peer.
         node: NodeId,
         /// When this controller first sent the request.
@@ -261,13 +261,13 @@
     /// The store's answer to a request.
     Store(OpId, StoreResult),
     /// An update from the watch.
-    Watch(WatchNews),
+    Watch(WatchUpdate),
     /// The cloud's answer to a request.
     Cloud(OpId, CloudResult),
     /// The result of direct commands to a worker.
     Direct(OpId, DirectResult),
     /// A message from another controller.
-    Peer(PeerNews),
+    Peer(PeerEvent),
     /// A request from another cell or an operator.
     CellRequest(ReplyTo, Box<CellRequest>),
     /// The answer of another cell, or the error if there is none.
@@ -308,7 +308,7 @@
         leading: bool,
     },
     /// Send a pledge request to all peers.
-    AskPledges {
+    RequestPledges {
         /// This leader's term.
         term: u64,
         /// This leader's replica of the store is complete up to this revision.
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -27,7 +27,7 @@
 
 /// A deadline objective: jobs of `class` should be completed within `times` their deadline.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DeadlineAim {
+pub struct DeadlineObjective {
     /// Job class.
     pub class: String,
     /// Multiple of the deadline.
@@ -37,7 +37,7 @@
 /// A time objective: jobs of `class` should be completed, or their tasks started, within a fixed
 /// time, independent of their deadlines.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TimeAim {
+pub struct TimeObjective {
     /// Job class.
     pub class: String,
     /// Time limit in seconds.
@@ -88,11 +88,11 @@
     /// The teams and their limits.
     pub teams: Vec<Team>,
     /// Deadline objectives.
-    pub deadlines: Vec<DeadlineAim>,
+    pub deadline_objectives: Vec<DeadlineObjective>,
     /// Completion objectives that are independent of the deadline.
-    pub finishes: Vec<TimeAim>,
+    pub completion_objectives: Vec<TimeObjective>,
     /// Start objectives of tasks, measured from when their job may run.
-    pub starts: Vec<TimeAim>,
+    pub start_objectives: Vec<TimeObjective>,
     /// Worker heartbeat interval, in seconds.
     pub heartbeat_interval_s: f64,
     /// Worker lease, in seconds.
@@ -117,7 +117,7 @@
     /// Lag of the machine list, in seconds.
     pub list_lag_s: f64,
     /// Maximum number of direct commands to workers in flight; each takes a thread and a socket.
-    pub direct_most: usize,
+    pub max_direct_commands: usize,
     /// Tuning parameters.
     pub tuning: Tuning,
     /// The cell of this controller and the other cells, if there are any.
@@ -127,7 +127,7 @@
 impl Facts {
     /// The tightest completion objective of a class, in seconds, if there is one.
     pub fn finish_objective_s(&self, class: &str) -> Option<f64> {
-        let objectives = self.finishes.iter().filter(|a| a.class == class);
+        let objectives = self.completion_objectives.iter().filter(|a| a.class == class);
         objectives.map(|a| a.within_s).reduce(f64::min)
     }
 
@@ -137,13 +137,13 @@
         if self.has_completion_objective(class) {
             return None;
         }
-        let objectives = self.starts.iter().filter(|a| a.class == class);
+        let objectives = self.start_objectives.iter().filter(|a| a.class == class);
         objectives.map(|a| a.within_s).reduce(f64::min)
     }
 
     /// The largest deadline multiple of the class's deadline objectives, and at least 1.
     pub fn deadline_times(&self, class: &str) -> f64 {
-        let objectives = self.deadlines.iter().filter(|a| a.class == class);
+        let objectives = self.deadline_objectives.iter().filter(|a| a.class == class);
         objectives.map(|a| a.times).fold(1.0, f64::max)
     }
 
@@ -153,8 +153,8 @@
     }
 
     fn has_completion_objective(&self, class: &str) -> bool {
-        self.deadlines.iter().any(|a| a.class == class)
-            || self.finishes.iter().any(|a| a.class == class)
+        self.deadline_objectives.iter().any(|a| a.class == class)
+            || self.completion_objectives.iter().any(|a| a.class == class)
     }
 
     /// Minimum interval between two steps with this many machines, in seconds, so that steps take no
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -7,34 +7,34 @@
 use marblebarrow_proto::ids::JobId;
 
 impl Node {
-    pub(super) fn handle_peer_news(&mut self, now: Secs, news: PeerNews) {
+    pub(super) fn handle_peer_news(&mut self, now: Secs, news: PeerEvent) {
         match news {
-            PeerNews::Heartbeat { node, store_ok, leading } => {
+            PeerEvent::Heartbeat { node, store_ok, leading } => {
                 let state = PeerState::updated(self.peers.get(&node), now, store_ok, leading);
                 self.peers.insert(node.clone(), state);
                 if let Some(leading) = leading {
                     self.election.note_peer_role(now, node, leading);
                 }
             }
-            PeerNews::PledgeAsked { reply, from, term, revision, after } => {
+            PeerEvent::PledgeRequested { reply, from, term, revision, after } => {
                 let (refuses, replica) = (self.store_unavailable(), &self.replica);
                 let granted =
                     self.election.handle_pledge_request(now, (&from, term), replica, refuses);
                 let (cancelled, more) =
                     replica.cancelled_since(revision, after.as_ref(), PLEDGE_CANCELS);
                 let answer =
-                    PledgeAnswer { granted, whole: replica.is_complete(), cancelled, more };
+                    PledgeAnswer { granted, complete: replica.is_complete(), cancelled, more };
                 self.out.actions.push(Action::PledgeReply(reply, answer));
             }
-            PeerNews::Pledged { node, sent, answer } => {
+            PeerEvent::PledgeReceived { node, sent, answer } => {
                 for (id, revision) in &answer.cancelled {
                     self.apply_cancellation(now, id, *revision);
                 }
                 self.election.handle_pledge_answer(node, sent, &answer);
                 self.update_knowledge();
             }
-            PeerNews::Progress(jobs) => self.apply_progress(jobs),
-            PeerNews::Announced { node, runs } => {
+            PeerEvent::Progress(jobs) => self.apply_progress(jobs),
+            PeerEvent::Announced { node, runs } => {
                 self.membership.note_announcement(&node, runs, now)
             }
         }
--- a/crates/core/src/node/worker_heartbeats.rs
+++ b/crates/core/src/node/worker_heartbeats.rs
@@ -81,6 +81,6 @@
             return leader.handle_heartbeat(now, to, heartbeat, &self.replica, &mut self.out);
         }
         let elsewhere = self.other_watched_leader().cloned();
-        self.out.reply(to, Answer::Elsewhere(elsewhere));
+        self.out.reply(to, Answer::RedirectTo(elsewhere));
     }
 }
--- a/crates/core/src/place/deadlines.rs
+++ b/crates/core/src/place/deadlines.rs
@@ -57,7 +57,7 @@
     let Some(deadline) = job.spec().deadline_s else { return Vec::new() };
     let run = job.likely_run();
     let slack = |times: f64| job.arrived + deadline * times - now - run;
-    let objectives = facts.deadlines.iter().filter(|o| o.class == job.spec().class);
+    let objectives = facts.deadline_objectives.iter().filter(|o| o.class == job.spec().class);
     let mut slacks: Vec<f64> = objectives.map(|o| slack(o.times)).collect();
     if slacks.is_empty() {
         slacks.push(slack(1.0));
@@ -68,7 +68,7 @@
 /// Whether an objective on the job's completion time is about to be missed.
 fn completion_at_risk(job: &Job, facts: &Facts, now: Secs) -> bool {
     let run = job.likely_run();
-    let objectives = facts.finishes.iter().filter(|o| o.class == job.spec().class);
+    let objectives = facts.completion_objectives.iter().filter(|o| o.class == job.spec().class);
     let mut slacks = objectives.map(|o| job.arrived + o.within_s - now - run * RUN_SPREAD);
     slacks.any(|slack| (0.0..FINISH_SLACK_S).contains(&slack))
 }
--- a/crates/core/src/record_shape.rs
+++ b/crates/core/src/record_shape.rs
@@ -2,7 +2,7 @@
 //! blocks, coarsens progress records and shrinks transactions. Does no I/O.
 
 use crate::consts::{
-    BLOCK_MACHINES, CHANGES_LEAST, MACHINE_RECORD_BYTES, MACHINE_RECORD_SHARE, VALUE_BYTES_MIN,
+    BLOCK_MACHINES, MACHINE_RECORD_BYTES, MACHINE_RECORD_SHARE, MIN_TXN_CHANGES, VALUE_BYTES_MIN,
     VALUE_FILL,
 };
 use crate::facts::Facts;
@@ -41,8 +41,8 @@
     /// It doesn't say which limit was exceeded, so fewer changes are tried first, then smaller
     /// values.
     pub fn shrink(&mut self, rejected: TransactionShape) {
-        if rejected.changes > CHANGES_LEAST {
-            self.changes = self.changes.min((rejected.changes / 2).max(CHANGES_LEAST));
+        if rejected.changes > MIN_TXN_CHANGES {
+            self.changes = self.changes.min((rejected.changes / 2).max(MIN_TXN_CHANGES));
             return;
         }
         let half = rejected.largest_value / 2;
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -3,7 +3,7 @@
 
 use crate::cascaded_jobs::CascadedJobs;
 use crate::consts::CONFIRMED_CANCELLATIONS_MAX;
-use crate::event::{Secs, WatchContent, WatchNews};
+use crate::event::{Secs, WatchContent, WatchUpdate};
 use ciborium::Value;
 use marblebarrow_proto::cbor::from_value;
 use marblebarrow_proto::ids::{CellName, JobId};
@@ -73,7 +73,7 @@
 
 impl Replica {
     /// Applies an update and returns what changed.
-    pub fn apply(&mut self, news: WatchNews) -> Vec<Change> {
+    pub fn apply(&mut self, news: WatchUpdate) -> Vec<Change> {
         let changes = match news.content {
             WatchContent::Reset(items) => {
                 let before = std::mem::take(self);
--- a/crates/core/src/tests/record_shape.rs
+++ b/crates/core/src/tests/record_shape.rs
@@ -58,7 +58,7 @@
         limits.shrink(shape(1, 100));
         limits.shrink(shape(5, 9));
     }
-    let floor = ShapeLimits { value_bytes: VALUE_BYTES_MIN, changes: CHANGES_LEAST };
+    let floor = ShapeLimits { value_bytes: VALUE_BYTES_MIN, changes: MIN_TXN_CHANGES };
     assert_eq!(limits, floor, "never below the size of a job's end and of a split block");
 }
 
--- a/crates/core/src/user_api/polls.rs
+++ b/crates/core/src/user_api/polls.rs
@@ -49,7 +49,7 @@
             return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
         }
         if self.polls.len() >= POLLS_MAX {
-            return out.reply(to, Answer::Full(RETRY_FULL_S));
+            return out.reply(to, Answer::Overloaded(RETRY_FULL_S));
         }
         self.polls.push_back(Poll { job: id, to, since: context.now });
         self.check(context, out);
--- a/crates/core/src/user_api/submissions.rs
+++ b/crates/core/src/user_api/submissions.rs
@@ -46,7 +46,7 @@
             return out.reply(to, Answer::Unavailable(RETRY_STORE_S));
         }
         if self.writes >= USER_WRITES_MAX {
-            return out.reply(to, Answer::Full(RETRY_FULL_S));
+            return out.reply(to, Answer::Overloaded(RETRY_FULL_S));
         }
         self.writes += 1;
         if spec.dependencies.is_empty() {
--- a/crates/core/src/worker_commands.rs
+++ b/crates/core/src/worker_commands.rs
@@ -125,7 +125,7 @@
             return;
         }
         self.next_direct_round_at = now + DIRECT_ROUND_INTERVAL_S;
-        let limit = self.facts.direct_most;
+        let limit = self.facts.max_direct_commands;
         if self.directs.len() >= limit {
             return;
         }
--- a/crates/core/src/writer/mod.rs
+++ b/crates/core/src/writer/mod.rs
@@ -191,7 +191,7 @@
     /// blocked all starts.
     fn changes_allowed(&self) -> usize {
         let halvings = (self.refusals / REFUSALS_PER_HALVING).min(usize::BITS - 1);
-        let limit = (self.limits.changes >> halvings).max(CHANGES_LEAST);
+        let limit = (self.limits.changes >> halvings).max(MIN_TXN_CHANGES);
         limit.min(self.limits.changes).min(self.budget.max(0.0) as usize)
     }
 
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -25,9 +25,9 @@
         node: name(&n),
         others: others.iter().map(name).collect(),
         teams: Vec::new(),
-        deadlines: Vec::new(),
-        finishes: Vec::new(),
-        starts: Vec::new(),
+        deadline_objectives: Vec::new(),
+        completion_objectives: Vec::new(),
+        start_objectives: Vec::new(),
         heartbeat_interval_s: 1.0,
         lease_s,
         cancel_s,
@@ -39,14 +39,14 @@
         store_value_bytes: 16 * 1024,
         cloud_rps: 5.0,
         list_lag_s: 2.0,
-        direct_most: 40,
+        max_direct_commands: 40,
         tuning: Tuning::default(),
         cells: None,
     }
 }
 
 fn watch(sent: Secs, revision: u64, content: WatchContent) -> Event {
-    Event::Watch(WatchNews { sent, revision, content })
+    Event::Watch(WatchUpdate { sent, revision, content })
 }
 
 fn put(key: String, value: ciborium::Value, version: u64) -> WatchEvent {
@@ -107,7 +107,7 @@
         now += 0.1;
         // A peer is reachable.
         let news =
-            PeerNews::Heartbeat { node: NodeId::new("c1"), store_ok: true, leading: Some(false) };
+            PeerEvent::Heartbeat { node: NodeId::new("c1"), store_ok: true, leading: Some(false) };
         node.handle(now, 0, Event::Peer(news));
         node.tick(now, 0);
         answer_store(&mut node, now, load);
@@ -123,11 +123,11 @@
 
 fn handle_pledge_answer(node: &mut Node, now: Secs, peer: usize, sent: Secs, answer: PledgeAnswer) {
     let peer = NodeId::new(&format!("c{peer}"));
-    node.handle(now, 0, Event::Peer(PeerNews::Pledged { node: peer, sent, answer }));
+    node.handle(now, 0, Event::Peer(PeerEvent::PledgeReceived { node: peer, sent, answer }));
 }
 
 fn complete_pledge() -> PledgeAnswer {
-    PledgeAnswer { granted: true, whole: true, ..PledgeAnswer::default() }
+    PledgeAnswer { granted: true, complete: true, ..PledgeAnswer::default() }
 }
 
 fn authority_until(node: &Node) -> Secs {
@@ -152,7 +152,7 @@
             now,
             2,
             now,
-            PledgeAnswer { whole: false, ..complete_pledge() },
+            PledgeAnswer { complete: false, ..complete_pledge() },
         );
         assert!(
             authority_until(&node) < last - CANCEL_MARGIN_S + 0.1,
@@ -193,7 +193,7 @@
         *now += 0.1;
         node.tick(*now, 0);
         for action in refuse_store(node, *now) {
-            if let Action::AskPledges { revision, .. } = action {
+            if let Action::RequestPledges { revision, .. } = action {
                 return revision;
             }
         }
@@ -233,14 +233,15 @@
     loop {
         assert!(!node.may_act(now), "acts before the last answer");
         let (reply, from) = (ReplyTo(1), NodeId::new("c0"));
-        let news = PeerNews::PledgeAsked { reply, from, term: 1, revision, after: after.clone() };
+        let news =
+            PeerEvent::PledgeRequested { reply, from, term: 1, revision, after: after.clone() };
         peer.handle(at, 0, Event::Peer(news));
         let reply = peer.take_actions().into_iter().find_map(|a| match a {
             Action::PledgeReply(_, answer) => Some(answer),
             _ => None,
         });
         let answer = reply.expect("the peer answers");
-        assert!(answer.granted && answer.whole && answer.cancelled.len() <= PLEDGE_CANCELS);
+        assert!(answer.granted && answer.complete && answer.cancelled.len() <= PLEDGE_CANCELS);
         assert!(answer.cancelled.iter().all(|(_, at)| *at > revision));
         answers += 1;
         after = answer.cancelled.last().map(|(id, _)| id.clone());
--- a/crates/core/tests/revocation.rs
+++ b/crates/core/tests/revocation.rs
@@ -69,9 +69,9 @@
         node: NodeId::new("c0"),
         others: vec![NodeId::new("c1"), NodeId::new("c2")],
         teams: vec![Team { name: "t".into(), cpus: 8.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }],
-        deadlines: Vec::new(),
-        finishes: Vec::new(),
-        starts: Vec::new(),
+        deadline_objectives: Vec::new(),
+        completion_objectives: Vec::new(),
+        start_objectives: Vec::new(),
         heartbeat_interval_s: REPORT_S,
         lease_s: LEASE_S,
         cancel_s: CANCEL_S,
@@ -83,7 +83,7 @@
         store_value_bytes: 16 * 1024,
         cloud_rps: 5.0,
         list_lag_s: 2.0,
-        direct_most: 40,
+        max_direct_commands: 40,
         tuning: Tuning::default(),
         cells: None,
     }
@@ -181,7 +181,7 @@
 
     /// Delivers a watch update.
     fn deliver_watch(&mut self, content: WatchContent) {
-        let news = WatchNews { sent: self.now, revision: self.revision, content };
+        let news = WatchUpdate { sent: self.now, revision: self.revision, content };
         self.node.handle(self.now, 0, Event::Watch(news));
     }
 
@@ -209,7 +209,7 @@
         self.now += STEP_S;
         for peer in ["c1", "c2"] {
             let node = NodeId::new(peer);
-            let news = PeerNews::Heartbeat { node, store_ok: true, leading: Some(false) };
+            let news = PeerEvent::Heartbeat { node, store_ok: true, leading: Some(false) };
             self.node.handle(self.now, 0, Event::Peer(news));
         }
         self.deliver_watch(WatchContent::Events(Vec::new()));
--- a/crates/core/tests/stuck_watch.rs
+++ b/crates/core/tests/stuck_watch.rs
@@ -72,7 +72,7 @@
         }
         let mut replica = Replica::default();
         let content = WatchContent::Reset(kv.values().cloned().collect());
-        replica.apply(WatchNews { sent: 0.0, revision: 9, content });
+        replica.apply(WatchUpdate { sent: 0.0, revision: 9, content });
         cancel(&mut kv, 0, &[1, 2], 10);
         cancel(&mut kv, 1, &[3, 4], 11);
         cancel(&mut kv, 2, &[5, 6], 12);
--- a/crates/core/tests/uncertain_records.rs
+++ b/crates/core/tests/uncertain_records.rs
@@ -150,7 +150,7 @@
 
     /// Delivers a watch update.
     fn deliver_watch(&mut self, content: WatchContent) {
-        let news = WatchNews { sent: self.now, revision: self.revision, content };
+        let news = WatchUpdate { sent: self.now, revision: self.revision, content };
         self.node.handle(self.now, 0, Event::Watch(news));
     }
 
@@ -181,7 +181,7 @@
         self.now += STEP_S;
         for peer in ["c1", "c2"] {
             let node = NodeId::new(peer);
-            let news = PeerNews::Heartbeat { node, store_ok: true, leading: Some(false) };
+            let news = PeerEvent::Heartbeat { node, store_ok: true, leading: Some(false) };
             self.node.handle(self.now, 0, Event::Peer(news));
         }
         self.deliver_watch(WatchContent::Events(Vec::new()));
--- a/crates/core/tests/user_api.rs
+++ b/crates/core/tests/user_api.rs
@@ -37,9 +37,9 @@
         node: NodeId::new("c0"),
         others: vec![NodeId::new("c1"), NodeId::new("c2")],
         teams: vec![team],
-        deadlines: Vec::new(),
-        finishes: Vec::new(),
-        starts: Vec::new(),
+        deadline_objectives: Vec::new(),
+        completion_objectives: Vec::new(),
+        start_objectives: Vec::new(),
         heartbeat_interval_s: 1.0,
         lease_s: 8.0,
         cancel_s: 20.0,
@@ -51,7 +51,7 @@
         store_value_bytes: 16 * 1024,
         cloud_rps: 5.0,
         list_lag_s: 2.0,
-        direct_most: 40,
+        max_direct_commands: 40,
         tuning: Tuning::default(),
         cells: None,
     }
@@ -73,8 +73,8 @@
 }
 
 /// Watch news that replaces all watched keys.
-fn watch_reset(sent: Secs, items: Vec<Item>) -> WatchNews {
-    WatchNews { sent, revision: 0, content: WatchContent::Reset(items) }
+fn watch_reset(sent: Secs, items: Vec<Item>) -> WatchUpdate {
+    WatchUpdate { sent, revision: 0, content: WatchContent::Reset(items) }
 }
 
 fn job(n: u32) -> JobSpec {
@@ -125,7 +125,7 @@
     assert_eq!(reply.len(), 10);
     for (to, answer) in reply {
         assert!(to >= u64::from(limit));
-        assert!(matches!(answer, Answer::Full(after) if after > 0), "{answer:?}");
+        assert!(matches!(answer, Answer::Overloaded(after) if after > 0), "{answer:?}");
     }
 }
 
@@ -136,7 +136,7 @@
     let mut node = node();
     let heartbeat = |at: f64, node: &mut Node, ok| {
         let news =
-            PeerNews::Heartbeat { node: NodeId::new("c1"), store_ok: ok, leading: Some(false) };
+            PeerEvent::Heartbeat { node: NodeId::new("c1"), store_ok: ok, leading: Some(false) };
         node.handle(at, 0, Event::Peer(news));
     };
     let health = |at: f64, node: &mut Node| {
--- a/crates/rehearsal/src/world/actions.rs
+++ b/crates/rehearsal/src/world/actions.rs
@@ -56,7 +56,7 @@
                 self.send_direct(n, boot, op, machine, cmd);
             }
             Action::PeerHeartbeat { store_ok, leading } => {
-                self.send_to_peers(n, |_| PeerNews::Heartbeat {
+                self.send_to_peers(n, |_| PeerEvent::Heartbeat {
                     node: controller_name(n),
                     store_ok,
                     leading: Some(leading),
@@ -65,9 +65,9 @@
                     self.announce(n);
                 }
             }
-            Action::AskPledges { term, revision } => self.ask_pledges(n, term, revision),
+            Action::RequestPledges { term, revision } => self.ask_pledges(n, term, revision),
             Action::SendProgress(jobs) => {
-                self.send_to_peers(n, |_| PeerNews::Progress(jobs.clone()))
+                self.send_to_peers(n, |_| PeerEvent::Progress(jobs.clone()))
             }
             Action::CellCall { op, cell, request } => {
                 let request = *request;
@@ -87,7 +87,7 @@
     fn ask_pledges(&mut self, n: usize, term: u64, revision: u64) {
         self.hosts[n].asked_revision = revision;
         let sent_ms = (self.now() * 1e3) as u64;
-        self.send_to_peers(n, |_| PeerNews::PledgeAsked {
+        self.send_to_peers(n, |_| PeerEvent::PledgeRequested {
             reply: ReplyTo(sent_ms * 10 + n as u64),
             from: controller_name(n),
             term,
@@ -108,7 +108,8 @@
             self.violations.push("more cancellations than an answer holds".into());
         }
         let node = controller_name(n);
-        let event = Event::Peer(PeerNews::Pledged { node, sent: sent - started_at, answer });
+        let event =
+            Event::Peer(PeerEvent::PledgeReceived { node, sent: sent - started_at, answer });
         // Some pledges arrive twice: on time and late.
         let late = self.rng.random_range(0..LATE_PLEDGE_ONE_IN) == 0;
         if late {
@@ -172,7 +173,7 @@
     }
 
     /// Sends a message to every other controller that is reachable.
-    pub(super) fn send_to_peers(&mut self, n: usize, news: impl Fn(usize) -> PeerNews) {
+    pub(super) fn send_to_peers(&mut self, n: usize, news: impl Fn(usize) -> PeerEvent) {
         let is_cut_off = |h: &Host| self.step < h.peers_cut_until;
         let cut = is_cut_off(&self.hosts[n]);
         let reached: Vec<usize> =
--- a/crates/rehearsal/src/world/controllers.rs
+++ b/crates/rehearsal/src/world/controllers.rs
@@ -125,7 +125,7 @@
         self.hosts[n].watched = self.revision;
         self.hosts[n].watch_sent = now;
         let content = WatchContent::Reset(items);
-        let news = WatchNews { sent: now, revision: self.revision, content };
+        let news = WatchUpdate { sent: now, revision: self.revision, content };
         self.handle(n, Event::Watch(news));
     }
 
@@ -151,7 +151,7 @@
         self.hosts[n].watched = self.revision;
         self.hosts[n].watch_sent = now;
         let content = WatchContent::Events(events);
-        self.handle(n, Event::Watch(WatchNews { sent, revision: self.revision, content }));
+        self.handle(n, Event::Watch(WatchUpdate { sent, revision: self.revision, content }));
     }
 
     /// Whether the store refuses requests of a controller in this step.
--- a/crates/rehearsal/src/world/upgrade.rs
+++ b/crates/rehearsal/src/world/upgrade.rs
@@ -12,7 +12,7 @@
 /// shift the random draws and change the verdicts of seeded runs.
 pub(super) fn announce_peer_versions(node: &mut Node, own: usize) {
     for other in (0..NODES).filter(|&o| o != own) {
-        let announced = PeerNews::Announced { node: name(other), runs: Announcement::own() };
+        let announced = PeerEvent::Announced { node: name(other), runs: Announcement::own() };
         node.handle(0.0, 0, Event::Peer(announced));
     }
 }
@@ -74,7 +74,7 @@
         let receivers: Vec<usize> =
             (0..NODES).filter(|&o| o != n && receives(&self.hosts[o])).collect();
         for o in receivers {
-            let announced = PeerNews::Announced { node: name(n), runs: runs.clone() };
+            let announced = PeerEvent::Announced { node: name(n), runs: runs.clone() };
             let boot = self.hosts[o].started_at;
             self.after(1, Delivery::Event { node: o, boot, event: Event::Peer(announced) });
         }
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/world/users.rs
@@ -312,7 +312,7 @@
             Answer::NotFound | Answer::NeverRuns(_) if self.accepted.contains(id) => {
                 self.violations.push(format!("forgotten: {id} {what} {answer:?}"));
             }
-            Answer::Full(_) | Answer::Unavailable(_)
+            Answer::Overloaded(_) | Answer::Unavailable(_)
                 if what == 'p' && self.cascade.is_some_and(|c| c.includes(number_of(id))) =>
             {
                 self.observed.cascade_unanswered += 1;
--- a/crates/rehearsal/src/world/workers.rs
+++ b/crates/rehearsal/src/world/workers.rs
@@ -218,7 +218,7 @@
                 w.trace.renewed();
                 self.execute(id, &a.commands);
             }
-            Answer::Elsewhere(node) => {
+            Answer::RedirectTo(node) => {
                 w.trace.failed(now, HeartbeatOutcome::Redirected);
                 let named = node.and_then(|n| n.as_str()[1..].parse().ok());
                 w.controller = named.unwrap_or((w.controller + 1) % NODES);
--- a/crates/rehearsal/tests/cells_ends.rs
+++ b/crates/rehearsal/tests/cells_ends.rs
@@ -136,7 +136,7 @@
             .collect();
         // Calls that began within the cut fail first, and offers in doubt are repeated after up to
         // 8 s.
-        let beyond = CALL_TIMEOUT_STEPS + OFFER_RETRY_MOST_STEPS;
+        let beyond = CALL_TIMEOUT_STEPS + MAX_OFFER_RETRY_STEPS;
         let lag =
             |end: &MovedEnd| end.at_home.map_or(u32::MAX, |at| at.saturating_sub(end.at_target));
         let late = ends.iter().filter(|end| lag(end) > known_within(&ends, end) + beyond).count();
@@ -145,7 +145,7 @@
 }
 
 /// The longest backoff between two offers of a job whose target didn't answer, in steps.
-const OFFER_RETRY_MOST_STEPS: u32 = 80;
+const MAX_OFFER_RETRY_STEPS: u32 = 80;
 
 /// Upper bound of the steps of a failover, including the lease and the loading of records.
 const FAILOVER_STEPS: u32 = 200;
@@ -168,7 +168,7 @@
         let faults = vec![cut, (begins, fault)];
         let plan = Plan { faults, faultless_links: seed % 8 >= 4, ..thousand_jobs(seed) };
         let fleet = play(&plan, 50)?;
-        let after = CUT_AT + CUT_STEPS + FAILOVER_STEPS + OFFER_RETRY_MOST_STEPS;
+        let after = CUT_AT + CUT_STEPS + FAILOVER_STEPS + MAX_OFFER_RETRY_STEPS;
         let open = fleet.moved_ends(0).filter(|(_, end)| {
             end.at_home.is_none_or(|at| at > after.max(end.at_target + FAILOVER_STEPS))
         });
--- a/src/event_loop.rs
+++ b/src/event_loop.rs
@@ -6,7 +6,7 @@
 use crate::event_queue::{Batch, ClientRequest, EventReceiver, QueueMessage, Responder};
 use crate::links::Links;
 use crate::pending_replies::{PendingReplies, PendingReply};
-use marblebarrow_core::event::{Action, Event, PeerNews, Secs};
+use marblebarrow_core::event::{Action, Event, PeerEvent, Secs};
 use marblebarrow_core::facts::Facts;
 use marblebarrow_core::log::{Level, LogLine};
 use marblebarrow_core::node::Node;
@@ -95,7 +95,7 @@
             }
             QueueMessage::PledgeRequest { from, term, revision, after, reply } => {
                 let reply = self.pending.insert(PendingReply::Pledge(reply));
-                Event::Peer(PeerNews::PledgeAsked { reply, from, term, revision, after })
+                Event::Peer(PeerEvent::PledgeRequested { reply, from, term, revision, after })
             }
         })
     }
@@ -140,7 +140,7 @@
                 links.peers.send_heartbeat(store_ok, leading);
                 None
             }
-            Action::AskPledges { term, revision } => {
+            Action::RequestPledges { term, revision } => {
                 links.peers.ask_pledges(term, revision, now);
                 None
             }
--- a/src/event_queue.rs
+++ b/src/event_queue.rs
@@ -189,17 +189,17 @@
 }
 
 impl EventSender {
-    /// Sends a request and blocks for its answer. Answers `Full` immediately if the queue is too
-    /// full, and `Unavailable` after `timeout`.
+    /// Sends a request and blocks for its answer. Answers `Overloaded` immediately if the queue is
+    /// too full, and `Unavailable` after `timeout`.
     pub fn ask(&self, client_request: ClientRequest, timeout: Duration) -> Answer {
         if self.depth.load(Ordering::Relaxed) >= client_request.queue_limit() {
-            return Answer::Full(RETRY_FULL_S);
+            return Answer::Overloaded(RETRY_FULL_S);
         }
         let (sender, answer) = sync_channel(1);
         let responder = Responder::Channel(sender);
         match self.push(QueueMessage::ClientRequest { client_request, responder }) {
             Ok(()) => answer.recv_timeout(timeout).unwrap_or(Answer::Unavailable(RETRY_STORE_S)),
-            Err(TrySendError::Full(_)) => Answer::Full(RETRY_FULL_S),
+            Err(TrySendError::Full(_)) => Answer::Overloaded(RETRY_FULL_S),
             Err(TrySendError::Disconnected(_)) => Answer::Unavailable(RETRY_STORE_S),
         }
     }
@@ -209,7 +209,7 @@
     pub fn ask_with_callback(&self, client_request: ClientRequest, callback: Callback) {
         let responder = Responder::Callback(callback);
         if self.depth.load(Ordering::Relaxed) >= EVENT_QUEUE_LEN {
-            return responder.respond(Answer::Full(RETRY_FULL_S));
+            return responder.respond(Answer::Overloaded(RETRY_FULL_S));
         }
         let Err(error) = self.push(QueueMessage::ClientRequest { client_request, responder })
         else {
@@ -217,7 +217,7 @@
         };
         let (TrySendError::Full(message) | TrySendError::Disconnected(message)) = error;
         if let QueueMessage::ClientRequest { responder, .. } = message {
-            responder.respond(Answer::Full(RETRY_FULL_S));
+            responder.respond(Answer::Overloaded(RETRY_FULL_S));
         }
     }
 
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -3,7 +3,7 @@
 use crate::event_queue::{EventSender, QueueMessage};
 use crate::limits::{PEER_QUEUE_LEN, PEER_TIMEOUT};
 use crate::settings::PeerAddress;
-use marblebarrow_core::event::{Event, JobCounts, PeerNews, PledgeAnswer, Secs, TaskCounts};
+use marblebarrow_core::event::{Event, JobCounts, PeerEvent, PledgeAnswer, Secs, TaskCounts};
 use marblebarrow_core::membership::Announcement;
 use marblebarrow_proto::ids::{JobId, NodeId};
 use marblebarrow_proto::peer::peer_client::PeerClient;
@@ -173,7 +173,7 @@
     let Ok(reply) = client.beat(request).await else { return };
     let reply = reply.into_inner();
     publish_announcement(events, peer, &reply.version, reply.format);
-    let news = PeerNews::Heartbeat {
+    let news = PeerEvent::Heartbeat {
         node: peer.clone(),
         store_ok: reply.store_ok,
         leading: Some(reply.leading),
@@ -191,17 +191,17 @@
     sent: Secs,
     events: &EventSender,
 ) {
-    let mut whole = true;
+    let mut complete = true;
     loop {
         let Ok(reply) = client.pledge(ask.clone()).await else { return };
         let reply = reply.into_inner();
-        whole &= reply.whole;
+        complete &= reply.whole;
         let cancelled: Vec<(JobId, u64)> =
             reply.cancelled.iter().map(|c| (JobId::new(&c.job), c.revision)).collect();
         let last = reply.cancelled.last().map(|c| c.job.clone());
         let more = reply.more && last.is_some();
-        let answer = PledgeAnswer { granted: reply.granted, whole, cancelled, more };
-        let news = PeerNews::Pledged { node: peer.clone(), sent, answer };
+        let answer = PledgeAnswer { granted: reply.granted, complete, cancelled, more };
+        let news = PeerEvent::PledgeReceived { node: peer.clone(), sent, answer };
         if !publish(events, news) || !reply.granted {
             return;
         }
@@ -219,7 +219,7 @@
 }
 
 // Sends a peer's news to the event loop; false if the queue is full.
-fn publish(events: &EventSender, news: PeerNews) -> bool {
+fn publish(events: &EventSender, news: PeerEvent) -> bool {
     events.try_send(QueueMessage::Event(Event::Peer(news)))
 }
 
@@ -227,7 +227,7 @@
 // empty.
 fn publish_announcement(events: &EventSender, node: &NodeId, version: &str, format: u32) {
     let runs = Announcement::from_wire(version, format);
-    publish(events, PeerNews::Announced { node: node.clone(), runs });
+    publish(events, PeerEvent::Announced { node: node.clone(), runs });
 }
 
 /// The gRPC service that answers the peers.
@@ -241,7 +241,7 @@
 impl Peer for PeerService {
     async fn beat(&self, req: Request<BeatRequest>) -> Result<Response<BeatReply>, Status> {
         let req = req.into_inner();
-        let news = PeerNews::Heartbeat {
+        let news = PeerEvent::Heartbeat {
             node: NodeId::new(&req.node),
             store_ok: req.store_ok,
             leading: None,
@@ -266,13 +266,13 @@
         if !self.events.try_send(message) {
             return Err(Status::resource_exhausted("busy"));
         }
-        let PledgeAnswer { granted, whole, cancelled, more } = answer.await.unwrap_or_default();
+        let PledgeAnswer { granted, complete, cancelled, more } = answer.await.unwrap_or_default();
         let job = |(id, revision): &(JobId, u64)| CancelledJob {
             job: id.to_string(),
             revision: *revision,
         };
         let cancelled = cancelled.iter().map(job).collect();
-        Ok(Response::new(PledgeReply { granted, whole, cancelled, more }))
+        Ok(Response::new(PledgeReply { granted, whole: complete, cancelled, more }))
     }
 
     async fn progress(
@@ -288,7 +288,7 @@
                 counts: TaskCounts { done: j.done, running: j.running },
             })
             .collect();
-        publish(&self.events, PeerNews::Progress(jobs));
+        publish(&self.events, PeerEvent::Progress(jobs));
         Ok(Response::new(ProgressReply {}))
     }
 }
--- a/src/server/response.rs
+++ b/src/server/response.rs
@@ -45,11 +45,11 @@
             Answer::Healthy => Self::error(200, "none"),
             Answer::Members(members) => Self::with_body(200, &members),
             Answer::Heartbeat(heartbeat) => Self::with_body(200, &heartbeat),
-            Answer::Elsewhere(node) => Self::misdirected(node.map(|n| n.to_string())),
+            Answer::RedirectTo(node) => Self::misdirected(node.map(|n| n.to_string())),
             Answer::NotFound => Self::error(404, "no such job"),
             Answer::NeverRuns(reason) => Self::error(422, reason),
             Answer::UnknownDependencies(waits_on) => Self::unknown_dependencies(waits_on),
-            Answer::Full(seconds) => Self::retry_later(429, seconds, "too much is asked"),
+            Answer::Overloaded(seconds) => Self::retry_later(429, seconds, "too much is asked"),
             Answer::Unavailable(seconds) => Self::retry_later(503, seconds, "can't decide now"),
         }
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,8 +2,8 @@
 //! field stops the program at startup with a one-line error.
 
 use crate::limits::VALUE_KB_MIN;
-use marblebarrow_core::consts::CHANGES_LEAST;
-use marblebarrow_core::facts::{DeadlineAim, Facts, Team, TimeAim, Tuning};
+use marblebarrow_core::consts::MIN_TXN_CHANGES;
+use marblebarrow_core::facts::{DeadlineObjective, Facts, Team, TimeObjective, Tuning};
 use marblebarrow_proto::ids::NodeId;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -122,8 +122,8 @@
             return Err(("facts.state.value_kb".into(), format!("is below {VALUE_KB_MIN}")));
         }
         let txn_ops = next.txn_ops.map_or(self.txn_ops, |ops| ops.min(self.txn_ops));
-        if txn_ops < CHANGES_LEAST {
-            return Err(("facts.state.txn_ops".into(), format!("is below {CHANGES_LEAST}")));
+        if txn_ops < MIN_TXN_CHANGES {
+            return Err(("facts.state.txn_ops".into(), format!("is below {MIN_TXN_CHANGES}")));
         }
         Ok(StoreLimits {
             rps: smaller_limit("rps", self.rps, next.rps)?,
@@ -135,12 +135,12 @@
 }
 
 /// The objectives of a kind that name a class and a valid time.
-fn time_objectives(objectives: &[RawObjective], kind: &str) -> Vec<TimeAim> {
+fn time_objectives(objectives: &[RawObjective], kind: &str) -> Vec<TimeObjective> {
     let matching = objectives.iter().filter(|o| o.kind == kind);
     matching
         .filter_map(|o| {
             let within_s = o.within_s.filter(|w| w.is_finite() && *w > 0.0)?;
-            Some(TimeAim { class: o.class.clone()?, within_s })
+            Some(TimeObjective { class: o.class.clone()?, within_s })
         })
         .collect()
 }
@@ -237,19 +237,19 @@
         if f.resources.fd_limit < 64 {
             return Err(("facts.resources.fd_limit".into(), "is below 64".into()));
         }
-        let deadlines = f
+        let deadline_objectives = f
             .objectives
             .iter()
             .filter(|o| o.kind == "deadline")
             // An invalid factor counts as 1, the strictest deadline that can be met.
             .filter_map(|o| {
                 let times = o.times.filter(|t| t.is_finite() && *t > 0.0).unwrap_or(1.0);
-                Some(DeadlineAim { class: o.class.clone()?, times })
+                Some(DeadlineObjective { class: o.class.clone()?, times })
             })
             .collect();
         // Objectives of other kinds don't affect scheduling.
-        let finishes = time_objectives(&f.objectives, "finished");
-        let starts = time_objectives(&f.objectives, "wait");
+        let completion_objectives = time_objectives(&f.objectives, "finished");
+        let start_objectives = time_objectives(&f.objectives, "wait");
         let facts = Facts {
             node: NodeId::new(&raw.node),
             others: raw.others.iter().map(|o| NodeId::new(&o.node)).collect(),
@@ -264,9 +264,9 @@
                     gpus_max: t.gpus_max,
                 })
                 .collect(),
-            deadlines,
-            finishes,
-            starts,
+            deadline_objectives,
+            completion_objectives,
+            start_objectives,
             heartbeat_interval_s: positive("facts.workers.report_s", f.workers.report_s)?,
             lease_s: positive("facts.workers.lease_s", f.workers.lease_s)?,
             cancel_s: positive("facts.workers.cancel_s", f.workers.cancel_s)?,
@@ -279,7 +279,7 @@
             log: true,
             core_share: positive("facts.resources.core_share", f.resources.core_share)?,
             // Replaced in `controller::serve` by the share derived from the resources.
-            direct_most: 4,
+            max_direct_commands: 4,
             tuning: Tuning::default(),
             // Loaded from a separate file.
             cells: None,
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -6,7 +6,7 @@
 use crate::http::{CallError, Client};
 use crate::limits::{WATCH_PAUSE, WATCH_RETRY_FIRST, WATCH_RETRY_MAX, WATCH_UNREADABLE_MAX};
 use crate::store_client::store_call;
-use marblebarrow_core::event::{Event, Secs, StoreRequest, StoreResult, WatchContent, WatchNews};
+use marblebarrow_core::event::{Event, Secs, StoreRequest, StoreResult, WatchContent, WatchUpdate};
 use marblebarrow_core::facts::WatchTiming;
 use marblebarrow_proto::cbor;
 use marblebarrow_proto::records::WATCHED_PREFIX;
@@ -163,7 +163,7 @@
     }
 
     fn publish(&self, sent: Secs, revision: u64, content: WatchContent) {
-        self.events.send(Event::Watch(WatchNews { sent, revision, content }));
+        self.events.send(Event::Watch(WatchUpdate { sent, revision, content }));
     }
 }
 
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -23,8 +23,8 @@
     format!("req-{n:05}1")
 }
 
-fn cell(machines_most: usize) -> CellPlan {
-    let plan = Plan { machines_most, team_cpus: 1_000.0, ..Plan::small(3) };
+fn cell(max_machines: usize) -> CellPlan {
+    let plan = Plan { max_machines, team_cpus: 1_000.0, ..Plan::small(3) };
     CellPlan { plan, transfers_allowed: true }
 }
 
--- a/tests/stand_in/cloud.rs
+++ b/tests/stand_in/cloud.rs
@@ -29,7 +29,7 @@
         }
         ("POST", "/hosts") => {
             let rent: RentalRequest = cbor::decode(body).expect("valid rent request");
-            let available = plan.machines_most.saturating_sub(fleet.rented());
+            let available = plan.max_machines.saturating_sub(fleet.rented());
             let count = available.min(rent.count as usize);
             if rent.spot || count == 0 {
                 let none = BTreeMap::from([("error", "no capacity")]);
--- a/tests/stand_in/inputs.rs
+++ b/tests/stand_in/inputs.rs
@@ -23,7 +23,7 @@
     /// Number of controllers.
     pub controllers: usize,
     /// Maximum number of machines rented at the same time.
-    pub machines_most: usize,
+    pub max_machines: usize,
     /// CPU limit of the team.
     pub team_cpus: f64,
     /// Worker timings.
@@ -50,7 +50,7 @@
     pub const fn small(controllers: usize) -> Self {
         Self {
             controllers,
-            machines_most: 6,
+            max_machines: 6,
             team_cpus: 8.0,
             times: WorkerTimes::SHORT_LEASES,
             report_s: 0.3,
