--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The leader's picture of a job: which tasks ran, run or may run.
+//! The leader's in-memory state of a job: which tasks have run, are running or may be running.
 
 use crate::consts::*;
 use crate::event::Secs;
@@ -14,49 +14,50 @@
 
 mod deadlines;
 
-/// Where an attempt stands.
+/// The phase of an attempt, from placement to running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Placed; its start isn't recorded yet.
+    /// Placed on a machine; its start isn't recorded in the store yet.
     Placed,
-    /// Recorded; the command isn't sent, or was surely lost.
+    /// The start is recorded; the start command hasn't been sent, or is known to be lost.
     Ready,
-    /// The command is on its way.
+    /// The start command is in flight.
     Sent,
-    /// The worker reports it.
+    /// The worker reports the attempt, but not as running yet.
     Seen,
-    /// It runs.
+    /// The worker reports the attempt as running.
     Running,
 }
 
-/// An attempt that runs, or may run.
+/// An attempt that is running, or may be.
 #[derive(Clone, Debug)]
 pub struct Live {
-    /// Where.
+    /// The machine that it is placed on.
     pub machine: MachineId,
-    /// Its attempt.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// Where it stands.
+    /// Its current phase.
     pub phase: Phase,
     /// When it was placed.
     pub since: Secs,
-    /// When it was first seen running.
+    /// When a heartbeat first reported it as running.
     pub ran_from: Option<Secs>,
-    /// A direct command to start it went unanswered and may yet arrive.
+    /// A direct start command got no reply and may still reach the worker.
     pub unconfirmed: bool,
-    /// It is to stop, with this much time to save.
+    /// Set if it is to be stopped: the time that it gets to save its work, seconds.
     pub stop: Option<f64>,
-    /// When an answer to a heartbeat last carried its start.
+    /// When a heartbeat reply last carried its start command.
     pub sent: Option<Secs>,
-    /// Found running by a new leader: when it began is not known.
+    /// A new leader found it running, so its start time is unknown.
     pub adopted: bool,
 }
 
 impl Live {
-    /// Whether it surely doesn't run and no start of it is on its way. (A newer
-    /// list without it is not enough: an answer that carries its start may
-    /// still be on its way behind a direct command's. Tasks moved on such a
-    /// list once ran twice.)
+    /// Whether the attempt certainly isn't running and no start command for it is in flight.
+    ///
+    /// A newer worker report without the task is not sufficient evidence: a heartbeat reply
+    /// that carries the start may still be in flight behind the reply to a direct command.
+    /// Tasks that were moved because of such a report ran twice.
     pub fn never_sent(&self, now: Secs) -> bool {
         matches!(self.phase, Phase::Placed | Phase::Ready)
             && !self.unconfirmed
@@ -64,92 +65,99 @@
     }
 }
 
-/// Why a task came to an end.
+/// How an attempt of a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Completed.
+    /// The task completed.
     Done,
-    /// Failed.
+    /// The task failed.
     Error,
-    /// The worker would not start it.
+    /// The worker refused to start it.
     Refused,
-    /// Stopped or lost with its machine.
+    /// The attempt was stopped, or lost together with its machine.
     Lost,
 }
 
-/// A job that isn't over.
+/// A job that has no final state yet.
 #[derive(Debug)]
 pub struct Job {
-    /// Its spec.
+    /// The spec as recorded in the store.
     pub record: Arc<SpecRecord>,
-    /// Version of the spec's key.
+    /// Version of the spec's key in the store.
     pub spec_version: u64,
-    /// When it was accepted, on our clock (may be before our start).
+    /// When it was accepted, on this controller's clock; may be before the controller started.
     pub arrived: Secs,
-    /// Tasks whose start may have been recorded.
+    /// Tasks whose start may already be recorded in the store.
     pub started: IntSet,
     /// Tasks that completed.
     pub finished: IntSet,
-    /// As `started`, but surely in the store.
+    /// The part of `started` that is confirmed to be in the store.
     pub stored_started: IntSet,
-    /// As `finished`, but surely in the store.
+    /// The part of `finished` that is confirmed to be in the store.
     pub stored_finished: IntSet,
-    /// Machines that its tasks may be on, by number.
+    /// Numbers of the machines that its tasks may be on.
     pub machines: IntSet,
-    /// As `machines`, but surely in the store.
+    /// The part of `machines` that is confirmed to be in the store.
     pub stored_machines: IntSet,
-    /// Version of each part's record; 0: none.
+    /// Version of the record of each part ([`PART_TASKS`] tasks); 0 if there is no record.
     pub parts: Vec<u64>,
-    /// Attempts that run or may run.
+    /// Attempts that are running or may be, by task number.
     pub live: BTreeMap<u32, Live>,
-    /// Started under an earlier term, not found yet.
+    /// Tasks recorded as started in an earlier term that no worker has reported yet.
     pub maybe_running: BTreeSet<u32>,
-    /// Tasks to run again, not before that time.
+    /// Tasks to retry, each with the earliest time of its next attempt.
     pub again: BTreeMap<u32, Secs>,
-    /// Pilots.
+    /// Sample tasks that run first, to measure the run time and so the job's size.
     pub pilots: Vec<u32>,
+    /// Every task below this number is done, may be running, or is in `again`.
     cursor: u32,
-    /// Run times seen: count and sum.
+    /// Measured run times: their count and their sum, seconds.
     pub runs: (u32, f64),
-    /// The queue, once known.
+    /// The queue that its size puts it in; unknown until the pilots are done.
     pub queue: Option<u8>,
-    /// Cancelled: stop all, start nothing.
+    /// The job is cancelled: all its tasks are stopped and none is started.
     pub cancelled: bool,
-    /// No user was told of the cancellation before then; known if this leader knew the job
-    /// before it was cancelled.
+    /// Earliest time at which a user may have been told of the cancellation; set only if this
+    /// leader knew the job before it was cancelled.
     pub cancelled_at: Option<Secs>,
-    /// Offered to another cell, or there, or about to be: start nothing.
+    /// The job is being offered or transferred to another cell, or runs there: no task of it
+    /// is started here.
     pub away: bool,
-    /// Other cells refused it: not offered again before, seconds. The next leader begins anew.
+    /// Not offered to other cells before this time, as they refused it. A new leader starts
+    /// from zero.
     pub rests_until: Secs,
-    /// Its last transaction is under way.
+    /// The transaction that writes its final state is in flight.
     pub closing: bool,
-    /// Some task of it ran for longer than a start must to count.
-    pub rooted: bool,
-    /// An aim says by when jobs of its class should be done.
+    /// Some task ran for longer than [`CONSOLIDATE_AGE_S`], the least for a start to count.
+    pub start_counted: bool,
+    /// An objective states by when jobs of its class should be done.
     pub aimed: bool,
-    /// Within how many seconds, if an aim says so whatever their deadlines.
+    /// Seconds within which jobs of its class should be done, if an objective sets such a time
+    /// independently of their deadlines.
     pub finish_s: Option<Secs>,
-    /// A gang found itself incomplete: the tasks that are done are needed too.
+    /// A member of the gang ended because it found the gang incomplete: all tasks must start
+    /// again, including those that are done.
     pub whole_gang: bool,
-    /// Some job it names as a DAG dependency is not durably done yet: start nothing,
-    /// and hold no part of the team's quota or guarantee.
+    /// Some job that it names as a DAG dependency is not durably done yet: no task is started,
+    /// and the job holds no part of the team's quota or guarantee.
     pub waits_for_dependencies: bool,
-    /// When the last job that it needs was done; when it arrived, if it needs none.
+    /// When its last dependency was done; the arrival time if it has no dependencies.
     pub ready_since: Secs,
-    /// Its tasks should start within so many seconds from then, if an objective says so.
+    /// Seconds from `ready_since` within which its tasks should start, if an objective says so.
     pub start_within: Option<Secs>,
-    /// What the jobs that need it pass on.
+    /// Urgency inherited from its dependents.
     inherited: Option<Urgency>,
+    /// Machines on which tasks failed since the last success.
     failed_on: BTreeSet<MachineId>,
-    /// Some task of it completed, so that what fails of it speaks of the machine.
+    /// Number of successes seen; after the first, failures are attributed to the machine.
     successes: u32,
     errors: u32,
+    /// No task is started before this time: backoff of a job that fails everywhere.
     not_before: Secs,
 }
 
 impl Job {
-    /// A job as the watch brings it.
+    /// Creates the state of a job that the watch delivered; `rng` selects its pilots.
     pub fn new(
         record: Arc<SpecRecord>,
         spec_version: u64,
@@ -192,7 +200,7 @@
             away: false,
             rests_until: 0.0,
             closing: false,
-            rooted: false,
+            start_counted: false,
             aimed: false,
             finish_s: None,
             whole_gang: false,
@@ -207,37 +215,37 @@
         }
     }
 
-    /// Its spec.
+    /// The job's spec.
     pub fn spec(&self) -> &JobSpec {
         &self.record.spec
     }
 
-    /// How much time a task that is evicted gets to save its work, seconds.
+    /// Time that an evicted task gets to save its work, seconds.
     pub fn eviction_grace(&self) -> Secs {
         self.spec().save_s * SAVE_GRACE
     }
 
-    /// Whether all tasks completed.
+    /// Whether all tasks completed; a service never completes.
     pub fn complete(&self) -> bool {
         self.spec().kind != Kind::Service && self.finished.len() == self.spec().tasks
     }
 
-    /// Work for spare capacity: an array that runs when nothing else wants the room,
-    /// and that is done where it is cheap, or not yet. Not so where an aim says by
-    /// when it should be done.
+    /// Whether the job is spare-capacity work: a low-priority array that only runs on capacity
+    /// that no other job needs, and waits for cheap machines. A job whose class has an
+    /// objective on when it should be done is not.
     pub fn spare(&self) -> bool {
         let s = self.spec();
         s.kind == Kind::Array && self.priority() == Priority::Low && !self.aimed
     }
 
-    /// Work for spare capacity that waits for spot machines, as it hasn't waited for
-    /// very long yet.
+    /// Whether the job is spare-capacity work that may only use spot machines because it has
+    /// waited for less than [`SPARE_LATEST_S`].
     pub fn cheap_only(&self, now: Secs) -> bool {
         self.spare() && self.spec().spot && now - self.arrived < SPARE_LATEST_S
     }
 
-    /// What would be lost if an attempt ended now, seconds of its work: what it did
-    /// since it last saved. What a new leader found running counts as half done.
+    /// Work that would be lost if the attempt ended now, seconds: what it did since its last
+    /// checkpoint. An attempt that a new leader found running counts as half done.
     pub fn loses(&self, live: &Live, now: Secs) -> Secs {
         let Some(from) = live.ran_from else { return 0.0 };
         let before = if live.adopted { self.likely_run() / 2.0 } else { 0.0 };
@@ -252,14 +260,15 @@
         }
     }
 
-    /// Whether `n` may be started: not done, not running, no unconfirmed start.
+    /// Whether task `n` may be started: it is neither done nor running, and no start of it is
+    /// unconfirmed.
     fn startable(&self, n: u32) -> bool {
         !self.finished.contains(n)
             && !self.live.contains_key(&n)
             && !self.maybe_running.contains(&n)
     }
 
-    /// All tasks of a gang that are to start together, if it may start.
+    /// The tasks of a gang that must start together; empty if it may not start now.
     pub fn gang_members(&self, now: Secs) -> Vec<u32> {
         let free = self.live.is_empty() && self.maybe_running.is_empty() && self.may_start(now);
         if !free || self.complete() || self.again.values().any(|&at| at > now) {
@@ -268,7 +277,7 @@
         (0..self.spec().tasks).filter(|n| self.whole_gang || !self.finished.contains(*n)).collect()
     }
 
-    /// The next pilot that waits.
+    /// The next pilot that may start now.
     pub fn next_pilot(&mut self, now: Secs) -> Option<u32> {
         if !self.may_start(now) {
             return None;
@@ -277,7 +286,7 @@
         self.pilots.iter().copied().find(ready)
     }
 
-    /// The next task that waits, pilots included.
+    /// The next task that may start now, pilots included.
     pub fn next_task(&mut self, now: Secs) -> Option<u32> {
         if !self.may_start(now) {
             return None;
@@ -304,59 +313,64 @@
         {
             return false;
         }
-        // Taken for mistaken: one task at a time goes on trying.
+        // A job suspected to be broken keeps retrying, with `BAD_JOB_TASKS` tasks at a time.
         !(self.mistaken() && self.live.len() >= BAD_JOB_TASKS)
     }
 
-    /// Whether it looks submitted with a mistake: failed on several machines
-    /// and succeeded on none.
+    /// Whether the job itself is suspected to be broken: it failed on at least
+    /// [`BAD_JOB_MACHINES`] machines and succeeded on none.
     pub fn mistaken(&self) -> bool {
         !self.sound() && self.failed_on.len() >= BAD_JOB_MACHINES
     }
 
-    /// Whether it was seen to succeed, under whatever leader.
+    /// Whether some task is known to have succeeded, under this leader or an earlier one.
     pub fn sound(&self) -> bool {
         self.successes > 0 || !self.finished.is_empty()
     }
 
-    /// Whether this attempt is to be left alone, whatever it loses: of idle work of
-    /// which nothing ever ran for long, one attempt is, or in a full fleet each
-    /// would be stopped as the youngest, and its users would never see it begin.
+    /// Whether the job's last remaining attempt is exempt from eviction, however little it would
+    /// lose. This holds for spare-capacity work of which no task has run for long: in a full
+    /// fleet each attempt would be evicted as the youngest, and users would never see the job
+    /// start.
     pub fn keeps(&self, now: Secs) -> bool {
         self.spare()
-            && !self.rooted
+            && !self.start_counted
             && self.finished.is_empty()
             && self.live.values().filter(|l| l.stop.is_none()).count() <= 1
             && now - self.arrived < SPARE_LATEST_S
     }
 
-    /// A task of it has run for so long. A service never completes, but one that
-    /// serves is sound: two machines that failed under it in its life once would
-    /// have kept its lost replicas away while the others served.
+    /// Notes that a task has run for `run` seconds.
+    ///
+    /// A service never completes, so a replica that ran for longer than [`SERVES_S`] counts as
+    /// a success. Otherwise two machine failures in the service's lifetime would make it look
+    /// broken, and lost replicas would not be replaced while the others serve.
     pub fn ran_for(&mut self, run: Secs) {
-        self.rooted |= run > CONSOLIDATE_AGE_S;
+        self.start_counted |= run > CONSOLIDATE_AGE_S;
         if self.spec().kind == Kind::Service && run > SERVES_S {
             self.successes = self.successes.max(1);
             self.failed_on.clear();
         }
     }
 
-    /// Machines on which it failed while it had succeeded nowhere.
+    /// Machines on which tasks failed, while no task has succeeded anywhere: the fault may be
+    /// the job's or the machine's.
     pub fn unexplained(&self) -> Vec<MachineId> {
         if self.sound() { Vec::new() } else { self.failed_on.iter().cloned().collect() }
     }
 
-    /// Whether it failed on this machine.
+    /// Whether tasks of the job failed on this machine since the last success.
     pub fn avoids(&self, machine: &MachineId) -> bool {
         self.failed_on.contains(machine)
     }
 
-    /// Tasks that are seen to run.
+    /// Number of tasks reported as running.
     pub fn running(&self) -> u32 {
         self.live.values().filter(|live| live.phase == Phase::Running).count() as u32
     }
 
-    /// Tasks that wait, backoffs and unconfirmed starts included.
+    /// Number of tasks that wait to start, including those in backoff; those with an
+    /// unconfirmed start are not counted.
     pub fn waiting(&self) -> u32 {
         if self.cancelled || self.away || self.closing || self.waits_for_dependencies {
             return 0;
@@ -365,18 +379,20 @@
         self.spec().tasks.saturating_sub(busy)
     }
 
-    /// Mean run time, if any was seen.
+    /// Mean of the measured run times, if there are any.
     pub fn mean_run(&self) -> Option<f64> {
         (self.runs.0 > 0).then(|| self.runs.1 / f64::from(self.runs.0))
     }
 
-    /// What a task probably takes, seconds.
+    /// Expected run time of a task, seconds: the measured mean, else the user's estimate, else
+    /// a default.
     pub fn likely_run(&self) -> f64 {
         let guess = self.spec().estimate_s;
         self.mean_run().unwrap_or(if guess > 0.0 { guess } else { DEFAULT_RUN_S })
     }
 
-    /// Takes a task as placed; records ahead a few that come next.
+    /// Marks task `n` as placed. For an array, the next [`START_AHEAD`] tasks are marked as
+    /// started too, so that one write records them all.
     pub fn place(&mut self, n: u32, live: Live, machine: u32) {
         self.machines.insert(machine);
         self.again.remove(&n);
@@ -389,7 +405,7 @@
         }
     }
 
-    /// An attempt is surely over.
+    /// Removes an attempt that has certainly ended, and schedules a retry unless it is done.
     pub fn over(&mut self, n: u32, outcome: Outcome, now: Secs) {
         let Some(live) = self.live.remove(&n) else {
             if outcome == Outcome::Done {
@@ -404,15 +420,14 @@
                 self.finished.insert(n);
                 self.successes += 1;
                 self.failed_on.clear();
-                // The rest of a run that a takeover fell into says little of
-                // the whole: taken for whole ones, such rests once made jobs
-                // look a fifth of their size.
+                // Of an adopted attempt only the run time after the takeover is known.
+                // Counted as whole runs, these made jobs look a fifth of their size.
                 if let Some(from) = live.ran_from.filter(|_| !live.adopted) {
-                    self.measure(now - from);
+                    self.record_run_time(now - from);
                 }
             }
             Outcome::Error => {
-                // A pilot that fails in seconds says nothing of the job's size.
+                // The run time of a failed task is not a sample of the job's size.
                 self.errors += 1;
                 self.failed_on.insert(live.machine);
                 let wait = ERROR_BACKOFF_S * f64::from(1u32 << self.errors.min(6));
@@ -431,7 +446,7 @@
         }
     }
 
-    fn measure(&mut self, run: f64) {
+    fn record_run_time(&mut self, run: f64) {
         if self.runs.0 >= MEAN_SAMPLES {
             return;
         }
@@ -439,37 +454,39 @@
         self.runs.1 += run;
         let pilots_done = self.pilots.iter().all(|p| self.finished.contains(*p));
         if self.queue.is_none() && pilots_done || self.queue.is_some() && !self.pilots.is_empty() {
-            self.queue =
-                Some(queue_of(self.runs.1 / f64::from(self.runs.0) * f64::from(self.spec().tasks)));
+            self.queue = Some(queue_for_size(
+                self.runs.1 / f64::from(self.runs.0) * f64::from(self.spec().tasks),
+            ));
         }
     }
 
-    /// Whether the start of task `n` on the machine of that number is recorded.
+    /// Whether the store has a record of task `n` as started and of that machine's number.
     pub fn start_recorded(&self, n: u32, machine: u32) -> bool {
         self.stored_started.contains(n) && self.stored_machines.contains(machine)
     }
 
-    /// Tasks of a part, as its first number and count.
+    /// The tasks of a part: number of the first, and how many.
     pub fn part_range(part: u32) -> (u32, u32) {
         (part * PART_TASKS, PART_TASKS)
     }
 }
 
-/// The jobs that aren't over, by id.
+/// Jobs without a final state, by id.
 pub type Jobs = BTreeMap<JobId, Job>;
 
-/// The attempt of a task that runs or may run.
+/// The attempt of a task that is running, or may be.
 pub fn live_attempt<'a>(jobs: &'a Jobs, task: &TaskId) -> Option<&'a Live> {
     jobs.get(&task.job)?.live.get(&task.index)
 }
 
-/// The same, to be changed.
+/// Mutable access to the attempt that [`live_attempt`] returns.
 pub fn live_attempt_mut<'a>(jobs: &'a mut Jobs, task: &TaskId) -> Option<&'a mut Live> {
     jobs.get_mut(&task.job)?.live.get_mut(&task.index)
 }
 
-/// The queue of a job of that size, task-seconds (the paper's section 5.1.1).
-pub fn queue_of(size_s: f64) -> u8 {
+/// The queue for a job of `size_s` task-seconds, as in section 5.1.1 of the paper that the
+/// queues follow.
+pub fn queue_for_size(size_s: f64) -> u8 {
     let mut bound = TOP_BOUND_S;
     for q in 0..QUEUES - 1 {
         if size_s <= bound {
--- a/crates/core/src/jobs/deadlines.rs
+++ b/crates/core/src/jobs/deadlines.rs
@@ -1,4 +1,4 @@
-//! When a job is due, how urgent it is, and what it inherits of both from the jobs that need it.
+//! When a job is due, how urgent it is, and what it inherits of both from its dependents.
 
 use super::Job;
 use crate::consts::{
@@ -9,10 +9,13 @@
 use marblebarrow_proto::job::Priority;
 
 impl Job {
-    /// When it is due, on our clock: by its deadline, else well before an aim on its
-    /// end or its start, else after as many waves as are usual. (Without the aim, 25,000
-    /// tasks of five seconds counted as late when they came, and hundreds of machines were
-    /// rented for a minute, though minutes were left.)
+    /// When the job is due, on this controller's clock: at its deadline, else well before the
+    /// time that an objective sets for its end or its start, else after the usual number of
+    /// waves.
+    ///
+    /// The objectives must be considered: without them, a job of 25,000 five-second tasks
+    /// counted as late on arrival, and hundreds of machines were rented for a minute although
+    /// minutes were left.
     pub fn due(&self) -> Secs {
         let start = self.start_within.map(|within| {
             self.ready_since + within * START_AIM_SHARE + self.likely_run() * RENT_SPREAD
@@ -20,13 +23,13 @@
         if let Some(due) = self.deadline_at() {
             return start.map_or(due, |start| start.min(due));
         }
-        let aim = self.finish_s.map(|s| s * FINISH_SHARE);
+        let objective = self.finish_s.map(|s| s * FINISH_SHARE);
         let waves = self.likely_run() * (1.0 + WAVES_MAX);
-        start.unwrap_or_else(|| self.arrived + aim.unwrap_or(waves))
+        start.unwrap_or_else(|| self.arrived + objective.unwrap_or(waves))
     }
 
-    /// Its deadline on our clock: its own, counted from its submission however long it
-    /// waited, or the earliest that the jobs that need it inherit to it.
+    /// The job's deadline on this controller's clock: the earlier of its own, counted from its
+    /// submission however long it waited, and the one inherited from its dependents.
     pub fn deadline_at(&self) -> Option<Secs> {
         let own = self.spec().deadline_s.map(|deadline| self.arrived + deadline);
         match (own, self.inherited_deadline()) {
@@ -35,18 +38,18 @@
         }
     }
 
-    /// The deadline that the jobs that need it pass on to it.
+    /// The deadline inherited from its dependents.
     pub fn inherited_deadline(&self) -> Option<DeadlineAhead> {
         self.inherited.and_then(|urgency| urgency.deadline)
     }
 
-    /// Its priority, or the higher one that a job that needs it passed on.
+    /// The effective priority: its own, or a higher one inherited from a dependent.
     pub fn priority(&self) -> Priority {
         self.inherited.map_or(self.spec().priority, |u| u.priority.max(self.spec().priority))
     }
 
-    /// Its own urgency and what it inherited, to be passed on; `times`: the widest multiple
-    /// of its deadline that an objective names.
+    /// Its own urgency merged with the inherited one, to be passed on to its dependencies.
+    /// `times` is the largest multiple of its deadline that an objective names.
     pub fn urgency(&self, times: f64) -> Urgency {
         let own = self.spec().deadline_s.map(|deadline| DeadlineAhead {
             due: self.arrived + deadline,
@@ -57,7 +60,7 @@
         self.inherited.map_or(own, |inherited| inherited.merged(own))
     }
 
-    /// A job that needs it passes on its urgency. Whether that changed anything.
+    /// Merges in the urgency that a dependent passes on. Returns whether that changed anything.
     pub fn inherit(&mut self, urgency: Urgency) -> bool {
         let merged = self.inherited.map_or(urgency, |inherited| inherited.merged(urgency));
         let changed = self.inherited != Some(merged);
@@ -65,9 +68,8 @@
         changed
     }
 
-    /// Every job it needs is durably done. Times without a deadline of its own count
-    /// from now (kit/change/LATER.md: they count from when the last job it needs is
-    /// done); a deadline counts from its submission all the same.
+    /// Marks all dependencies as durably done. Without a deadline, the job's times count from
+    /// `now`, when its last dependency is done; a deadline still counts from its submission.
     pub fn dependencies_done(&mut self, now: Secs) {
         self.waits_for_dependencies = false;
         self.ready_since = self.ready_since.max(now);
@@ -76,8 +78,8 @@
         }
     }
 
-    /// When its last task probably ends, if what waits starts after `start_lag` seconds:
-    /// later than that if there is no room.
+    /// When its last task is expected to end if the waiting tasks start after `start_lag`
+    /// seconds; the actual end is later if capacity is lacking.
     pub fn likely_end(&self, now: Secs, start_lag: Secs) -> Secs {
         let run = self.likely_run();
         let ends = self.live.values().map(|live| match live.ran_from {
@@ -88,7 +90,8 @@
         ends.chain(waits).fold(now, f64::max)
     }
 
-    /// Whether a backlog of it presses nobody: no deadline, and time enough.
+    /// Whether its backlog needs no extra machines yet: it has no deadline, and enough time is
+    /// left until an objective's time.
     pub fn unhurried(&self, now: Secs) -> bool {
         let left = self.due() - self.likely_run() * RENT_SPREAD - now;
         self.spec().deadline_s.is_none() && self.finish_s.is_some() && left > DRAIN_S
