--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -1,13 +1,14 @@
-//! How the leader makes a large cascade of cancellations durable: in lists of many jobs
-//! each, a few changes of the store instead of two for each job.
+//! The leader's cascade lists, which make a large cascade of cancellations durable: each list
+//! names many jobs, so the store needs a few changes instead of two for each job.
 //!
 //! A transaction that adds lists is conditional on the leader key, on the cascade generation
-//! and on the lists' keys being free, so that one applied late, or after its repetition,
-//! changes nothing. Keys are used once: they name the leader's term and a number that only
-//! rises, so a list found under a key of ours is the one that we sent.
+//! and on the lists' keys being absent, so it changes nothing if it is applied late or after
+//! its own retry. Keys are never reused: they contain the leader's term and an increasing
+//! number, so a list found under a key of this leader is the one that it sent.
 //!
-//! A list is removed once every job of it has a final state, as its spec is gone then. No I/O
-//! here: the leader asks for transactions, sends them and hands back the answers.
+//! A list is removed once every job in it has a final state; the job's spec is gone then. This
+//! module does no I/O: the leader asks it for transactions, sends them and passes the replies
+//! back.
 
 use crate::cascaded_jobs::CascadedJobs;
 use crate::consts::{CASCADE_CHANGES, CASCADE_LISTS_PER_TXN, STORE_RETRY_S};
@@ -18,37 +19,38 @@
 use marblebarrow_proto::wire::{Cond, Txn, Write};
 use std::collections::BTreeSet;
 
-/// Bytes of `{"jobs":[]}`.
+/// Length of the empty list record `{"jobs":[]}`, bytes.
 const LIST_FRAME_BYTES: usize = 11;
 
-/// What an answer of the store meant for the lists.
+/// What a store reply means for the cascade lists.
 #[derive(Debug, PartialEq)]
 pub enum CascadeOutcome {
-    /// It was the answer to something else.
-    NotOurs,
-    /// Nothing new; what is still to be done is tried again.
+    /// The reply belongs to another request.
+    Unrelated,
+    /// Nothing became durable; the transaction is retried.
     Pending,
-    /// These jobs are durably cancelled.
+    /// These jobs are now durably cancelled.
     Recorded(Vec<JobId>),
-    /// A list whose jobs all have a final state is removed.
+    /// A list whose jobs all have a final state was removed.
     Removed,
 }
 
-/// One list that is to be written.
+/// A list to be written.
 #[derive(Debug)]
 struct NewList {
     key: String,
     jobs: Vec<JobId>,
 }
 
-/// Lists not yet known to be durable; they stay the same however often they are sent.
+/// Lists that are not yet known to be durable. Every retry sends the same lists under the same
+/// keys.
 #[derive(Debug)]
 struct ListWrite {
     lists: Vec<NewList>,
-    under_way: Option<OpId>,
-    /// The generation that the last try required.
+    in_flight: Option<OpId>,
+    /// The generation that the last attempt required.
     tried_generation: u64,
-    /// The store said that this is not the current one.
+    /// Whether the store reported that `tried_generation` isn't the current generation.
     outdated: bool,
 }
 
@@ -62,29 +64,32 @@
 #[derive(Debug)]
 struct Removal {
     key: String,
-    /// `None` once it is gone and only the copy still shows it.
-    under_way: Option<OpId>,
+    /// The removal in flight; `None` once it is committed and only the local copy is behind.
+    in_flight: Option<OpId>,
 }
 
-/// The cascade lists of one leadership.
+/// The cascade lists that a leader writes and removes during its term.
 #[derive(Debug)]
 pub struct CascadeLists {
     term: u64,
     /// Version of the leader key.
     leader_version: u64,
+    /// Number of the next list's key.
     next_number: u32,
     writing: Option<ListWrite>,
     removal: Option<Removal>,
-    /// Version of the generation key after our last write.
+    /// Version of the generation key after this leader's last committed write.
     own_generation: u64,
+    /// End of the pause after a failed request.
     not_before: Secs,
-    /// Changes that final states of listed jobs may take now.
-    ends_budget: f64,
+    /// Store changes that final states of listed jobs may use now.
+    final_state_budget: f64,
+    /// When the budget was last increased.
     refilled: Secs,
 }
 
 impl CascadeLists {
-    /// For a leadership that has just begun.
+    /// Creates the state of a leader whose term has just begun.
     pub fn new(term: u64, leader_version: u64, now: Secs) -> Self {
         Self {
             term,
@@ -94,40 +99,40 @@
             removal: None,
             own_generation: 0,
             not_before: now,
-            ends_budget: 0.0,
+            final_state_budget: 0.0,
             refilled: now,
         }
     }
 
-    /// The store did not do what a cascade asked of it: nothing more for a moment.
+    /// Pauses cascade requests for [`STORE_RETRY_S`] after the store failed one.
     pub fn pause(&mut self, now: Secs) {
         self.not_before = now + STORE_RETRY_S;
     }
 
-    /// Whether such a pause lasts.
+    /// Whether cascade requests are paused.
     pub fn is_paused(&self, now: Secs) -> bool {
         now < self.not_before
     }
 
-    /// Whether lists wait to become durable.
+    /// Whether there are planned lists that are not yet known to be durable.
     pub fn is_writing(&self) -> bool {
         self.writing.is_some()
     }
 
-    /// Lays out lists of these jobs, of at most `value_bytes` as JSON each; those that find
-    /// no room in one transaction are left for the next. Nothing while lists are written.
-    pub fn plan(&mut self, jobs: &BTreeSet<JobId>, value_bytes: usize, changes_most: usize) {
+    /// Plans lists of these jobs, each at most `value_bytes` long as JSON. Jobs that do not fit
+    /// into one transaction are left for the next. Does nothing while lists are being written.
+    pub fn plan(&mut self, jobs: &BTreeSet<JobId>, value_bytes: usize, max_changes: usize) {
         if self.writing.is_some() {
             return;
         }
-        // One change is the generation.
-        let lists_most = changes_most.saturating_sub(1).clamp(1, CASCADE_LISTS_PER_TXN);
-        let mut lists = split(jobs, value_bytes);
-        lists.truncate(lists_most);
+        // One change is the update of the generation key.
+        let max_lists = max_changes.saturating_sub(1).clamp(1, CASCADE_LISTS_PER_TXN);
+        let mut lists = split_into_lists(jobs, value_bytes);
+        lists.truncate(max_lists);
         let lists = lists.into_iter().map(|jobs| self.new_list(jobs)).collect::<Vec<_>>();
         if !lists.is_empty() {
             self.writing =
-                Some(ListWrite { lists, under_way: None, tried_generation: 0, outdated: false });
+                Some(ListWrite { lists, in_flight: None, tried_generation: 0, outdated: false });
         }
     }
 
@@ -137,8 +142,9 @@
         NewList { key, jobs }
     }
 
-    /// Jobs whose lists the copy shows, before an answer said so or without one.
-    pub fn take_shown(&mut self, copy: &CascadedJobs) -> Option<Vec<JobId>> {
+    /// The jobs of the lists being written, if the local copy shows all these lists: they are
+    /// durable even if the reply is late or lost.
+    pub fn take_visible(&mut self, copy: &CascadedJobs) -> Option<Vec<JobId>> {
         let shown = |list: &NewList| copy.lists().contains_key(&list.key);
         let all_shown = self.writing.as_ref().is_some_and(|w| w.lists.iter().all(shown));
         if !all_shown {
@@ -147,17 +153,17 @@
         self.writing.take().map(ListWrite::jobs)
     }
 
-    /// The transaction that makes the planned lists durable, if it is due. Once it is
-    /// sent, [`CascadeLists::write_sent`] must be told.
+    /// The transaction that makes the planned lists durable, if it is due. The caller must call
+    /// [`CascadeLists::write_sent`] once it has sent it.
     pub fn write_due(&mut self, now: Secs, copy: &CascadedJobs) -> Option<Txn> {
-        let leading = self.leader_condition();
+        let leader_cond = self.leader_condition();
         let generation = copy.generation().max(self.own_generation);
-        let writing = self.writing.as_mut().filter(|w| w.under_way.is_none())?;
+        let writing = self.writing.as_mut().filter(|w| w.in_flight.is_none())?;
         if self.not_before > now || (writing.outdated && writing.tried_generation >= generation) {
             return None;
         }
         (writing.tried_generation, writing.outdated) = (generation, false);
-        let mut txn = Txn { conds: vec![leading], writes: Vec::new() };
+        let mut txn = Txn { conds: vec![leader_cond], writes: Vec::new() };
         txn.conds.push(Cond { key: CASCADE_GENERATION.into(), version: generation });
         txn.writes.push(put(CASCADE_GENERATION.into(), to_value(&true)));
         for NewList { key, jobs } in &writing.lists {
@@ -167,15 +173,15 @@
         Some(txn)
     }
 
-    /// The transaction of [`CascadeLists::write_due`] was sent.
+    /// Notes that the transaction of [`CascadeLists::write_due`] was sent.
     pub fn write_sent(&mut self, op: OpId) {
         if let Some(writing) = &mut self.writing {
-            writing.under_way = Some(op);
+            writing.in_flight = Some(op);
         }
     }
 
-    /// The transaction that removes a list whose jobs all have a final state, if there is one.
-    /// Once it is sent, [`CascadeLists::removal_sent`] must be told.
+    /// The transaction that removes a list whose jobs all have a final state, if there is such a
+    /// list. The caller must call [`CascadeLists::removal_sent`] once it has sent it.
     pub fn removal_due(
         &mut self,
         now: Secs,
@@ -183,7 +189,7 @@
         unfinished: impl Fn(&JobId) -> bool,
     ) -> Option<Txn> {
         if let Some(removal) = &self.removal {
-            if removal.under_way.is_some() || copy.lists().contains_key(&removal.key) {
+            if removal.in_flight.is_some() || copy.lists().contains_key(&removal.key) {
                 return None;
             }
             self.removal = None;
@@ -195,36 +201,37 @@
         let (key, list) = copy.lists().iter().find(|(_, list)| over(&list.jobs))?;
         let listed = Cond { key: key.clone(), version: list.version };
         let conds = vec![self.leader_condition(), listed];
-        self.removal = Some(Removal { key: key.clone(), under_way: None });
+        self.removal = Some(Removal { key: key.clone(), in_flight: None });
         Some(Txn { conds, writes: vec![Write::Delete { key: key.clone() }] })
     }
 
-    /// The transaction of [`CascadeLists::removal_due`] was sent.
+    /// Notes that the transaction of [`CascadeLists::removal_due`] was sent.
     pub fn removal_sent(&mut self, op: OpId) {
         if let Some(removal) = &mut self.removal {
-            removal.under_way = Some(op);
+            removal.in_flight = Some(op);
         }
     }
 
-    /// The store answered.
+    /// Handles a store reply.
     pub fn answered(&mut self, now: Secs, op: OpId, result: &StoreResult) -> CascadeOutcome {
-        if self.removal.as_ref().is_some_and(|removal| removal.under_way == Some(op)) {
+        if self.removal.as_ref().is_some_and(|removal| removal.in_flight == Some(op)) {
             return self.removal_answered(now, result);
         }
-        let Some(mut writing) = self.writing.take_if(|w| w.under_way == Some(op)) else {
-            return CascadeOutcome::NotOurs;
+        let Some(mut writing) = self.writing.take_if(|w| w.in_flight == Some(op)) else {
+            return CascadeOutcome::Unrelated;
         };
-        writing.under_way = None;
+        writing.in_flight = None;
         match result {
             StoreResult::Committed(version) => {
                 self.own_generation = *version;
                 return CascadeOutcome::Recorded(writing.jobs());
             }
-            // An earlier try of ours was carried out, though its answer was lost.
+            // An earlier attempt was committed, although its reply was lost.
             StoreResult::Conflict(keys) if writing.lists.iter().any(|l| keys.contains(&l.key)) => {
                 return CascadeOutcome::Recorded(writing.jobs());
             }
-            // Our copy is behind, perhaps as an earlier try was carried out: it will show.
+            // The local copy is behind, perhaps because an earlier attempt was committed; the
+            // copy will show the lists then.
             StoreResult::Conflict(keys) if keys.iter().any(|key| key == CASCADE_GENERATION) => {
                 writing.outdated = true;
             }
@@ -238,7 +245,7 @@
     fn removal_answered(&mut self, now: Secs, result: &StoreResult) -> CascadeOutcome {
         if matches!(result, StoreResult::Committed(_)) {
             if let Some(removal) = &mut self.removal {
-                removal.under_way = None;
+                removal.in_flight = None;
             }
             return CascadeOutcome::Removed;
         }
@@ -247,15 +254,15 @@
         CascadeOutcome::Pending
     }
 
-    /// Whether the final state of one more listed job may be written now, at so many changes
-    /// a second; if so, it is counted.
-    pub fn afford_end(&mut self, now: Secs, changes_per_s: f64) -> bool {
+    /// Whether the final state of one more listed job may be written now at a limit of
+    /// `changes_per_s`; if so, its changes are taken from the budget.
+    pub fn try_spend_final_state_budget(&mut self, now: Secs, changes_per_s: f64) -> bool {
         let gained = (now - self.refilled) * changes_per_s;
         self.refilled = now;
-        self.ends_budget = (self.ends_budget + gained).min(CASCADE_CHANGES);
-        let affordable = self.ends_budget >= CASCADE_CHANGES;
+        self.final_state_budget = (self.final_state_budget + gained).min(CASCADE_CHANGES);
+        let affordable = self.final_state_budget >= CASCADE_CHANGES;
         if affordable {
-            self.ends_budget -= CASCADE_CHANGES;
+            self.final_state_budget -= CASCADE_CHANGES;
         }
         affordable
     }
@@ -269,18 +276,18 @@
     Write::Put { key, value, lease: None }
 }
 
-/// Splits jobs so that each list stays within so many bytes as JSON.
-fn split(jobs: &BTreeSet<JobId>, value_bytes: usize) -> Vec<Vec<JobId>> {
+/// Splits jobs into lists of at most `value_bytes` bytes of JSON each.
+fn split_into_lists(jobs: &BTreeSet<JobId>, value_bytes: usize) -> Vec<Vec<JobId>> {
     let mut lists: Vec<Vec<JobId>> = Vec::new();
-    let mut room = 0;
+    let mut remaining = 0;
     for job in jobs {
-        // With the comma after it.
+        // One more byte for the comma.
         let bytes = json_text_len(job.as_str()) + 1;
-        if bytes > room || lists.is_empty() {
+        if bytes > remaining || lists.is_empty() {
             lists.push(Vec::new());
-            room = value_bytes.saturating_sub(LIST_FRAME_BYTES);
+            remaining = value_bytes.saturating_sub(LIST_FRAME_BYTES);
         }
-        room = room.saturating_sub(bytes);
+        remaining = remaining.saturating_sub(bytes);
         if let Some(list) = lists.last_mut() {
             list.push(job.clone());
         }
--- a/crates/core/src/cascaded_jobs.rs
+++ b/crates/core/src/cascaded_jobs.rs
@@ -1,57 +1,57 @@
-//! A controller's copy of the cascade lists: the jobs that a cascade cancelled, and the
-//! version of the generation key up to which the copy is whole.
+//! A controller's local copy of the cascade lists: the jobs that a cascade cancelled, and the
+//! version of the generation key up to which the copy is complete.
 //!
-//! Every transaction that adds a list also puts the generation key. So an answer `queued`
-//! or `running`, proven by a transaction that requires the generation known here, says that
-//! no list was added since; and the job is in no earlier one, as those are all in this copy
-//! or were removed after each of their jobs got a final state (which the same transaction
-//! requires to be absent). Whatever the copy's age, no user is told something older than
-//! `aborted`.
+//! Every transaction that adds a list also updates the generation key. An answer `queued` or
+//! `running` is proven by a transaction that requires the generation of this copy, so no list
+//! was added since. The job is in no earlier list either: each of them is in this copy, or was
+//! removed after all its jobs got a final state, which the same transaction requires to be
+//! absent. So however old the copy is, no user is told an outdated state of an `aborted` job.
 
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::records::CascadeRecord;
 use std::collections::BTreeMap;
 
-/// One list as the store holds it.
+/// A cascade list as recorded in the store.
 #[derive(Debug, Clone)]
 pub struct CascadeList {
-    /// The jobs.
+    /// The cancelled jobs.
     pub jobs: Vec<JobId>,
-    /// Version of its key.
+    /// Version of the list's key.
     pub version: u64,
 }
 
-/// The lists, by key, and the jobs in them.
+/// The local copy of the cascade lists, by key, with an index of the jobs in them.
 #[derive(Debug, Default)]
 pub struct CascadedJobs {
     lists: BTreeMap<String, CascadeList>,
-    /// In how many lists each job is.
+    /// For each job, the number of lists that contain it.
     jobs: BTreeMap<JobId, usize>,
     generation: u64,
 }
 
 impl CascadedJobs {
-    /// Whether a cascade cancelled the job and its list is still there.
+    /// Whether the job is in a cascade list, and so cancelled.
     pub fn contains(&self, job: &JobId) -> bool {
         self.jobs.contains_key(job)
     }
 
-    /// Version of the generation key that the copy is whole up to; 0: no list was ever added.
+    /// Version of the generation key up to which the copy is complete; 0 if no list was ever
+    /// added.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The lists, in the order of their keys.
+    /// The lists, ordered by key.
     pub fn lists(&self) -> &BTreeMap<String, CascadeList> {
         &self.lists
     }
 
-    /// The generation key has that version.
+    /// Raises the known version of the generation key.
     pub fn set_generation(&mut self, version: u64) {
         self.generation = self.generation.max(version);
     }
 
-    /// A list is there.
+    /// Adds a list, or replaces the one under the same key.
     pub fn put(&mut self, key: &str, record: CascadeRecord, version: u64) {
         self.remove(key);
         for job in &record.jobs {
@@ -60,7 +60,7 @@
         self.lists.insert(key.to_owned(), CascadeList { jobs: record.jobs, version });
     }
 
-    /// A list is gone: each of its jobs has a final state.
+    /// Removes a list, as each of its jobs has a final state.
     pub fn remove(&mut self, key: &str) {
         let Some(list) = self.lists.remove(key) else { return };
         for job in &list.jobs {
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -1,27 +1,28 @@
-//! DAG dependencies between jobs as the leader sees them: which jobs wait and for
-//! what, which may start, and which must be cancelled because a job they need was
-//! (the cancellation cascade).
+//! The leader's graph of DAG dependencies between jobs: which jobs wait and for which
+//! dependencies, which may start, and which must be cancelled because one of their
+//! dependencies was (the cancellation cascade).
 //!
 //! The graph has no cycle by construction: a submission may only name jobs that were
 //! accepted before its own acceptance check ran, so every edge points from a later job
 //! to an earlier one.
 //!
 //! A dependency counts as done only once its final state `done` is durable: the leader
-//! wrote it and the store confirmed the write, or it was read from the store. A leader
-//! that saw the last task finish in a heartbeat, but has no confirmed write yet, keeps
-//! the dependents waiting (else a task could start before the job it needs is done).
+//! wrote it and the store confirmed the write, or it was read from the store. If a
+//! heartbeat reported the last task as finished but the write is not confirmed yet, the
+//! dependents keep waiting; otherwise a task could start before its dependency is done.
 //!
-//! This module holds no I/O; the leader asks it what to read and what to cancel, and
-//! tells it what the store answered.
+//! This module does no I/O: the leader asks it what to read and what to cancel, and passes
+//! the store's replies back to it.
 
 use crate::event::{OpId, Secs};
 use marblebarrow_proto::ids::JobId;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Most outcomes of finished dependencies kept in memory; older ones are read again.
+/// Maximum number of outcomes of ended dependencies kept in memory; older ones are read from
+/// the store again.
 const OUTCOMES_KEPT: usize = 50_000;
 
-/// How a job that others need ended, as durably recorded.
+/// How a job that others depend on ended, as durably recorded in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Its final state is `done`.
@@ -30,20 +31,20 @@
     Cancelled,
 }
 
-/// What the leader knows of a named dependency when a dependent arrives.
+/// What the leader knows of a dependency when a job that names it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DependencyState {
-    /// Its spec is in the store: it is not over.
+    /// Its spec is in the store, so it has no final state yet.
     Unfinished,
     /// Cancelled, as a watched cancel mark or a final state shows.
     Cancelled,
     /// Its final state `done` is durable.
     Done,
-    /// Not in the leader's picture: it ended earlier, and its final state must be read.
+    /// The leader has no state of it: it ended earlier, and its final state must be read.
     Unknown,
 }
 
-/// A dependency whose outcome was read, and the jobs that may start because of it.
+/// A dependency whose final state was read, and the jobs that may start because of it.
 #[derive(Debug)]
 pub struct Resolved {
     /// The dependency that was read.
@@ -55,29 +56,30 @@
 /// The leader's dependency graph.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// Jobs that wait, each with the dependencies not yet known to be done.
+    /// Waiting jobs, each with its dependencies that are not yet known to be done.
     waiting: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// For each job that unfinished jobs name, those that name it.
+    /// For each job that waiting jobs depend on, these dependents.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// Durable outcomes of jobs that others named, newest last.
+    /// Durable outcomes of ended jobs.
     outcomes: HashMap<JobId, Outcome>,
+    /// The jobs in `outcomes`, oldest first.
     outcome_order: VecDeque<JobId>,
-    /// Dependencies whose final state is to be read, and not before when.
+    /// Dependencies whose final state is to be read, each with the earliest time of the read.
     to_read: BTreeMap<JobId, Secs>,
-    /// Reads under way.
+    /// Reads in flight.
     reads: HashMap<OpId, JobId>,
-    /// Jobs to cancel because a job they need, directly or through others, was.
+    /// Jobs to cancel because a direct or transitive dependency was cancelled.
     to_cancel: BTreeSet<JobId>,
-    /// Jobs whose cancellation by a cascade is durable in a list, and which have no final
-    /// state of their own yet.
+    /// Jobs whose cascade cancellation is durable in a cascade list and whose final state is
+    /// not written yet.
     listed: BTreeSet<JobId>,
-    /// Cancellations under way.
+    /// Writes of cancelled final states in flight.
     cancels: HashMap<OpId, JobId>,
 }
 
 impl DependencyGraph {
-    /// A job with DAG dependencies joins the picture. `state` tells what the leader
-    /// knows of each dependency. Returns whether the job has to wait.
+    /// Adds a job with DAG dependencies. `state` returns what the leader knows of each
+    /// dependency. Returns whether the job has to wait.
     pub fn add(
         &mut self,
         job: &JobId,
@@ -89,16 +91,16 @@
         for dependency in dependencies {
             let known = self.outcomes.get(dependency).copied();
             match (known, state(dependency)) {
-                // Cancelled by a cascade, as this leader knows before the store does.
+                // The dependency is being cancelled by a cascade; its final state isn't written.
                 (_, _)
                     if self.to_cancel.contains(dependency) || self.listed.contains(dependency) =>
                 {
                     pending.insert(dependency.clone());
                     self.cascade_from(job);
                 }
-                // It waits for good: a cancelled job is never done, and the cascade
-                // cancels this one. (It once started before its cancellation was
-                // written, as nothing held it.)
+                // The dependency is never done, so the job stays pending until the cascade
+                // cancels it. Without the pending entry, the job started before its
+                // cancellation was written.
                 (Some(Outcome::Cancelled), _) | (_, DependencyState::Cancelled) => {
                     pending.insert(dependency.clone());
                     self.cascade_from(job);
@@ -128,18 +130,19 @@
         self.waiting.contains_key(job)
     }
 
-    /// Jobs that wait, in order of their names.
+    /// Waiting jobs, ordered by id.
     pub fn waiting(&self) -> impl Iterator<Item = &JobId> {
         self.waiting.keys()
     }
 
-    /// The dependencies a job still waits for.
+    /// The dependencies that a job still waits for.
     pub fn pending(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
         self.waiting.get(job).into_iter().flatten()
     }
 
-    /// A job's outcome became durable (or known to be cancelled). Returns the jobs that
-    /// may start now; the jobs that follow a cancelled one are queued for cancellation.
+    /// Notes that a job's outcome is durable, or that the job is known to be cancelled. Returns
+    /// the jobs that may start now; all dependents of a cancelled job are queued for
+    /// cancellation.
     pub fn finished(&mut self, job: &JobId, outcome: Outcome) -> Vec<JobId> {
         self.remember(job, outcome);
         self.to_read.remove(job);
@@ -159,7 +162,7 @@
         ready
     }
 
-    /// A job left the leader's picture (closed): it waits for nothing any more.
+    /// Removes a closed job from the graph: it no longer waits and is no longer cancelled.
     pub fn forget(&mut self, job: &JobId) {
         self.to_cancel.remove(job);
         self.listed.remove(job);
@@ -174,19 +177,20 @@
         }
     }
 
-    /// `job` and every job that needs it, directly or through others, are to be cancelled.
+    /// Queues the cancellation of `job` and of its direct and transitive dependents.
     fn cascade_from(&mut self, job: &JobId) {
         self.queue_cancel(job);
         self.cascade_below(job);
     }
 
+    /// Queues a cancellation, unless it is already durable in a cascade list.
     fn queue_cancel(&mut self, job: &JobId) {
         if !self.listed.contains(job) {
             self.to_cancel.insert(job.clone());
         }
     }
 
-    /// Every job that needs `job`, directly or through others, is to be cancelled.
+    /// Queues the cancellation of the direct and transitive dependents of `job`.
     fn cascade_below(&mut self, job: &JobId) {
         let mut stack = vec![job.clone()];
         let mut seen = BTreeSet::new();
@@ -202,7 +206,8 @@
         }
     }
 
-    /// The cancellations of these jobs are durable in a list; final states follow.
+    /// Notes that the cancellations of these jobs are durable in a cascade list; their final
+    /// states are still to be written.
     pub fn recorded(&mut self, jobs: &[JobId]) {
         for job in jobs {
             if self.to_cancel.remove(job) {
@@ -211,31 +216,33 @@
         }
     }
 
-    /// A job joins the picture that is in a list, an earlier leader's perhaps.
-    pub fn found_listed(&mut self, job: &JobId) {
+    /// Notes that a newly known job is in a cascade list, possibly one of an earlier leader.
+    pub fn add_listed(&mut self, job: &JobId) {
         self.to_cancel.remove(job);
         self.listed.insert(job.clone());
         self.cascade_below(job);
     }
 
-    /// Jobs queued for cancellation that is not durable yet.
+    /// Jobs whose queued cancellation is not durable yet.
     pub fn queued_cancels(&self) -> &BTreeSet<JobId> {
         &self.to_cancel
     }
 
-    /// How many listed jobs have no final state of their own yet.
+    /// Number of listed jobs whose final state is not written yet.
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// A listed job whose final state is due and not under way, if fewer than `most` are.
-    pub fn end_due(&self, most: usize) -> Option<JobId> {
-        if self.cancels.len() >= most {
+    /// A listed job whose final state is to be written and is not in flight; `None` if `limit`
+    /// writes are in flight already.
+    pub fn final_state_due(&self, limit: usize) -> Option<JobId> {
+        if self.cancels.len() >= limit {
             return None;
         }
         self.listed.iter().find(|job| !self.cancels.values().any(|c| c == *job)).cloned()
     }
 
+    /// Keeps an outcome in memory, and drops the oldest ones above [`OUTCOMES_KEPT`].
     fn remember(&mut self, job: &JobId, outcome: Outcome) {
         if self.outcomes.insert(job.clone(), outcome).is_none() {
             self.outcome_order.push_back(job.clone());
@@ -247,36 +254,37 @@
         }
     }
 
-    /// Up to `most` dependencies whose final state is due to be read now.
-    pub fn reads_due(&mut self, now: Secs, most: usize) -> Vec<JobId> {
-        let room = most.saturating_sub(self.reads.len());
+    /// Dependencies whose final state is due to be read now; with the reads in flight, at most
+    /// `limit`.
+    pub fn reads_due(&mut self, now: Secs, limit: usize) -> Vec<JobId> {
+        let remaining = limit.saturating_sub(self.reads.len());
         let due: Vec<JobId> = self
             .to_read
             .iter()
             .filter(|(job, at)| **at <= now && !self.reads.values().any(|r| r == *job))
             .map(|(job, _)| job.clone())
-            .take(room)
+            .take(remaining)
             .collect();
         due
     }
 
-    /// A job's final state must be read, as there seems to be one.
+    /// Schedules a read of a job's final state, which probably exists.
     pub fn read_final_state(&mut self, job: &JobId, now: Secs) {
         self.to_read.entry(job.clone()).or_insert(now);
     }
 
-    /// Whether an operation is a read of ours.
+    /// Whether a store operation is a read of a dependency's final state.
     pub fn is_read(&self, op: OpId) -> bool {
         self.reads.contains_key(&op)
     }
 
-    /// A read of a dependency's final state was sent.
+    /// Notes that a read of a dependency's final state was sent.
     pub fn read_sent(&mut self, op: OpId, job: JobId) {
         self.reads.insert(op, job);
     }
 
-    /// Whether an answer is for a read of ours; if so, which job it was about. A read
-    /// that found nothing, or failed, is tried again after `retry_s`.
+    /// Handles the reply to a read of a final state; `None` if `op` is no such read. A read
+    /// that found nothing, or failed, is retried after `retry_s`.
     pub fn read_answered(
         &mut self,
         op: OpId,
@@ -297,51 +305,51 @@
         Some(Resolved { job, ready })
     }
 
-    /// A dependency's state is known from the leader's picture after all (its spec came
-    /// by the watch): no read is needed.
+    /// Cancels the scheduled read of a dependency whose spec the watch has since delivered: it
+    /// is unfinished.
     pub fn known_unfinished(&mut self, job: &JobId) {
         self.to_read.remove(job);
     }
 
-    /// Up to `most` jobs whose cancellation is due and not under way.
-    pub fn cancels_due(&self, most: usize) -> Vec<JobId> {
-        let room = most.saturating_sub(self.cancels.len());
+    /// Jobs whose queued cancellation is not in flight; with those in flight, at most `limit`.
+    pub fn cancels_due(&self, limit: usize) -> Vec<JobId> {
+        let remaining = limit.saturating_sub(self.cancels.len());
         self.to_cancel
             .iter()
             .filter(|job| !self.cancels.values().any(|c| c == *job))
-            .take(room)
+            .take(remaining)
             .cloned()
             .collect()
     }
 
-    /// A cancellation by cascade was sent.
+    /// Notes that the transaction of a cascade cancellation was sent.
     pub fn cancel_sent(&mut self, op: OpId, job: JobId) {
         self.cancels.insert(op, job);
     }
 
-    /// Whether an answer is for a cancellation of ours; if so, which job it was about.
-    /// `done` tells whether the cancellation is now durable; if not, it is tried again.
+    /// Handles the reply to a cascade cancellation and returns the job; `None` if `op` is no
+    /// such operation. `done` is whether the cancellation is now durable; if not, it is retried.
     pub fn cancel_answered(&mut self, op: OpId, done: bool) -> Option<JobId> {
         let job = self.cancels.remove(&op)?;
         if done {
-            self.cancel_dropped(&job);
+            self.drop_cancel(&job);
         }
         Some(job)
     }
 
-    /// A queued cancellation is of no use any more (the job is over, or another
-    /// cancelled it).
-    pub fn cancel_dropped(&mut self, job: &JobId) {
+    /// Drops a queued cancellation that is no longer needed, as the job has a final state or was
+    /// cancelled otherwise.
+    pub fn drop_cancel(&mut self, job: &JobId) {
         self.to_cancel.remove(job);
         self.listed.remove(job);
     }
 
-    /// How many jobs are queued for cancellation by cascade.
+    /// Number of jobs queued for cancellation by cascade.
     pub fn cascade_count(&self) -> usize {
         self.to_cancel.len()
     }
 
-    /// How many jobs wait for dependencies.
+    /// Number of jobs that wait for dependencies.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/core/src/inheritance.rs
+++ b/crates/core/src/inheritance.rs
@@ -1,35 +1,35 @@
-//! What a job inherits from the jobs that need it: priority, and the time by which it has
-//! to be done for them to meet their deadlines. Users set both on the last job of a
-//! pipeline only (kit/change/LATER.md).
+//! What a job inherits from its dependents: their priority, and the time by which it has to be
+//! done so that they can meet their deadlines. Inheritance is needed because users set both
+//! only on the last job of a pipeline.
 
 use crate::event::Secs;
 use marblebarrow_proto::job::Priority;
 
-/// The urgency of a job, as it passes it on to the jobs that it needs, or as one of them
-/// inherits it.
+/// The urgency that a job passes on to its dependencies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Urgency {
-    /// The highest priority among the job and those that need it.
+    /// The highest priority among the job and its direct and transitive dependents.
     pub priority: Priority,
-    /// When it has to be done, on the leader's clock, if any of them has a deadline.
+    /// When the job has to be done, if it or one of these dependents has a deadline.
     pub deadline: Option<DeadlineAhead>,
 }
 
-/// A deadline as a job sees it that other jobs wait for.
+/// A dependent's deadline, translated into the time by which the job itself has to be done.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DeadlineAhead {
-    /// Done by then, the job leaves the ones after it the time that they take.
+    /// When the job has to be done to leave its dependents the time that they take, on the
+    /// leader's clock.
     pub due: Secs,
-    /// The same for the widest multiple of the deadline that a service-level objective
-    /// names: past that, nothing is won by hurry.
+    /// The same for the largest multiple of the deadline that a service-level objective names:
+    /// after this time, finishing sooner brings no benefit.
     pub latest: Secs,
-    /// How many jobs come one after another from here to the one with the deadline.
+    /// Number of stages from the job to the one that has the deadline; 0 for the latter.
     pub stages: u32,
 }
 
 impl Urgency {
-    /// What the jobs that a job needs inherit from it, if it takes `stage_s` seconds from
-    /// when the last of them is done until it is done itself.
+    /// The urgency that the job's dependencies inherit, if the job takes `stage_s` seconds from
+    /// the end of its last dependency to its own end.
     pub fn passed_on(self, stage_s: Secs) -> Self {
         let ahead = |deadline: DeadlineAhead| DeadlineAhead {
             due: deadline.due - stage_s,
@@ -39,7 +39,7 @@
         Self { deadline: self.deadline.map(ahead), ..self }
     }
 
-    /// The urgency of a job that several need.
+    /// Combines two urgencies: the higher priority and the earlier deadline.
     pub fn merged(self, other: Self) -> Self {
         let deadline = match (self.deadline, other.deadline) {
             (Some(one), Some(another)) => Some(if one.due <= another.due { one } else { another }),
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -1,15 +1,16 @@
-//! The leader's side of job pipelines: jobs with DAG dependencies wait until every job
-//! they need is durably done, inherit the urgency of the jobs that need them, and are
-//! cancelled by cascade when a job they need is cancelled.
+//! The leader's side of job pipelines: a job with DAG dependencies waits until each of them is
+//! durably done, inherits the urgency of its dependents, and is cancelled by cascade when one
+//! of its dependencies is cancelled.
 //!
-//! The graph lives in [`crate::dependencies`]; this module connects it to the leader's
-//! picture of jobs and to the store. A cascade cancellation writes the job's final state
-//! `cancelled` and removes its spec in one compare-and-swap transaction: a job that waits
-//! has never started a task (every job it needs would have had to be done), so no
-//! cancel mark is needed to stop tasks, and two changes per job are all the store pays.
+//! The graph itself is in [`crate::dependencies`]; this module connects it to the leader's
+//! in-memory jobs and to the store. A cascade cancellation writes the job's final state
+//! `cancelled` and removes its spec in one compare-and-swap transaction. A waiting job has
+//! never started a task, as all its dependencies would have had to be done first; so no cancel
+//! mark is needed to stop tasks, and each job costs the store only two changes.
 //!
 //! A large cascade is first made durable in lists ([`crate::cascade`]), from which every
-//! controller answers; the final states follow at a rate that leaves the store to others.
+//! controller answers users. The final states are written later, at a rate that leaves most of
+//! the store's write rate to other requests.
 
 use crate::cascade::CascadeOutcome;
 use crate::consts::*;
@@ -24,20 +25,20 @@
 use marblebarrow_proto::records::{EndRecord, cancel_key, end_key, spec_key};
 use marblebarrow_proto::wire::{Cond, Txn, Write};
 
-/// A job that other jobs hold up, but not for long.
+/// A job that still waits for its dependencies and is expected to become ready soon.
 #[derive(Debug)]
 pub(crate) struct NextStage<'a> {
-    /// The job.
+    /// The waiting job.
     pub job: &'a Job,
-    /// When the jobs that it needs will probably be done.
+    /// When its dependencies are expected to be done.
     pub ready_at: Secs,
     /// When it is due, on the leader's clock.
     pub due: Secs,
 }
 
 impl Leader {
-    /// A job that names dependencies joined the picture: it waits for those not yet
-    /// done, and is cancelled by cascade if one of them was cancelled.
+    /// Adds a newly known job to the dependency graph if it names dependencies: it waits for
+    /// those not yet done, and is cancelled by cascade if one of them was cancelled.
     pub(crate) fn track_dependencies(&mut self, now: Secs, id: &JobId, replica: &Replica) {
         let Some(job) = self.jobs.get(id) else { return };
         let dependencies = job.spec().dependencies.clone();
@@ -55,7 +56,7 @@
         };
         let mut waits = self.dependencies.add(id, &dependencies, now, state);
         if replica.cascaded.contains(id) {
-            self.dependencies.found_listed(id);
+            self.dependencies.add_listed(id);
             waits = true;
         }
         if let Some(job) = self.jobs.get_mut(id) {
@@ -71,11 +72,12 @@
         });
     }
 
-    /// Jobs that a job needs, directly or through others, are treated as having its
-    /// priority if that is higher, and as due early enough that it can still be done by
-    /// its deadline: each stage on the way takes off one run time, as the pilots
-    /// measured it (or the user's estimate before they ran), and what lies between two
-    /// stages.
+    /// Passes a job's urgency on to its direct and transitive dependencies.
+    ///
+    /// They take on its priority if that is higher, and are due early enough that the job can
+    /// still meet its deadline. Each stage in between moves the due time earlier by the lag
+    /// between two stages and by one run time: the one that the pilots measured, or the user's
+    /// estimate before they have run.
     fn inherit_urgency(&mut self, id: &JobId) {
         let mut changed = vec![id.clone()];
         while let Some(next) = changed.pop() {
@@ -92,9 +94,9 @@
         }
     }
 
-    /// Arrays that wait for other jobs and may probably run before `until`, as far as can
-    /// be told from the run times of these: machines for them are rented ahead, so that
-    /// they boot while the last job that is needed still runs.
+    /// Array jobs that wait for dependencies and are expected to become ready by `until`, judged
+    /// by the run times of the dependencies. Machines for them are rented in advance, so that
+    /// they boot while the last dependency is still running.
     pub(crate) fn next_stages(&self, now: Secs, until: Secs) -> Vec<NextStage<'_>> {
         let waiting = self.dependencies.waiting().filter_map(|id| {
             let job = self.jobs.get(id)?;
@@ -109,12 +111,13 @@
         waiting.filter(|stage| stage.ready_at <= until).collect()
     }
 
-    /// When the jobs that a waiting job needs will probably be done; `None` if one of them
-    /// waits itself: that is at least a run away, and then too soon to tell.
+    /// When the dependencies of a waiting job are expected to be done. `None` if one of them
+    /// waits for dependencies itself: its end is at least a whole run away, which is too early
+    /// for an estimate.
     fn ready_at(&self, id: &JobId, now: Secs) -> Option<Secs> {
         let mut ready_at = now;
         for dependency in self.dependencies.pending(id) {
-            // One that is not known here has ended, and its final state is being read.
+            // A dependency without in-memory state has ended; its final state is being read.
             let Some(job) = self.jobs.get(dependency) else { continue };
             if job.waits_for_dependencies {
                 return None;
@@ -124,8 +127,8 @@
         Some(ready_at)
     }
 
-    /// A job's final state is durable: the jobs that wait for it may start, or, if it
-    /// was cancelled, are cancelled too.
+    /// Handles a job whose final state became durable: its dependents may start once they wait
+    /// for nothing else or, if the job was cancelled, are cancelled too.
     pub(crate) fn dependency_finished(&mut self, now: Secs, id: &JobId, cancelled: bool) {
         self.dependencies.forget(id);
         if cancelled {
@@ -135,12 +138,12 @@
         self.start_ready(now, ready);
     }
 
-    /// The leader learned that a job is cancelled (its cancel mark, or its final state):
-    /// the jobs that need it are cancelled at once, without waiting for its tasks to be
-    /// gone. A cascade that queues new cancellations is logged at info with its size.
+    /// Queues the cancellation of all dependents of a job that is cancelled, as its cancel mark
+    /// or its final state shows. They are cancelled without waiting for the job's own tasks to
+    /// stop. A cascade that queues new cancellations is logged at info level with its size.
     pub(crate) fn dependency_cancelled(&mut self, now: Secs, id: &JobId) {
         let before = self.dependencies.cascade_count();
-        // A cancellation makes no job ready; it only queues the cascade.
+        // The returned list of ready jobs is empty: a cancellation only queues the cascade.
         let _ = self.dependencies.finished(id, Outcome::Cancelled);
         let queued = self.dependencies.cascade_count();
         if queued > before {
@@ -163,35 +166,35 @@
         }
     }
 
-    /// Reads the final states of dependencies that ended before this leader knew them,
-    /// and writes cascade cancellations.
+    /// Sends the store requests that are due: reads of the final states of dependencies that
+    /// ended before this leader knew them, and writes of cascade cancellations.
     pub(crate) fn dependencies_tick(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         for id in self.dependencies.reads_due(now, DEPENDENCY_READS_MAX) {
             let op = out.store(StoreRequest::Get(end_key(&id)));
             self.dependencies.read_sent(op, id);
         }
-        if self.lists_cascade(replica) {
+        if self.uses_cascade_lists(replica) {
             self.write_lists(now, replica, out);
         } else if !self.cascade_lists.is_paused(now) {
             for id in self.dependencies.cancels_due(CASCADE_WRITES_MAX) {
-                self.write_cascade_end(now, id, replica, out);
+                self.write_cascade_final_state(now, id, replica, out);
             }
         }
-        self.end_listed(now, replica, out);
+        self.write_listed_final_state(now, replica, out);
         self.remove_list(now, replica, out);
     }
 
-    /// Whether what is queued goes into lists: it is much, and every controller reads them.
-    /// (They did if a list was ever written: no controller that has had its turn of an
-    /// upgrade comes back old.)
-    fn lists_cascade(&self, replica: &Replica) -> bool {
+    /// Whether queued cancellations are recorded in cascade lists: only if there are many of
+    /// them and every controller reads the lists. If a list was ever written, every controller
+    /// does, as an upgraded controller never returns to an older version.
+    fn uses_cascade_lists(&self, replica: &Replica) -> bool {
         let allowed = self.cascade_lists_allowed || replica.cascaded.generation() != 0;
         let large = self.dependencies.cascade_count() >= CASCADE_LISTED_LEAST;
         self.cascade_lists.is_writing() || (allowed && large)
     }
 
     fn write_lists(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
-        if let Some(jobs) = self.cascade_lists.take_shown(&replica.cascaded) {
+        if let Some(jobs) = self.cascade_lists.take_visible(&replica.cascaded) {
             return self.lists_recorded(now, &jobs);
         }
         let queued = self.dependencies.queued_cancels();
@@ -212,20 +215,20 @@
         });
     }
 
-    /// Writes the final states of listed jobs, in the background.
-    fn end_listed(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
+    /// Writes the final state of one listed job, in the background at a limited rate.
+    fn write_listed_final_state(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         if self.dependencies.listed_count() == 0 || self.cascade_lists.is_paused(now) {
             return;
         }
-        let Some(id) = self.dependencies.end_due(CASCADE_ENDS_MAX) else { return };
+        let Some(id) = self.dependencies.final_state_due(CASCADE_ENDS_MAX) else { return };
         let changes_per_s = self.facts.store_write_rps * CASCADE_ENDS_SHARE;
-        if self.cascade_lists.afford_end(now, changes_per_s) {
-            self.write_cascade_end(now, id, replica, out);
+        if self.cascade_lists.try_spend_final_state_budget(now, changes_per_s) {
+            self.write_cascade_final_state(now, id, replica, out);
         }
     }
 
-    /// Removes a list whose jobs all have a final state: their specs are gone, and a spec is
-    /// only removed with its job's final state or after it.
+    /// Removes a cascade list whose jobs all have a final state. The absence of their specs
+    /// proves this, as a spec is only removed together with the final state or after it.
     fn remove_list(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         let unfinished = |job: &JobId| replica.specs.contains_key(job);
         let due = self.cascade_lists.removal_due(now, &replica.cascaded, unfinished);
@@ -235,24 +238,32 @@
         self.cascade_lists.removal_sent(op);
     }
 
-    /// Sends the transaction that gives a job its final state by cascade.
+    /// Sends the transaction that writes the final state of a job cancelled by cascade.
     ///
-    /// If its spec is gone, it has one: an earlier try was carried out, though its answer was
-    /// lost. (Such a job once was tried again for good, and held up those after it.)
-    fn write_cascade_end(&mut self, now: Secs, id: JobId, replica: &Replica, out: &mut ActionSink) {
+    /// If its spec is gone, the final state exists: an earlier attempt was committed although
+    /// its reply was lost. Without this check such a job was retried forever and blocked the
+    /// jobs behind it.
+    fn write_cascade_final_state(
+        &mut self,
+        now: Secs,
+        id: JobId,
+        replica: &Replica,
+        out: &mut ActionSink,
+    ) {
         if !replica.specs.contains_key(&id) {
-            self.dependencies.cancel_dropped(&id);
+            self.dependencies.drop_cancel(&id);
             return self.cascade_committed(now, &id);
         }
         let Some(txn) = self.cascade_transaction(&id) else {
-            return self.dependencies.cancel_dropped(&id);
+            return self.dependencies.drop_cancel(&id);
         };
         let op = out.store(StoreRequest::Commit(txn));
         self.writer.saw_user_changes(CASCADE_CHANGES);
         self.dependencies.cancel_sent(op, id);
     }
 
-    /// The transaction that cancels a job by cascade, if it is still to be cancelled.
+    /// The transaction that cancels a job by cascade; `None` if the job is gone, already
+    /// cancelled or being closed.
     fn cascade_transaction(&self, id: &JobId) -> Option<Txn> {
         let job = self.jobs.get(id)?;
         if job.cancelled || job.closing {
@@ -264,8 +275,8 @@
             value: to_value(&EndRecord { cancelled: true, tasks }),
             lease: None,
         };
-        // A job that never started needs no cancel mark: nothing of it can run.
-        // Should any start be recorded, the mark stops its tasks as a user's would.
+        // A job that never started needs no cancel mark, as none of its tasks can be running.
+        // If a start may be recorded, the mark stops its tasks, as in a cancellation by a user.
         let then = if job.started.is_empty() && job.live.is_empty() {
             Write::Delete { key: spec_key(id) }
         } else {
@@ -280,7 +291,7 @@
         })
     }
 
-    /// Whether an answer of the store was for the dependency part; if so, takes it.
+    /// Handles a store reply if it belongs to a request of this module. Returns whether it did.
     pub(crate) fn dependency_answered(
         &mut self,
         now: Secs,
@@ -299,7 +310,7 @@
             return true;
         }
         match self.cascade_lists.answered(now, op, result) {
-            CascadeOutcome::NotOurs => {}
+            CascadeOutcome::Unrelated => {}
             CascadeOutcome::Pending => return true,
             CascadeOutcome::Recorded(jobs) => {
                 self.lists_recorded(now, &jobs);
@@ -316,9 +327,9 @@
         };
         match result {
             StoreResult::Committed(_) => self.cascade_committed(now, &id),
-            // Perhaps an earlier try was carried out and its answer lost: the watch tells
-            // nothing of a spec removed. (Repeated for good, such cancellations took the
-            // store's rate and held up all others.)
+            // An earlier attempt may have been committed and its reply lost; the watch does not
+            // report the removal of the spec. So the final state is read: retried forever,
+            // such cancellations used up the store's rate and blocked all others.
             StoreResult::Conflict(_) => {
                 self.dependencies.read_final_state(&id, now);
                 self.cascade_lists.pause(now);
@@ -328,8 +339,8 @@
         true
     }
 
-    /// What a read of ours found: `Some(None)` for nothing usable, `None` if the answer
-    /// was not for a read of ours.
+    /// The outcome that a read of a dependency's final state found: `Some(None)` if the result
+    /// is not usable, `None` if the reply belongs to another request.
     fn read_outcome(&self, op: OpId, result: &StoreResult) -> Option<Option<Outcome>> {
         if !self.dependencies.is_read(op) {
             return None;
@@ -354,7 +365,7 @@
         if job.started.is_empty() && job.live.is_empty() {
             self.closed(now, id, true, tasks);
         } else {
-            // The cancel mark comes by the watch and stops what may run.
+            // The watch will deliver the cancel mark too; stop tasks that may be running now.
             self.cancel(now, id);
         }
     }
