--- a/crates/cells/src/error.rs
+++ b/crates/cells/src/error.rs
@@ -1,27 +1,28 @@
-//! Why a request between cells has no answer.
+//! Errors of requests between cells.
 
-/// Why there is no answer.
+/// Why a request between cells was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CellError {
-    /// Another controller leads, or none: ask the next.
+    /// The receiving controller is not the leader of its cell; the sender tries the cell's next
+    /// controller.
     #[error("this controller does not lead its cell")]
     NotLeader,
-    /// The sender is no cell that this one knows, or is this one.
+    /// The sender is not a configured cell, or claims to be the receiving cell.
     #[error("unknown cell")]
     UnknownCell,
-    /// A later leader of the sender's cell was heard already.
+    /// The receiver has already accepted a request from a later leader of the sender's cell.
     #[error("the sender's term is over")]
     StaleTerm,
-    /// The request makes no sense.
+    /// The request is malformed.
     #[error("malformed request")]
     Malformed,
-    /// The job was submitted to this cell, or the transfer began here.
+    /// The offered job's home cell is the receiving cell.
     #[error("the job is at home here")]
     HomeHere,
-    /// Not now: ask again.
+    /// The request cannot be decided now; the sender repeats it.
     #[error("busy, ask again")]
     Busy,
-    /// No answer came.
+    /// No answer was received.
     #[error("no answer")]
     NoAnswer,
 }
--- a/crates/cells/src/inbound.rs
+++ b/crates/cells/src/inbound.rs
@@ -1,5 +1,5 @@
-//! The target side: decides on offers of other cells. A reply is sent only once the decision
-//! is durable, so that a repeated offer gets the same one.
+//! The target side of transfers: decides on offers of other cells. A reply is sent only after the
+//! decision is durable, so that a repeated offer gets the same decision.
 
 use crate::capacity::{Amounts, CapacityReport, needed};
 use crate::message::{CellError, Offer, Sender};
@@ -9,38 +9,39 @@
 use marblebarrow_proto::transfer::{InboundRecord, RefusalReason, TransferId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds between two rounds in which records that one home needs no more are dropped: a
-/// home asks once a second, and the last round is mostly written by then.
-const DROP_EVERY_S: f64 = 1.0;
+/// Seconds between two rounds of deleting records that a home cell no longer needs. A home cell
+/// polls once a second, and the previous round has mostly been written by then.
+const DROP_INTERVAL_S: f64 = 1.0;
 
-/// What the target knows of an offered job.
+/// The target cell's knowledge of an offered job.
 #[derive(Debug)]
 pub struct TargetView<'a> {
-    /// The record of a job of that id accepted from another cell.
+    /// The record of a job with this id that was accepted from another cell.
     pub inbound: Option<&'a InboundRecord>,
-    /// A job of that id is known here, wherever it came from.
+    /// Whether a job with this id is known in this cell, whatever its origin.
     pub id_known: bool,
-    /// It could run here at all.
+    /// Whether the job could ever run in this cell.
     pub suitable: bool,
-    /// The cell's room now.
+    /// The cell's current free capacity.
     pub room: &'a CapacityReport,
 }
 
-/// What to do about an offer.
+/// What to do with an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It was accepted: say so.
-    Accepted,
-    /// Record the job, then say so.
+    /// The job was accepted earlier: reply so.
+    AlreadyAccepted,
+    /// Record the job, then reply that it is accepted.
     Accept,
-    /// Record the refusal, then say so.
+    /// Record the refusal, then reply so.
     Refuse(RefusalReason),
-    /// Its record is under way.
+    /// A decision is being recorded, for this transfer or for too many others: the sender repeats
+    /// the offer.
     Busy,
 }
 
-/// Offers whose decision is being recorded, and capacity reserved for accepted jobs until
-/// they first start.
+/// Tracks the offers whose decision is being recorded, and the capacity reserved for accepted jobs
+/// until they first start.
 #[derive(Debug)]
 pub struct Inbound {
     cell: CellName,
@@ -48,13 +49,13 @@
     terms: SenderTerms,
     recording: BTreeSet<TransferId>,
     recording_max: usize,
-    /// Capacity reserved for accepted jobs that haven't started yet.
-    promised: BTreeMap<JobId, Reservation>,
-    /// When records that a home needs no more are next dropped.
+    /// Capacity reserved for accepted jobs that have not started yet.
+    reserved: BTreeMap<JobId, Reservation>,
+    /// For each home cell, when records that it no longer needs may next be deleted.
     next_drop: BTreeMap<CellName, f64>,
 }
 
-/// Capacity reserved for a job.
+/// Capacity reserved for one accepted job.
 #[derive(Debug)]
 struct Reservation {
     transfer: TransferId,
@@ -62,8 +63,8 @@
 }
 
 impl Inbound {
-    /// No offer under way, at this cell; `known` are the configured cells, and `recording_max`
-    /// bounds the decisions being recorded at once.
+    /// Creates the state of cell `cell`, with no decision being recorded. `known` are the
+    /// configured cells; `recording_max` limits the decisions being recorded at once.
     pub fn new(cell: CellName, known: BTreeSet<CellName>, recording_max: usize) -> Self {
         Self {
             cell,
@@ -71,17 +72,17 @@
             terms: SenderTerms::default(),
             recording: BTreeSet::new(),
             recording_max,
-            promised: BTreeMap::new(),
+            reserved: BTreeMap::new(),
             next_drop: BTreeMap::new(),
         }
     }
 
-    /// Checks that a sender is a configured cell, and of its latest known term.
+    /// Checks that the sender is a configured cell and that its term is the latest known.
     pub fn admit(&mut self, sender: &Sender) -> Result<(), CellError> {
         self.terms.admit(&sender.cell, sender.term, &self.known)
     }
 
-    /// Decides on an offer of a sender that was admitted.
+    /// Decides on an offer whose sender has passed [`Self::admit`].
     pub fn decide(&self, offer: &Offer, view: &TargetView<'_>) -> Result<Decision, CellError> {
         if offer.transfer.home == self.cell {
             return Err(CellError::HomeHere);
@@ -90,7 +91,7 @@
             return Err(CellError::Malformed);
         }
         if view.inbound.is_some_and(|record| record.transfer == offer.transfer) {
-            return Ok(Decision::Accepted);
+            return Ok(Decision::AlreadyAccepted);
         }
         let full = self.recording.len() >= self.recording_max;
         if full || self.recording.contains(&offer.transfer) {
@@ -102,7 +103,7 @@
             RefusalReason::IdInUse
         } else if !view.suitable {
             RefusalReason::Unsuitable
-        } else if !view.room.has_room(&offer.spec, &self.promised_in_all()) {
+        } else if !view.room.has_room(&offer.spec, &self.total_reserved()) {
             RefusalReason::NoRoom
         } else {
             return Ok(Decision::Accept);
@@ -110,45 +111,47 @@
         Ok(Decision::Refuse(reason))
     }
 
-    /// A record about a transfer is being written.
+    /// Notes that the decision on a transfer is being recorded.
     pub fn recording(&mut self, transfer: &TransferId) {
         self.recording.insert(transfer.clone());
     }
 
-    /// It was written, or not.
+    /// Notes that the attempt to record a decision has ended, successfully or not.
     pub fn recorded(&mut self, transfer: &TransferId) {
         self.recording.remove(transfer);
     }
 
-    /// Whether it is time to drop records that a home, admitted before, needs no more. Each home
-    /// has a time of its own. (With one for all, whichever home asked first in each second took
-    /// it, also one that had nothing to drop, and guests of another stayed for minutes.)
+    /// Returns whether records that an admitted home cell no longer needs may be deleted now. Each
+    /// home cell has its own schedule: with a shared one, the cell that polled first in each second
+    /// used up the turn even with nothing to delete, and records of another cell's jobs remained
+    /// for minutes.
     pub fn drop_due(&mut self, now: f64, home: &CellName) -> bool {
         let next = self.next_drop.entry(home.clone()).or_insert(now);
         let due = now >= *next;
         if due {
-            *next = now + DROP_EVERY_S;
+            *next = now + DROP_INTERVAL_S;
         }
         due
     }
 
-    /// Reserves capacity for a job, from now until it first starts.
-    pub fn promise(&mut self, spec: &JobSpec, transfer: &TransferId) {
+    /// Reserves capacity for a job, from now until its first start.
+    pub fn reserve(&mut self, spec: &JobSpec, transfer: &TransferId) {
         let reservation = Reservation { transfer: transfer.clone(), amounts: needed(spec) };
-        self.promised.insert(spec.id.clone(), reservation);
+        self.reserved.insert(spec.id.clone(), reservation);
     }
 
-    /// Drops the reservations of jobs that are neither being recorded nor waiting (`waits`)
-    /// for their first start.
-    pub fn keep_promises(&mut self, waits: impl Fn(&JobId) -> bool) {
+    /// Releases the reservations of jobs that are neither being recorded nor, according to `waits`,
+    /// waiting for their first start.
+    pub fn release_reservations(&mut self, waits: impl Fn(&JobId) -> bool) {
         let recording = &self.recording;
-        self.promised.retain(|job, promise| recording.contains(&promise.transfer) || waits(job));
+        self.reserved
+            .retain(|job, reservation| recording.contains(&reservation.transfer) || waits(job));
     }
 
-    /// The sum of all reservations.
-    pub fn promised_in_all(&self) -> Amounts {
+    /// Returns the sum of all reservations.
+    pub fn total_reserved(&self) -> Amounts {
         let mut all = Amounts::default();
-        self.promised.values().for_each(|promise| all.add(&promise.amounts));
+        self.reserved.values().for_each(|reservation| all.add(&reservation.amounts));
         all
     }
 }
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -1,7 +1,7 @@
 //! Requests and replies between cells, as typed values that are independent of gRPC.
 //!
-//! [`crate::rpc`] translates them to and from the wire. Job and transfer ids were checked
-//! there, so that a value of these types is well formed.
+//! [`crate::rpc`] converts them to and from the wire and checks the ids of jobs and transfers, so
+//! that a value of these types is well formed.
 
 pub use crate::error::CellError;
 
@@ -12,36 +12,38 @@
 use marblebarrow_proto::transfer::{RefusalReason, TransferId};
 use std::collections::BTreeMap;
 
-/// Most tracked jobs, and most finished ones, in one exchange: the rest comes with the next.
+/// Limit on the tracked jobs, and separately on the finished jobs, in one exchange. The remaining
+/// ones follow in the next exchanges.
 pub const EXCHANGE_JOBS_MAX: usize = 256;
 
-/// Most ends told in one exchange: beside all else it must fit into a message.
-pub const ENDS_TOLD_MAX: usize = 64;
+/// Limit on the ends reported in one exchange, which must fit into a message together with
+/// everything else.
+pub const ENDS_REPORTED_MAX: usize = 64;
 
 /// The leader that sends a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sender {
-    /// Its cell.
+    /// The leader's cell.
     pub cell: CellName,
-    /// Its term.
+    /// The leader's term.
     pub term: u64,
 }
 
-/// A request of another cell, or of an operator.
+/// A request from another cell or from an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CellRequest {
-    /// Room, and the state of jobs transferred.
+    /// Requests free capacity and the state of transferred jobs.
     Exchange(Exchange),
-    /// A job is offered.
+    /// Offers a job.
     Offer(Box<Offer>),
-    /// An operator asks what this cell knows.
+    /// An operator requests this cell's overview.
     Overview,
-    /// An operator says that a cell is gone for good.
+    /// An operator declares a cell permanently lost.
     DeclareLost(CellName),
 }
 
 impl CellRequest {
-    /// Who sent it, if a cell did.
+    /// Returns the sending leader, or `None` for a request from an operator.
     pub fn sender(&self) -> Option<&Sender> {
         match self {
             Self::Exchange(exchange) => Some(&exchange.sender),
@@ -51,194 +53,198 @@
     }
 }
 
-/// The once-a-second request of a home leader.
+/// The request that a home cell's leader sends once a second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Exchange {
-    /// Who asks.
+    /// The leader that polls.
     pub sender: Sender,
-    /// Jobs accepted there, and whether their users want them cancelled.
+    /// Jobs that the receiving cell has accepted, and whether their users want them cancelled.
     pub tracked: Vec<TrackedJob>,
-    /// Jobs whose end is durable at home.
+    /// Jobs whose end is durable in their home cell.
     pub finished: Vec<FinishedJob>,
-    /// Jobs of the asked cell that are over here: told to a home that doesn't ask.
+    /// Jobs of the receiving cell that ended in the sending cell, reported while the receiving cell
+    /// does not poll for them.
     pub ended: Vec<EndedGuest>,
 }
 
-/// A job that its home asks about.
+/// A transferred job whose state the home cell requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrackedJob {
-    /// The job.
+    /// The job's id.
     pub job: JobId,
-    /// The transfer by which it came.
+    /// The transfer by which the job moved.
     pub transfer: TransferId,
-    /// Its user wants it cancelled.
+    /// Whether the user wants the job cancelled.
     pub cancel: bool,
 }
 
-/// A job whose end its home has.
+/// A job whose end is durable in its home cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedJob {
-    /// The job.
+    /// The job's id.
     pub job: JobId,
-    /// The transfer by which it came.
+    /// The transfer by which the job moved.
     pub transfer: TransferId,
 }
 
-/// A job of another cell that is over here, durably.
+/// A job of another cell whose end is durable in this cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedGuest {
-    /// The job.
+    /// The job's id.
     pub job: JobId,
-    /// The transfer by which it came.
+    /// The transfer by which the job moved.
     pub transfer: TransferId,
-    /// Cancelled; else done.
+    /// Whether the job was cancelled; otherwise it is done.
     pub cancelled: bool,
 }
 
-/// A job offered to another cell. Its intent is recorded at home.
+/// The offer of a job to another cell. The intent is recorded in the home cell before the offer is
+/// sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
-    /// Who offers.
+    /// The leader that makes the offer.
     pub sender: Sender,
-    /// The transfer.
+    /// The id of the transfer.
     pub transfer: TransferId,
-    /// The job.
+    /// The offered job.
     pub spec: JobSpec,
-    /// When home accepted it, milliseconds since 1970.
+    /// When the home cell accepted the submission, in milliseconds since 1970.
     pub at_ms: u64,
-    /// Its user cancelled it: to be refused, unless it was accepted already.
+    /// Whether the user has cancelled the job. The target then refuses it unless it has already
+    /// accepted it.
     pub withdraw: bool,
 }
 
-/// A cell's final word on a transfer.
+/// A cell's final decision on a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The job is there for good.
+    /// The target cell has accepted the job and owns it from now on.
     Accepted,
-    /// It never will be by this transfer.
+    /// The target cell will never accept the job by this transfer.
     Refused(RefusalReason),
 }
 
 /// The answer to an offer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OfferReply {
-    /// The transfer.
+    /// The id of the transfer.
     pub transfer: TransferId,
-    /// The word on it.
+    /// The verdict on the transfer.
     pub verdict: Verdict,
 }
 
-/// How a job stands in the cell that owns it.
+/// The state of a job in the cell that owns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GuestState {
-    /// Not over.
+    /// The job has not ended.
     Open {
-        /// Tasks done.
+        /// Number of tasks done.
         done: u32,
-        /// Tasks that run.
+        /// Number of running tasks.
         running: u32,
     },
-    /// Done, durably.
+    /// The job is durably done.
     Done,
-    /// Cancelled, durably.
+    /// The job is durably cancelled.
     Cancelled,
 }
 
-/// How a transferred job stands.
+/// The state of a transferred job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GuestStatus {
-    /// The job.
+    /// The job's id.
     pub job: JobId,
-    /// The transfer by which it came.
+    /// The transfer by which the job moved.
     pub transfer: TransferId,
-    /// How it stands.
+    /// The job's state.
     pub state: GuestState,
 }
 
 /// The answer to an exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExchangeReply {
-    /// The cell's room.
+    /// The replying cell's free capacity.
     pub capacity: CapacityReport,
-    /// Jobs asked about, as far as known.
+    /// State of the tracked jobs, as far as known.
     pub statuses: Vec<GuestStatus>,
-    /// Finished jobs of which nothing is kept here for home any more.
+    /// Finished jobs of which the replying cell keeps no record for the home cell any more.
     pub dropped: Vec<JobId>,
 }
 
-/// Another cell, as an operator sees it.
+/// Another cell, as shown to an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellOverview {
-    /// Its name.
+    /// The cell's name.
     pub cell: CellName,
-    /// Since when nothing was heard of it, seconds; infinite: never heard.
-    pub silent_s: f64,
-    /// Free CPUs, by its last report.
+    /// Seconds since the request was sent that the cell answered last; infinite if it never
+    /// answered.
+    pub last_answer_age_s: f64,
+    /// Free CPUs according to the cell's latest report.
     pub free_cpus: f64,
-    /// Machines that it thinks it can rent.
+    /// Estimated number of machines that the cell can rent.
     pub rentable: u32,
-    /// Tasks of its own that wait.
+    /// Waiting tasks of the cell's own jobs.
     pub backlog: u32,
-    /// Declared lost.
+    /// Whether an operator has declared the cell lost.
     pub lost: bool,
 }
 
-/// A transfer under way or a job elsewhere, as an operator sees it.
+/// A transfer in flight, or a job in another cell, as shown to an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransferOverview {
-    /// The job.
+    /// The job's id.
     pub job: JobId,
-    /// Where it was offered, or is.
+    /// The cell that the job was offered to or is in.
     pub target: CellName,
-    /// Accepted there; else in doubt.
+    /// Whether the target cell has accepted the job; otherwise the transfer is in doubt.
     pub accepted: bool,
-    /// How long this leader has known of it, seconds.
+    /// Seconds for which this leader has known of the transfer.
     pub age_s: f64,
-    /// Its user wants it cancelled.
+    /// Whether the user wants the job cancelled.
     pub cancel_wanted: bool,
 }
 
-/// What a cell knows of itself and the others.
+/// A cell's knowledge of itself and of the other cells.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Overview {
-    /// This cell.
+    /// The replying cell.
     pub cell: CellName,
-    /// Its leader's term.
+    /// The term of the cell's leader.
     pub term: u64,
-    /// The others.
+    /// The other cells.
     pub cells: Vec<CellOverview>,
-    /// Jobs offered to others or with them.
+    /// Jobs that are offered to other cells, or that other cells have accepted.
     pub transfers: Vec<TransferOverview>,
-    /// Jobs of others here.
+    /// Number of other cells' jobs in this cell.
     pub guests: u32,
-    /// Counts since this leader began.
+    /// Counts since this leader took over.
     pub counts: Counts,
-    /// How many waiting jobs of this cell each reason keeps here, as of the last look.
+    /// Number of this cell's waiting jobs that each reason keeps here, as of the last scan.
     pub staying: BTreeMap<StayReason, u32>,
 }
 
-/// Counts since a leader began.
+/// Counts since a leader took over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Offers sent, repeats included.
+    /// Offers sent, including repeats.
     pub offers_sent: u64,
-    /// Refusals received.
+    /// Refusals received from other cells.
     pub refusals_received: u64,
-    /// Refusals given.
+    /// Refusals sent to other cells.
     pub refusals_given: u64,
-    /// Requests refused as unfit.
+    /// Requests rejected as invalid.
     pub bad_requests: u64,
 }
 
-/// The answer to a request.
+/// The answer to a [`CellRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum CellReply {
-    /// To an exchange.
+    /// Answers [`CellRequest::Exchange`].
     Exchange(ExchangeReply),
-    /// To an offer.
+    /// Answers [`CellRequest::Offer`].
     Offer(OfferReply),
-    /// To an operator.
+    /// Answers [`CellRequest::Overview`].
     Overview(Box<Overview>),
-    /// A cell's loss is recorded.
+    /// The declaration of a lost cell is recorded; answers [`CellRequest::DeclareLost`].
     DeclaredLost,
 }
--- a/crates/cells/src/outbound/call.rs
+++ b/crates/cells/src/outbound/call.rs
@@ -1,9 +1,9 @@
-//! Whether a remote call is pending, with a bound on how long it can be.
+//! Tracks whether a remote call is pending, with a limit on how long it may be.
 
-/// A call that had no answer for so long, seconds, is over: the link gives up sooner, and
-/// what it says may be lost on its way through a full queue. (Answers that came while a leader
-/// was unsure of its authority were once dropped, and its cell was never asked again.)
-pub const CALL_LOST_S: f64 = 10.0;
+/// Seconds after which a call without an answer counts as ended. The link normally gives up sooner,
+/// but its report may be lost in a full queue. The limit also covers answers that were dropped
+/// while the leader was unsure of its authority, after which the cell was never polled again.
+pub const CALL_TIMEOUT_S: f64 = 10.0;
 
 /// A remote call that may be pending.
 #[derive(Clone, Copy, Debug, Default)]
@@ -20,7 +20,7 @@
         self.since = None;
     }
 
-    pub(super) fn under_way(&self, now: f64) -> bool {
-        self.since.is_some_and(|since| now - since < CALL_LOST_S)
+    pub(super) fn is_pending(&self, now: f64) -> bool {
+        self.since.is_some_and(|since| now - since < CALL_TIMEOUT_S)
     }
 }
--- a/crates/cells/src/outbound/ends.rs
+++ b/crates/cells/src/outbound/ends.rs
@@ -1,5 +1,5 @@
-//! Ends of jobs in other cells that were heard and aren't durable here yet. They are kept until
-//! they are: the cell that told one may not be heard again for long.
+//! Ends of jobs in other cells that were received but are not yet durable here. They are kept until
+//! they are durable, because the cell that reported one may become unreachable for a long time.
 
 use crate::message::{EndedGuest, GuestState};
 use crate::outbound::{OpenTransfer, Outbound};
@@ -7,34 +7,39 @@
 
 /// How a job ended in another cell.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeardEnd {
+pub(super) struct ReceivedEnd {
     state: GuestState,
-    /// How many ends were heard before it.
+    /// Position in the order in which ends were received.
     pub(super) number: u64,
 }
 
-/// Why an end that another cell told changes nothing.
+/// Why an end reported by another cell is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndRefusal {
-    /// No job of this id is offered to another cell, or there.
+    /// No job with this id is offered to, or was accepted by, another cell.
     #[error("no such job is elsewhere")]
     UnknownJob,
-    /// The job is elsewhere by another transfer.
+    /// The job moved by a different transfer.
     #[error("the job went by another transfer")]
     OtherTransfer,
-    /// The job is elsewhere, but not in the cell that told its end.
+    /// The job was transferred to a different cell than the one that reported its end.
     #[error("the job is in another cell")]
     OtherCell,
 }
 
 impl Outbound {
-    /// A cell tells by itself that a job is over there: whether that is news. It proves that the
-    /// cell took the job, whose offer may still be in doubt.
+    /// Handles an end that a cell reports without being polled, and returns whether it is new. The
+    /// report also proves that the cell accepted the job, even if the offer is still in doubt.
     ///
     /// # Errors
     ///
-    /// [`EndRefusal`] if that cell doesn't own the job by that transfer, as far as known here.
-    pub fn end_told(&mut self, cell: &CellName, ended: &EndedGuest) -> Result<bool, EndRefusal> {
+    /// [`EndRefusal`] if, according to the records here, that cell does not own the job by that
+    /// transfer.
+    pub fn end_reported(
+        &mut self,
+        cell: &CellName,
+        ended: &EndedGuest,
+    ) -> Result<bool, EndRefusal> {
         let open = self.open.get(&ended.job).ok_or(EndRefusal::UnknownJob)?;
         if open.record.target != *cell {
             return Err(EndRefusal::OtherCell);
@@ -46,25 +51,25 @@
             return Ok(false);
         }
         let state = if ended.cancelled { GuestState::Cancelled } else { GuestState::Done };
-        self.keep_end(&ended.job, state);
+        self.store_end(&ended.job, state);
         Ok(true)
     }
 
-    /// Keeps the end of a job until it is durable here.
-    pub(super) fn keep_end(&mut self, job: &JobId, state: GuestState) {
+    /// Stores the end of a job until it is durable here.
+    pub(super) fn store_end(&mut self, job: &JobId, state: GuestState) {
         let Some(open) = self.open.get_mut(job) else { return };
-        self.ends_heard += 1;
-        open.end = Some(HeardEnd { state, number: self.ends_heard });
-        self.ended.insert(self.ends_heard, job.clone());
+        self.ends_received += 1;
+        open.end = Some(ReceivedEnd { state, number: self.ends_received });
+        self.ended.insert(self.ends_received, job.clone());
     }
 
-    /// Ends heard and not durable here yet.
+    /// Returns the number of ends that were received but are not yet durable here.
     pub fn ends_to_record(&self) -> usize {
         self.ended.len()
     }
 
-    /// The end to be recorded next, the one heard first. It counts as being recorded from then
-    /// on, until [`Self::settle_again`] or [`Self::forget`].
+    /// Returns the end to be recorded next, in the order of receipt. It counts as being recorded
+    /// until [`Self::settle_again`] or [`Self::forget`] is called.
     pub fn next_end(&mut self, now: f64) -> Option<(JobId, GuestState)> {
         let due = |open: &OpenTransfer| !open.settling && now >= open.next_attempt;
         let job = self.ended.values().find(|job| self.open.get(*job).is_some_and(due))?.clone();
--- a/crates/cells/src/outbound/exchange.rs
+++ b/crates/cells/src/outbound/exchange.rs
@@ -1,5 +1,5 @@
-//! The periodic exchange with each cell that has accepted jobs from here: when it is due,
-//! which jobs it asks about, and what the job states in the reply change.
+//! The periodic exchange with each other cell: when it is due, which jobs it requests the state of,
+//! and how the states in the reply are applied.
 
 use crate::message::{EXCHANGE_JOBS_MAX, FinishedJob, GuestState, TrackedJob};
 use crate::outbound::call::PendingCall;
@@ -9,72 +9,79 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// Seconds between two exchanges with a cell: polls may lag by three.
+/// Seconds between two exchanges with a cell. A job's state here may lag by three intervals.
 pub(super) const EXCHANGE_INTERVAL_S: f64 = 1.0;
-/// Seconds between two exchanges while jobs wait for their turn to be asked about: all of a
-/// thousand are within [`EXCHANGE_INTERVAL_S`].
-const EXCHANGE_TURN_S: f64 = 0.2;
-/// Seconds until an exchange that no leader answered is made again: the next controller may lead.
+/// Seconds between two exchanges while more jobs remain to be polled. With this interval a thousand
+/// jobs are polled within [`EXCHANGE_INTERVAL_S`].
+const EXCHANGE_BATCH_INTERVAL_S: f64 = 0.2;
+/// Seconds until an exchange that reached no leader is repeated, because the cell's next controller
+/// may be the leader.
 const EXCHANGE_RETRY_S: f64 = 0.2;
 
-/// The exchanges with one cell.
+/// The state of the exchanges with one cell.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ExchangeState {
     call: PendingCall,
-    /// When the next one is due.
+    /// When the next exchange is due.
     next: f64,
-    /// When the last one began.
-    began: f64,
-    /// When the first one of the round began in which each job is asked about once.
-    round_began: f64,
-    /// The last job asked about, if jobs after it wait for their turn.
-    after: Option<JobId>,
-    /// What `after` was before the last exchange.
-    after_before: Option<JobId>,
+    /// When the last exchange started.
+    started_at: f64,
+    /// When the first exchange of the current round started. Each job is polled once in a round.
+    round_started_at: f64,
+    /// The last job polled, if later jobs in this round remain to be polled.
+    cursor: Option<JobId>,
+    /// The value of `cursor` before the last exchange, restored if that exchange fails.
+    previous_cursor: Option<JobId>,
 }
 
 impl Outbound {
-    /// Whether it is time for an exchange with a cell; it counts as under way from then on.
+    /// Returns whether an exchange with a cell is due. If so, the exchange counts as in flight from
+    /// then on.
     pub fn exchange_due(&mut self, now: f64, cell: &CellName) -> bool {
         let state = self.exchanges.entry(cell.clone()).or_default();
-        if state.call.under_way(now) || now < state.next {
+        if state.call.is_pending(now) || now < state.next {
             return false;
         }
         state.call.begin(now);
-        state.began = now;
-        if state.after.is_none() {
-            state.round_began = now;
+        state.started_at = now;
+        if state.cursor.is_none() {
+            state.round_started_at = now;
         }
-        state.next = (state.round_began + EXCHANGE_INTERVAL_S).max(now + EXCHANGE_TURN_S);
+        state.next =
+            (state.round_started_at + EXCHANGE_INTERVAL_S).max(now + EXCHANGE_BATCH_INTERVAL_S);
         true
     }
 
-    /// A leader answered an exchange: its cell is heard, and offers that it left unanswered are
-    /// made again at once.
+    /// Notes that a leader answered an exchange. The cell is reachable, so offers to it that got no
+    /// answer are repeated at once.
     pub fn exchange_answered(&mut self, cell: &CellName) {
         self.exchanges.entry(cell.clone()).or_default().call.end();
-        self.repeat_unanswered_offers(cell);
+        self.retry_unanswered_offers(cell);
     }
 
-    /// No leader answered an exchange: the same jobs are asked about again, soon.
+    /// Notes that an exchange reached no leader. The same jobs are polled again after a short wait.
     pub fn exchange_failed(&mut self, now: f64, cell: &CellName) {
         let state = self.exchanges.entry(cell.clone()).or_default();
         state.call.end();
-        state.after = state.after_before.take();
+        state.cursor = state.previous_cursor.take();
         state.next = state.next.min(now + EXCHANGE_RETRY_S);
     }
 
-    /// Jobs to ask a cell about, in turn.
-    pub fn tracked(&mut self, cell: &CellName, cancels: &BTreeSet<JobId>) -> Vec<TrackedJob> {
+    /// Returns the next jobs to poll from a cell, in round-robin order.
+    pub fn next_tracked_jobs(
+        &mut self,
+        cell: &CellName,
+        cancels: &BTreeSet<JobId>,
+    ) -> Vec<TrackedJob> {
         let state = self.exchanges.entry(cell.clone()).or_default();
-        let from = state.after.clone().map_or(Bound::Unbounded, Bound::Excluded);
-        let asked_about = |open: &OpenTransfer| {
+        let from = state.cursor.clone().map_or(Bound::Unbounded, Bound::Excluded);
+        let is_polled = |open: &OpenTransfer| {
             open.record.accepted && open.end.is_none() && open.record.target == *cell
         };
         let tracked: Vec<TrackedJob> = self
             .open
             .range((from, Bound::Unbounded))
-            .filter(|(_, open)| asked_about(open))
+            .filter(|(_, open)| is_polled(open))
             .take(EXCHANGE_JOBS_MAX)
             .map(|(job, open)| TrackedJob {
                 job: job.clone(),
@@ -84,22 +91,23 @@
             .collect();
         let full = tracked.len() == EXCHANGE_JOBS_MAX;
         let last = tracked.last().filter(|_| full).map(|last| last.job.clone());
-        state.after_before = std::mem::replace(&mut state.after, last);
+        state.previous_cursor = std::mem::replace(&mut state.cursor, last);
         if full {
-            self.more_to_say(cell);
+            self.expedite_next_exchange(cell);
         }
         tracked
     }
 
-    /// More than a message holds is to be said to a cell: the next exchange comes soon.
-    pub fn more_to_say(&mut self, cell: &CellName) {
+    /// Makes the next exchange with a cell due early, because the data for it does not fit into one
+    /// message.
+    pub fn expedite_next_exchange(&mut self, cell: &CellName) {
         let state = self.exchanges.entry(cell.clone()).or_default();
-        state.next = state.began + EXCHANGE_TURN_S;
+        state.next = state.started_at + EXCHANGE_BATCH_INTERVAL_S;
     }
 
-    /// A cell told how a job stands. Its end, if it is over and that wasn't heard before: it is
-    /// kept for [`Self::next_end`].
-    pub fn status(
+    /// Applies the state of a job reported by a cell. Returns the job's end if it has ended and the
+    /// end was not received before; the end is kept for [`Self::next_end`].
+    pub fn apply_status(
         &mut self,
         cell: &CellName,
         job: &JobId,
@@ -107,8 +115,8 @@
         state: GuestState,
     ) -> Option<GuestState> {
         let open = self.open.get_mut(job)?;
-        let ours = open.record.transfer == *transfer && open.record.target == *cell;
-        if !ours || !open.record.accepted || open.settling || open.end.is_some() {
+        let matching = open.record.transfer == *transfer && open.record.target == *cell;
+        if !matching || !open.record.accepted || open.settling || open.end.is_some() {
             return None;
         }
         match state {
@@ -117,14 +125,14 @@
                 None
             }
             over => {
-                self.keep_end(job, over);
+                self.store_end(job, over);
                 Some(over)
             }
         }
     }
 }
 
-/// Ends that a cell must be told are known at home.
+/// Returns the finished jobs whose recorded end must be acknowledged to a cell.
 pub fn finished_for<'a>(
     cell: &CellName,
     records: impl Iterator<Item = (&'a JobId, &'a AcknowledgeRecord)>,
--- a/crates/cells/src/outbound/mod.rs
+++ b/crates/cells/src/outbound/mod.rs
@@ -1,9 +1,10 @@
-//! The home side: jobs that are offered to other cells, and jobs that those have accepted.
+//! The home side of transfers: jobs that are offered to other cells, and jobs that other cells have
+//! accepted.
 //!
-//! The stored records are the truth; an [`Outbound`] holds only what a leader must remember
-//! between them, and is rebuilt from them after a failover. A transfer without a verdict is
-//! offered to the same cell again until that cell has given one: a missing answer is never
-//! taken for a refusal.
+//! The stored records are authoritative. An [`Outbound`] holds only the state that a leader needs
+//! in memory, and is rebuilt from the records after a failover. A transfer without a verdict is
+//! offered to the same cell again until that cell has given one: a missing answer is never treated
+//! as a refusal.
 
 mod call;
 mod ends;
@@ -11,14 +12,14 @@
 mod offer;
 
 pub use crate::message::EXCHANGE_JOBS_MAX;
-pub use call::CALL_LOST_S;
+pub use call::CALL_TIMEOUT_S;
 pub use ends::EndRefusal;
 pub use exchange::finished_for;
-pub use offer::{DueOffer, Settlement, rest_after};
+pub use offer::{DueOffer, Settlement, refusal_backoff};
 
 use crate::capacity::{Amounts, needed};
 use call::PendingCall;
-use ends::HeardEnd;
+use ends::ReceivedEnd;
 use exchange::ExchangeState;
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::job::JobSpec;
@@ -26,57 +27,57 @@
 use offer::OFFER_RETRY_FIRST_S;
 use std::collections::BTreeMap;
 
-/// A job that is offered to a cell, or that a cell has accepted.
+/// A job that is offered to a cell or that a cell has accepted.
 #[derive(Clone, Debug)]
 pub struct OpenTransfer {
-    /// Its record.
+    /// The stored record of the transfer.
     pub record: ForwardRecord,
-    /// Since when this leader knows of it.
+    /// When this leader learned of the transfer.
     pub since: f64,
-    /// Tasks done and running there, as last heard.
+    /// Numbers of tasks done and running in the target cell, as last reported.
     pub counts: (u32, u32),
-    /// Capacity of the target that it is expected to take.
+    /// Capacity that the job is expected to take in the target cell.
     need: Amounts,
-    /// When the offer may be sent, or the end recorded, again.
+    /// When the offer may be sent again, or its end recorded again.
     next_attempt: f64,
-    /// The link lost the last offer or its answer.
-    lost: bool,
-    /// Wait after the next attempt that fails, seconds.
-    retry: f64,
+    /// Whether the last offer or its answer was lost.
+    unanswered: bool,
+    /// Wait after the next failed attempt, in seconds.
+    retry_delay_s: f64,
     call: PendingCall,
     /// Whether a verdict or an end is being made durable.
     settling: bool,
-    /// Its end in the target, once that was heard.
-    end: Option<HeardEnd>,
+    /// The job's end in the target cell, once it was received.
+    end: Option<ReceivedEnd>,
 }
 
 impl OpenTransfer {
-    /// Whether nobody knows here if the target took the job.
+    /// Returns whether it is unknown in this cell if the target accepted the job.
     fn in_doubt(&self) -> bool {
         !self.record.accepted && self.end.is_none()
     }
 }
 
-/// The transfers of a home cell, as its leader holds them.
+/// The transfers of a home cell, as held in memory by its leader.
 #[derive(Debug, Default)]
 pub struct Outbound {
     next_number: u32,
     open: BTreeMap<JobId, OpenTransfer>,
-    /// Jobs whose end was heard and isn't durable here yet, in the order of hearing.
+    /// Jobs whose end was received but is not yet durable here, in the order of receipt.
     ended: BTreeMap<u64, JobId>,
-    ends_heard: u64,
+    ends_received: u64,
     exchanges: BTreeMap<CellName, ExchangeState>,
 }
 
 impl Outbound {
-    /// A transfer that no leader ever named before.
+    /// Returns the id of a new transfer, which no leader has used before.
     pub fn new_transfer(&mut self, home: &CellName, term: u64) -> TransferId {
         self.next_number += 1;
         TransferId { home: home.clone(), term, number: self.next_number }
     }
 
-    /// A job's record as it is in the store.
-    pub fn learn(&mut self, now: f64, spec: &JobSpec, forward: Option<&ForwardRecord>) {
+    /// Applies a job's record as read from the state service.
+    pub fn apply_record(&mut self, now: f64, spec: &JobSpec, forward: Option<&ForwardRecord>) {
         let Some(record) = forward else {
             return self.forget(&spec.id);
         };
@@ -90,8 +91,8 @@
             counts: (0, 0),
             need: needed(spec),
             next_attempt: now,
-            lost: false,
-            retry: OFFER_RETRY_FIRST_S,
+            unanswered: false,
+            retry_delay_s: OFFER_RETRY_FIRST_S,
             call: PendingCall::default(),
             settling: false,
             end: None,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A job is over.
+    /// Discards the transfer of a job that is no longer in another cell.
     pub fn forget(&mut self, job: &JobId) {
         let end = self.open.remove(job).and_then(|open| open.end);
         if let Some(end) = end {
@@ -111,33 +112,33 @@
         }
     }
 
-    /// The transfer of a job.
+    /// Returns the transfer of a job.
     pub fn get(&self, job: &JobId) -> Option<&OpenTransfer> {
         self.open.get(job)
     }
 
-    /// All transfers.
+    /// Iterates over all transfers.
     pub fn iter(&self) -> impl Iterator<Item = (&JobId, &OpenTransfer)> {
         self.open.iter()
     }
 
-    /// Transfers that no cell has spoken on yet.
+    /// Returns the number of transfers without a verdict.
     pub fn in_doubt(&self) -> usize {
         self.open.values().filter(|open| open.in_doubt()).count()
     }
 
-    /// Transfers that a cell hasn't spoken on yet.
+    /// Returns the number of transfers to a cell without a verdict.
     pub fn in_doubt_with(&self, cell: &CellName) -> usize {
         let open = self.open.values();
         open.filter(|open| open.in_doubt() && open.record.target == *cell).count()
     }
 
-    /// Room promised to transfers in doubt, by cell.
-    pub fn promised(&self) -> BTreeMap<CellName, Amounts> {
-        let mut promised: BTreeMap<CellName, Amounts> = BTreeMap::new();
+    /// Returns the capacity reserved for transfers in doubt, by target cell.
+    pub fn reserved(&self) -> BTreeMap<CellName, Amounts> {
+        let mut reserved: BTreeMap<CellName, Amounts> = BTreeMap::new();
         for open in self.open.values().filter(|open| open.in_doubt()) {
-            promised.entry(open.record.target.clone()).or_default().add(&open.need);
+            reserved.entry(open.record.target.clone()).or_default().add(&open.need);
         }
-        promised
+        reserved
     }
 }
--- a/crates/cells/src/outbound/offer.rs
+++ b/crates/cells/src/outbound/offer.rs
@@ -1,5 +1,4 @@
-//! Offers to other cells: when each is sent, its retries with backoff, and what an answer
-//! settles.
+//! Offers to other cells: when each is sent, its retries with backoff, and what an answer settles.
 
 use crate::message::{OfferReply, Verdict};
 use crate::outbound::exchange::EXCHANGE_INTERVAL_S;
@@ -7,66 +6,70 @@
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::transfer::{RefusalReason, TransferId};
 
-/// Wait before an offer without an answer is repeated, seconds; doubles.
+/// Initial wait before an offer without an answer is repeated, in seconds. It doubles with each
+/// retry.
 pub(super) const OFFER_RETRY_FIRST_S: f64 = 0.5;
-/// Longest such wait, seconds: a link that is back is noticed soon.
+/// Longest wait between retries, in seconds, short enough that a restored link is soon noticed.
 const OFFER_RETRY_MAX_S: f64 = 8.0;
-/// Refusals from which on a job rests before it is offered again: fewer come by chance, as
-/// cells fill while jobs land.
-const REFUSALS_BEFORE_REST: u32 = 6;
-/// First such rest, seconds; doubles with each refusal. A cell's next report comes meanwhile.
-const REFUSED_REST_FIRST_S: f64 = EXCHANGE_INTERVAL_S;
-/// Longest rest after a cell had no room, seconds: room that comes up is to be noticed soon.
-const NO_ROOM_REST_MOST_S: f64 = 8.0;
-/// Longest rest after another refusal, seconds: it may last, and a dozen refusals an hour bound
-/// the records that both cells write of it.
-const REFUSED_REST_MOST_S: f64 = 300.0;
-/// Doublings after which any rest is the longest.
+/// Number of refusals from which on a job backs off before it is offered again. Fewer refusals
+/// occur by chance, because cells fill up while jobs are in transfer.
+const REFUSALS_BEFORE_BACKOFF: u32 = 6;
+/// First backoff after refusals, in seconds; it doubles with each refusal. The cell's next report
+/// arrives in the meantime.
+const REFUSED_BACKOFF_FIRST_S: f64 = EXCHANGE_INTERVAL_S;
+/// Longest backoff after a refusal for lack of room, in seconds, short enough that freed room is
+/// soon noticed.
+const NO_ROOM_BACKOFF_MAX_S: f64 = 8.0;
+/// Longest backoff after a refusal for any other reason, in seconds. Such a reason may persist, and
+/// at most a dozen refusals an hour limit the records that both cells write.
+const REFUSED_BACKOFF_MAX_S: f64 = 300.0;
+/// Number of doublings after which every backoff has reached its maximum.
 const REFUSED_DOUBLINGS_MAX: u32 = 16;
 
-/// How long a job that was refused so often, last for that reason, rests before it is offered
-/// anew, seconds. Never for ever: what refuses it passes, and its home may have no room again.
-pub fn rest_after(refusals: u32, reason: RefusalReason) -> f64 {
-    let Some(doublings) = refusals.checked_sub(REFUSALS_BEFORE_REST) else { return 0.0 };
-    let most = match reason {
-        RefusalReason::NoRoom => NO_ROOM_REST_MOST_S,
-        _ => REFUSED_REST_MOST_S,
+/// Returns the seconds that a job backs off before it is offered again, given its number of
+/// refusals and the reason of the last one. The backoff is always finite, because the reason for a
+/// refusal may pass, and the home cell may still have no room.
+pub fn refusal_backoff(refusals: u32, reason: RefusalReason) -> f64 {
+    let Some(doublings) = refusals.checked_sub(REFUSALS_BEFORE_BACKOFF) else { return 0.0 };
+    let maximum = match reason {
+        RefusalReason::NoRoom => NO_ROOM_BACKOFF_MAX_S,
+        _ => REFUSED_BACKOFF_MAX_S,
     };
     let doubled = f64::from(1u32 << doublings.min(REFUSED_DOUBLINGS_MAX));
-    (REFUSED_REST_FIRST_S * doubled).min(most)
+    (REFUSED_BACKOFF_FIRST_S * doubled).min(maximum)
 }
 
-/// What is to be made durable after an answer to an offer.
+/// What must be made durable after an answer to an offer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Settlement {
-    /// The job is elsewhere for good.
+    /// The target cell has accepted the job and owns it from now on.
     Accepted(JobId),
-    /// The job is at home again.
+    /// The target cell has refused the job, which returns to its home cell.
     Refused(JobId, RefusalReason),
 }
 
-/// An offer to be sent.
+/// An offer that is due to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DueOffer {
-    /// The job.
+    /// The job's id.
     pub job: JobId,
-    /// The transfer.
+    /// The id of the transfer.
     pub transfer: TransferId,
-    /// To which cell.
+    /// The cell that the job is offered to.
     pub target: CellName,
 }
 
 impl Outbound {
-    /// Offers that are to be sent now. They count as under way from then on.
-    pub fn due_offers(&mut self, now: f64, most: usize) -> Vec<DueOffer> {
+    /// Returns at most `maximum` offers that are due. They count as in flight from then on.
+    pub fn due_offers(&mut self, now: f64, maximum: usize) -> Vec<DueOffer> {
         let due = |open: &OpenTransfer| {
             open.in_doubt()
-                && !open.call.under_way(now)
+                && !open.call.is_pending(now)
                 && !open.settling
                 && now >= open.next_attempt
         };
         let mut offers = Vec::new();
-        for (job, open) in self.open.iter_mut().filter(|(_, open)| due(open)).take(most) {
+        for (job, open) in self.open.iter_mut().filter(|(_, open)| due(open)).take(maximum) {
             open.call.begin(now);
             offers.push(DueOffer {
                 job: job.clone(),
@@ -77,25 +80,26 @@
         offers
     }
 
-    /// The link lost an offer or its answer: it is made again as soon as the cell is heard.
-    pub fn offer_lost(&mut self, job: &JobId, transfer: &TransferId) {
+    /// Notes that an offer or its answer was lost. The offer is repeated as soon as the cell is
+    /// reachable.
+    pub fn offer_unanswered(&mut self, job: &JobId, transfer: &TransferId) {
         let open = self.open.get_mut(job).filter(|open| open.record.transfer == *transfer);
         if let Some(open) = open {
-            open.lost = true;
+            open.unanswered = true;
         }
     }
 
-    pub(super) fn repeat_unanswered_offers(&mut self, cell: &CellName) {
-        let lost = |open: &&mut OpenTransfer| open.lost && open.record.target == *cell;
-        for open in self.open.values_mut().filter(lost) {
-            open.lost = false;
+    pub(super) fn retry_unanswered_offers(&mut self, cell: &CellName) {
+        let unanswered = |open: &&mut OpenTransfer| open.unanswered && open.record.target == *cell;
+        for open in self.open.values_mut().filter(unanswered) {
+            open.unanswered = false;
             open.next_attempt = f64::NEG_INFINITY;
-            open.retry = OFFER_RETRY_FIRST_S;
+            open.retry_delay_s = OFFER_RETRY_FIRST_S;
         }
     }
 
-    /// A cell answered an offer, or (`None`) didn't. What must be made durable, if anything:
-    /// an answer to another transfer than the one open changes nothing.
+    /// Handles a cell's answer to an offer, or its absence (`None`). Returns what must be made
+    /// durable, if anything. An answer to a transfer other than the open one changes nothing.
     pub fn offer_answered(
         &mut self,
         now: f64,
@@ -110,8 +114,8 @@
         open.call.end();
         let verdict = reply.filter(|reply| reply.transfer == *transfer).map(|reply| reply.verdict);
         let Some(verdict) = verdict else {
-            open.next_attempt = now + open.retry;
-            open.retry = (open.retry * 2.0).min(OFFER_RETRY_MAX_S);
+            open.next_attempt = now + open.retry_delay_s;
+            open.retry_delay_s = (open.retry_delay_s * 2.0).min(OFFER_RETRY_MAX_S);
             return None;
         };
         if !open.in_doubt() {
@@ -124,15 +128,17 @@
         })
     }
 
-    /// A settlement couldn't be made durable: the cell is asked again, and says the same.
+    /// Notes that a settlement could not be made durable. The cell is asked again and repeats its
+    /// verdict.
     pub fn settle_again(&mut self, now: f64, job: &JobId) {
         if let Some(open) = self.open.get_mut(job) {
             open.settling = false;
-            open.next_attempt = now + open.retry;
+            open.next_attempt = now + open.retry_delay_s;
         }
     }
 
-    /// Whether something of this job is being made durable already.
+    /// Marks a job as being settled. Returns `false` if there is no such transfer, or if a verdict
+    /// or an end of it is already being made durable.
     pub fn begin_settling(&mut self, job: &JobId) -> bool {
         match self.open.get_mut(job) {
             Some(open) if !open.settling => {
--- a/crates/cells/src/policy.rs
+++ b/crates/cells/src/policy.rs
@@ -1,6 +1,6 @@
-//! The operators' script that chooses among cells with room. It is given a job and the cells
-//! that the rules allow, and names one of them; it can reach nothing else, and its steps,
-//! memory and depth are bounded.
+//! The operators' script that chooses a target cell. It receives a job and the cells with room for
+//! it, and returns the name of one of them. It has no access to anything else, and its operations,
+//! memory and recursion depth are limited.
 
 use crate::capacity::CapacityReport;
 use marblebarrow_proto::ids::CellName;
@@ -9,40 +9,41 @@
 use std::sync::Arc;
 
 /// The function that a script must define: `choose(job, cells)`.
-const FUNCTION: &str = "choose";
-/// Operations that one choice may take: thousands of times a short comparison of cells.
+const ENTRY_POINT: &str = "choose";
+/// Limit on the operations of one choice: thousands of times what a short comparison of cells
+/// needs.
 const OPERATIONS_MAX: u64 = 50_000;
-/// Calls within calls.
-const CALLS_MAX: usize = 8;
-/// Depth of expressions.
-const DEPTH_MAX: usize = 32;
-/// Longest text, bytes.
-const TEXT_MAX: usize = 4 * 1024;
-/// Largest list or map.
+/// Limit on nested function calls.
+const CALL_DEPTH_MAX: usize = 8;
+/// Limit on the nesting depth of expressions.
+const EXPR_DEPTH_MAX: usize = 32;
+/// Longest string, in bytes.
+const STRING_BYTES_MAX: usize = 4 * 1024;
+/// Most entries of an array or map.
 const ITEMS_MAX: usize = 1_000;
-/// Variables at once.
+/// Most variables in scope at once.
 const VARIABLES_MAX: usize = 64;
 
-/// A script that can't be used, or a choice that failed.
+/// Why a script cannot be used, or why a choice failed.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum PolicyError {
-    /// The text is no script.
+    /// The script does not compile.
     #[error("can't be compiled: {0}")]
     Compile(String),
-    /// It failed, or took too much.
+    /// The script failed or exceeded a limit.
     #[error("failed: {0}")]
     Run(String),
-    /// It named no cell that it was given.
+    /// The script returned something other than the name of a candidate.
     #[error("chose `{0}`, which is none of the cells given")]
-    Nonsense(String),
+    InvalidChoice(String),
 }
 
 /// A cell that a script may choose.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// The cell's name.
     pub cell: &'a CellName,
-    /// Its last report.
+    /// The cell's latest capacity report.
     pub report: &'a CapacityReport,
 }
 
@@ -60,19 +61,19 @@
 }
 
 impl Policy {
-    /// Compiles a script; it must define `choose(job, cells)`.
+    /// Compiles a script, which must define `choose(job, cells)`.
     pub fn compile(script: &str) -> Result<Self, PolicyError> {
         let engine = engine();
         let script =
             engine.compile(script).map_err(|error| PolicyError::Compile(error.to_string()))?;
-        let defined = script.iter_functions().any(|f| f.name == FUNCTION && f.params.len() == 2);
+        let defined = script.iter_functions().any(|f| f.name == ENTRY_POINT && f.params.len() == 2);
         if !defined {
-            return Err(PolicyError::Compile(format!("no function {FUNCTION}(job, cells)")));
+            return Err(PolicyError::Compile(format!("no function {ENTRY_POINT}(job, cells)")));
         }
         Ok(Self { engine: Arc::new(engine), script: script.clone_functions_only() })
     }
 
-    /// The index of the candidate that the script names.
+    /// Returns the index of the candidate that the script chooses.
     pub fn choose(
         &self,
         spec: &JobSpec,
@@ -81,13 +82,13 @@
         let cells: Array = candidates.iter().map(|c| Dynamic::from_map(cell_map(c))).collect();
         let chosen: Dynamic = self
             .engine
-            .call_fn(&mut Scope::new(), &self.script, FUNCTION, (job_map(spec), cells))
+            .call_fn(&mut Scope::new(), &self.script, ENTRY_POINT, (job_map(spec), cells))
             .map_err(|error| PolicyError::Run(error.to_string()))?;
         let Ok(name) = chosen.clone().into_string() else {
-            return Err(PolicyError::Nonsense(chosen.type_name().to_owned()));
+            return Err(PolicyError::InvalidChoice(chosen.type_name().to_owned()));
         };
         let index = candidates.iter().position(|c| c.cell.as_str() == name);
-        index.ok_or_else(|| PolicyError::Nonsense(name.chars().take(40).collect()))
+        index.ok_or_else(|| PolicyError::InvalidChoice(name.chars().take(40).collect()))
     }
 }
 
@@ -95,9 +96,9 @@
     let mut engine = Engine::new();
     engine
         .set_max_operations(OPERATIONS_MAX)
-        .set_max_call_levels(CALLS_MAX)
-        .set_max_expr_depths(DEPTH_MAX, DEPTH_MAX)
-        .set_max_string_size(TEXT_MAX)
+        .set_max_call_levels(CALL_DEPTH_MAX)
+        .set_max_expr_depths(EXPR_DEPTH_MAX, EXPR_DEPTH_MAX)
+        .set_max_string_size(STRING_BYTES_MAX)
         .set_max_array_size(ITEMS_MAX)
         .set_max_map_size(ITEMS_MAX)
         .set_max_variables(VARIABLES_MAX)
--- a/crates/cells/src/rpc/capacity.rs
+++ b/crates/cells/src/rpc/capacity.rs
@@ -1,5 +1,5 @@
-//! Capacity reports on the wire: numbers are made finite and lists cut to their bounds, since
-//! a report is only advice.
+//! Conversion of capacity reports. Since a report is only advisory, invalid numbers are replaced by
+//! zero and long lists are truncated instead of being rejected.
 
 use crate::capacity::{Amounts, CapacityReport, REPORT_ITEMS_MAX, Room};
 use crate::rpc::identity::NAME_MAX;
--- a/crates/cells/src/rpc/exchange.rs
+++ b/crates/cells/src/rpc/exchange.rs
@@ -1,9 +1,10 @@
-//! The periodic exchange: tracked and finished jobs out, capacity and job states back.
+//! Conversion of the periodic exchange: tracked, finished and ended jobs in the request, capacity
+//! and job states in the reply.
 
 use crate::error::CellError;
 use crate::message::{
-    ENDS_TOLD_MAX, EXCHANGE_JOBS_MAX, EndedGuest, Exchange, ExchangeReply, FinishedJob, GuestState,
-    GuestStatus, TrackedJob,
+    ENDS_REPORTED_MAX, EXCHANGE_JOBS_MAX, EndedGuest, Exchange, ExchangeReply, FinishedJob,
+    GuestState, GuestStatus, TrackedJob,
 };
 use crate::rpc::capacity::capacity_from_wire;
 use crate::rpc::identity::{
@@ -42,7 +43,7 @@
         if request.tracked.len().max(request.finished.len()) > EXCHANGE_JOBS_MAX {
             return Err(CellError::Malformed);
         }
-        if request.ended.len() > ENDS_TOLD_MAX {
+        if request.ended.len() > ENDS_REPORTED_MAX {
             return Err(CellError::Malformed);
         }
         let ended = request.ended.into_iter().map(|ended| {
@@ -98,7 +99,7 @@
     }
 }
 
-// A state that this version doesn't know says nothing of the job.
+// A job state unknown to this version is ignored.
 fn status_from_wire(status: wire::GuestStatus) -> Result<Option<GuestStatus>, CellError> {
     let state = match status.state() {
         wire::JobState::Unknown => return Ok(None),
--- a/crates/cells/src/rpc/identity.rs
+++ b/crates/cells/src/rpc/identity.rs
@@ -1,4 +1,4 @@
-//! Names of cells, jobs and transfers on the wire, with their checks.
+//! Conversion and validation of the names of cells, jobs and transfers.
 
 use crate::error::CellError;
 use crate::message::Sender;
@@ -6,7 +6,7 @@
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::transfer::TransferId;
 
-/// Longest name accepted, bytes.
+/// Longest name accepted, in bytes.
 pub(super) const NAME_MAX: usize = 200;
 
 pub(super) fn sender_to_wire(sender: &Sender) -> wire::Sender {
--- a/crates/cells/src/rpc/mod.rs
+++ b/crates/cells/src/rpc/mod.rs
@@ -1,9 +1,8 @@
 //! Conversion between the typed messages of [`crate::message`] and their gRPC form.
 //!
-//! Everything received is checked here: malformed ids and requests with too many jobs are
-//! rejected with [`CellError::Malformed`](crate::error::CellError::Malformed), lists in
-//! replies are cut to their bounds, and job states of a newer version that this one doesn't
-//! know are ignored.
+//! Everything received is validated here: malformed ids and requests with too many jobs are
+//! rejected with [`CellError::Malformed`](crate::error::CellError::Malformed), lists in replies are
+//! truncated to their limits, and job states unknown to this version are ignored.
 
 mod capacity;
 mod exchange;
--- a/crates/cells/src/rpc/offer.rs
+++ b/crates/cells/src/rpc/offer.rs
@@ -1,4 +1,4 @@
-//! Offers of jobs, and the verdicts on them.
+//! Conversion of job offers and the verdicts on them.
 
 use crate::error::CellError;
 use crate::message::{Offer, OfferReply, Verdict};
@@ -45,7 +45,7 @@
     }
 }
 
-// A reason that this version doesn't know, or one left out, is a refusal all the same.
+// An unknown or missing reason still means that the offer is refused.
 fn refusal_from_wire(reason: u32) -> RefusalReason {
     match reason {
         1 => RefusalReason::NoRoom,
--- a/crates/cells/src/rpc/operator.rs
+++ b/crates/cells/src/rpc/operator.rs
@@ -1,4 +1,4 @@
-//! Calls of operators: the overview of a cell, and the declaration that a cell is lost.
+//! Conversion of operators' calls: the overview of a cell, and the declaration that a cell is lost.
 
 use crate::error::CellError;
 use crate::message::Overview;
@@ -10,7 +10,7 @@
     fn from(overview: &Overview) -> Self {
         let cells = overview.cells.iter().map(|cell| wire::CellOverview {
             cell: cell.cell.to_string(),
-            heard_s: cell.silent_s,
+            heard_s: cell.last_answer_age_s,
             free_cpus: cell.free_cpus,
             rentable: cell.rentable,
             backlog: cell.backlog,
@@ -42,9 +42,9 @@
     }
 }
 
-/// The cell that an operator declares lost. Its name must be typed twice, the same way, else
-/// the request is [`CellError::Malformed`]: jobs of a cell that is declared lost may start again at
-/// home.
+/// Returns the cell that an operator declares lost. Its name must be typed twice and match,
+/// otherwise the request is [`CellError::Malformed`]: jobs of a cell that is declared lost may
+/// start again in their home cells.
 pub fn lost_cell_in(request: &wire::DeclareLostRequest) -> Result<CellName, CellError> {
     if request.cell != request.typed_name {
         return Err(CellError::Malformed);
--- a/crates/cells/src/rpc/status.rs
+++ b/crates/cells/src/rpc/status.rs
@@ -1,4 +1,4 @@
-//! Errors as gRPC status codes.
+//! Conversion between errors and gRPC status codes.
 
 use crate::error::CellError;
 use tonic::{Code, Status};
@@ -17,8 +17,8 @@
     }
 }
 
-/// The error that a status received from another cell stands for. Statuses that no cell
-/// gives, such as a broken connection, are [`CellError::NoAnswer`].
+/// Returns the error that a status received from another cell stands for. A status that no cell
+/// produces, such as for a broken connection, is [`CellError::NoAnswer`].
 pub fn error_of(status: &Status) -> CellError {
     match status.code() {
         Code::PermissionDenied => CellError::UnknownCell,
--- a/crates/cells/src/settings.rs
+++ b/crates/cells/src/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' file for cells (HCL, `--cells FILE`), and its checks.
+//! The operators' configuration file for cells (HCL, `--cells FILE`) and its validation.
 
 use marblebarrow_proto::ids::CellName;
 use serde::Deserialize;
@@ -6,51 +6,51 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Default wait before a job may move, seconds: longer than most boots.
+/// Default wait before a job may move, in seconds: longer than most boots.
 const PATIENCE_S: f64 = 30.0;
-/// Default age after which another cell's report counts for nothing, seconds: a few lost
-/// exchanges.
+/// Default age above which another cell's report is ignored, in seconds: a few lost exchanges.
 const REPORT_AGE_S: f64 = 5.0;
-/// Default of transfers under way at once.
+/// Default limit on transfers in flight to one cell.
 const TRANSFERS_MAX: u32 = 64;
-/// Default bound of a message, KiB: an offer with the longest names, or 256 jobs' states.
+/// Default limit on the size of a message, in KiB: an offer with the longest names, or the states
+/// of 256 jobs.
 const MESSAGE_KB: u32 = 64;
-/// Longest name of a cell: it becomes part of keys of the state service.
+/// Longest name of a cell. The name becomes part of keys in the state service.
 const NAME_MAX: usize = 40;
 
-/// Another cell.
+/// Another cell that jobs may move to or come from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OtherCell {
-    /// Its name.
+    /// The cell's name.
     pub name: CellName,
-    /// Where its controllers listen for cells.
+    /// Addresses on which the cell's controllers listen for other cells.
     pub controllers: Vec<SocketAddr>,
 }
 
-/// What operators set of cells.
+/// The operators' settings for cells.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellsSettings {
-    /// This cell.
+    /// The name of this cell.
     pub name: CellName,
-    /// Where this controller listens for cells.
+    /// Address on which this controller listens for other cells.
     pub listen: SocketAddr,
-    /// The other cells.
+    /// The other configured cells.
     pub others: Vec<OtherCell>,
-    /// A job waits so long at home before it may move, seconds.
+    /// Seconds that a job waits in its home cell before it may move.
     pub patience_s: f64,
-    /// CPUs kept free for this cell's own work.
+    /// CPUs reserved for this cell's own jobs.
     pub reserve_cpus: f64,
-    /// Age at which a cell's report counts for nothing, seconds.
+    /// Age above which a cell's report is ignored, in seconds.
     pub report_age_s: f64,
-    /// Transfers under way at once.
+    /// Limit on transfers in flight to one cell, and on decisions on offers being recorded.
     pub transfers_max: usize,
-    /// Largest message, bytes.
+    /// Largest message, in bytes.
     pub message_bytes: usize,
-    /// The script that chooses among cells with room.
+    /// The script that chooses among cells with room, if there is one.
     pub policy: Option<String>,
 }
 
-/// Why a file can't be used: names file, field and reason.
+/// Why a file cannot be used: names the file, the field and the reason.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("{file}: {field}: {reason}")]
 pub struct CellsSettingsError {
@@ -59,12 +59,12 @@
     reason: String,
 }
 
-/// A fault in the text of a file.
+/// An error in the content of a file.
 #[derive(Debug, PartialEq)]
 pub struct FieldError {
-    /// The field.
+    /// The invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the field is invalid.
     pub reason: String,
 }
 
@@ -89,7 +89,7 @@
     policy: Option<String>,
 }
 
-/// One block reads as a map, several as a list of them.
+/// The HCL parser yields a single block as a map and several blocks as a list of maps.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Cells {
@@ -111,7 +111,7 @@
 }
 
 impl CellsSettings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn load(path: &Path) -> Result<Self, CellsSettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| CellsSettingsError {
@@ -126,27 +126,40 @@
         })
     }
 
-    /// Checks a file's text.
+    /// Parses and validates the content of a file.
     pub fn parse(text: &str) -> Result<Self, FieldError> {
-        let one_line = |s: String| s.split_whitespace().collect::<Vec<_>>().join(" ");
+        let to_one_line = |s: String| s.split_whitespace().collect::<Vec<_>>().join(" ");
         let file: File = hcl::from_str(text)
-            .map_err(|error| FieldError::new("(syntax)", one_line(error.to_string())))?;
+            .map_err(|error| FieldError::new("(syntax)", to_one_line(error.to_string())))?;
         let name = cell_name("name", &file.name)?;
         let others = other_cells(&name, file.cell)?;
         let policy = file.policy;
         if let Some(script) = &policy {
             crate::policy::Policy::compile(script)
-                .map_err(|error| FieldError::new("policy", one_line(error.to_string())))?;
+                .map_err(|error| FieldError::new("policy", to_one_line(error.to_string())))?;
         }
         Ok(Self {
             listen: address("listen", &file.listen)?,
             name,
             others,
-            patience_s: within("patience_s", file.patience_s, PATIENCE_S, 1.0, 86_400.0)?,
-            reserve_cpus: within("reserve_cpus", file.reserve_cpus, 0.0, 0.0, 1e9)?,
-            report_age_s: within("report_age_s", file.report_age_s, REPORT_AGE_S, 1.0, 600.0)?,
-            transfers_max: count("transfers_max", file.transfers_max, TRANSFERS_MAX, 1, 10_000)?,
-            message_bytes: count("message_kb", file.message_kb, MESSAGE_KB, 16, 1_024)? * 1_024,
+            patience_s: number_in_range("patience_s", file.patience_s, PATIENCE_S, 1.0, 86_400.0)?,
+            reserve_cpus: number_in_range("reserve_cpus", file.reserve_cpus, 0.0, 0.0, 1e9)?,
+            report_age_s: number_in_range(
+                "report_age_s",
+                file.report_age_s,
+                REPORT_AGE_S,
+                1.0,
+                600.0,
+            )?,
+            transfers_max: count_in_range(
+                "transfers_max",
+                file.transfers_max,
+                TRANSFERS_MAX,
+                1,
+                10_000,
+            )?,
+            message_bytes: count_in_range("message_kb", file.message_kb, MESSAGE_KB, 16, 1_024)?
+                * 1_024,
             policy,
         })
     }
@@ -190,31 +203,31 @@
     Ok(others)
 }
 
-fn within(
+fn number_in_range(
     field: &str,
     given: Option<f64>,
     default: f64,
-    least: f64,
-    most: f64,
+    minimum: f64,
+    maximum: f64,
 ) -> Result<f64, FieldError> {
     match given {
-        Some(n) if !(least..=most).contains(&n) => {
-            Err(FieldError::new(field, format!("{n} is not in {least} to {most}")))
+        Some(n) if !(minimum..=maximum).contains(&n) => {
+            Err(FieldError::new(field, format!("{n} is not in {minimum} to {maximum}")))
         }
         given => Ok(given.unwrap_or(default)),
     }
 }
 
-fn count(
+fn count_in_range(
     field: &str,
     given: Option<u32>,
     default: u32,
-    least: u32,
-    most: u32,
+    minimum: u32,
+    maximum: u32,
 ) -> Result<usize, FieldError> {
     match given {
-        Some(n) if !(least..=most).contains(&n) => {
-            Err(FieldError::new(field, format!("{n} is not in {least} to {most}")))
+        Some(n) if !(minimum..=maximum).contains(&n) => {
+            Err(FieldError::new(field, format!("{n} is not in {minimum} to {maximum}")))
         }
         given => Ok(given.unwrap_or(default) as usize),
     }
--- a/crates/cells/src/stay.rs
+++ b/crates/cells/src/stay.rs
@@ -1,34 +1,35 @@
-//! Why a job that waits at its home is not offered to another cell.
+//! Why a waiting job is not offered to another cell.
 
 use std::fmt;
 
-/// The first condition that keeps a waiting job at its home.
+/// The first condition that keeps a waiting job in its home cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StayReason {
-    /// A new leader doesn't know yet what runs.
+    /// A new leader does not know yet which tasks are running.
     Recovering,
-    /// Starts of it are recorded, or may be under way: another cell must not start it too.
+    /// Starts of the job's tasks are recorded or may be in flight, so another cell must not start
+    /// it too.
     Started,
-    /// It names dependencies, of which other cells know nothing.
+    /// The job has dependencies, which other cells know nothing about.
     Dependencies,
-    /// It has waited for less than the cell's patience.
+    /// The job has not yet waited for the cell's patience setting.
     Patience,
-    /// Other cells refused it lately.
+    /// The job is in backoff after refusals by other cells.
     Resting,
-    /// Its team is at its limit.
+    /// The job's team has reached its limit.
     TeamLimit,
-    /// Machines that it may use boot, or can probably be rented.
+    /// Machines that the job may use are booting or can probably be rented.
     RentingMayHelp,
-    /// As many transfers are under way as may be.
+    /// The limit on transfers in flight is reached for every other cell.
     TransfersAtLimit,
-    /// No other cell reports room for it.
+    /// No other cell reports room for the job.
     NoCellWithRoom,
-    /// The state service's rate leaves no change for it.
+    /// The state service's write rate allows no change for the job now.
     StoreRate,
 }
 
 impl StayReason {
-    /// Its name in logs and for operators.
+    /// The reason's name in log lines and for operators.
     pub fn name(self) -> &'static str {
         match self {
             Self::Recovering => "recovering",
--- a/crates/cells/tests/support/mod.rs
+++ b/crates/cells/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! What several tests of cells share.
+//! Helpers shared by several tests of cells.
 
 use marblebarrow_proto::ids::JobId;
 use marblebarrow_proto::job::{JobSpec, Kind, Priority};
 
-/// An array of one task.
+/// Returns an array job with one task.
 pub fn array(id: &str) -> JobSpec {
     JobSpec {
         id: JobId::new(id),
--- a/crates/core/src/cells/guest_ends.rs
+++ b/crates/core/src/cells/guest_ends.rs
@@ -1,78 +1,82 @@
-//! Ends of other cells' jobs that are told to their homes. A home asks once a second; to one that
-//! doesn't, as when the link from it is cut, this cell tells them with its own exchanges, until
-//! the home has acknowledged them.
+//! Reports the ends of other cells' jobs to their home cells. A home cell normally polls once a
+//! second. If it does not, for example because the link from it is cut, this cell includes the ends
+//! in its own exchanges until the home cell has acknowledged them.
 
 use super::{Cells, Pending};
 use crate::event::{ActionSink, Secs, StoreRequest, StoreResult};
 use crate::leader::Leader;
 use crate::replica::Replica;
-use marblebarrow_cells::message::{ENDS_TOLD_MAX, EndedGuest};
+use marblebarrow_cells::message::{ENDS_REPORTED_MAX, EndedGuest};
 use marblebarrow_proto::cbor::from_value;
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::records::{EndRecord, end_key};
 use marblebarrow_proto::transfer::InboundRecord;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A home that hasn't asked for so long, seconds, is told: it asks once a second.
-const HOME_SILENT_S: f64 = 1.5;
-/// Ends that are read from the state service at once, for guests that were over before this
-/// leader began.
+/// Seconds without a poll after which ends are reported to a home cell, which normally polls once a
+/// second.
+const POLL_OVERDUE_S: f64 = 1.5;
+/// Limit on concurrent reads of end records, which are needed for jobs that ended before this
+/// leader took over.
 const END_READS_MAX: usize = 4;
 
-/// What a leader knows of guests that are over, and of which homes ask about them.
+/// The leader's knowledge of other cells' jobs that have ended here, and of the home cells that
+/// poll for them.
 #[derive(Debug)]
 pub(super) struct GuestEnds {
-    began: Secs,
-    /// When each home last asked.
-    asked: HashMap<CellName, Secs>,
-    /// Whether each guest that is over, durably, was cancelled.
+    started_at: Secs,
+    /// When each home cell last polled.
+    polled: HashMap<CellName, Secs>,
+    /// For each job whose end is durable, whether it was cancelled.
     ends: HashMap<JobId, bool>,
-    /// Guests whose end is being read.
+    /// Jobs whose end record is being read.
     reading: BTreeSet<JobId>,
-    /// How often the end of each guest was told: those told least often come first.
-    told: HashMap<JobId, u32>,
+    /// How often the end of each job has been reported. Those reported least often come first.
+    reported: HashMap<JobId, u32>,
 }
 
 impl GuestEnds {
     pub(super) fn new(now: Secs) -> Self {
         Self {
-            began: now,
-            asked: HashMap::new(),
+            started_at: now,
+            polled: HashMap::new(),
             ends: HashMap::new(),
             reading: BTreeSet::new(),
-            told: HashMap::new(),
+            reported: HashMap::new(),
         }
     }
 
-    /// A home asked.
-    pub(super) fn asked(&mut self, now: Secs, home: &CellName) {
-        self.asked.insert(home.clone(), now);
+    /// Records that a home cell polled.
+    pub(super) fn polled(&mut self, now: Secs, home: &CellName) {
+        self.polled.insert(home.clone(), now);
     }
 
-    fn home_silent(&self, now: Secs, home: &CellName) -> bool {
-        now - self.asked.get(home).copied().unwrap_or(self.began) > HOME_SILENT_S
+    fn home_not_polling(&self, now: Secs, home: &CellName) -> bool {
+        now - self.polled.get(home).copied().unwrap_or(self.started_at) > POLL_OVERDUE_S
     }
 
-    /// Whether the end of a guest may be read; it counts as being read from then on.
-    fn may_read(&mut self, job: &JobId) -> bool {
+    /// Starts a read of a job's end record, unless it is already being read or the limit on
+    /// concurrent reads is reached. Returns whether the read may be sent.
+    fn begin_read(&mut self, job: &JobId) -> bool {
         self.reading.len() < END_READS_MAX && self.reading.insert(job.clone())
     }
 
-    /// A guest is over, durably.
-    pub(super) fn over(&mut self, job: &JobId, cancelled: bool) {
+    /// Records that the end of another cell's job is durable.
+    pub(super) fn record_end(&mut self, job: &JobId, cancelled: bool) {
         self.ends.insert(job.clone(), cancelled);
     }
 
-    /// Forgets guests of which the home has the end.
-    fn keep(&mut self, guests: &BTreeMap<JobId, (InboundRecord, u64)>) {
+    /// Discards jobs whose end the home cell has acknowledged.
+    fn retain_guests(&mut self, guests: &BTreeMap<JobId, (InboundRecord, u64)>) {
         self.ends.retain(|job, _| guests.contains_key(job));
-        self.told.retain(|job, _| guests.contains_key(job));
+        self.reported.retain(|job, _| guests.contains_key(job));
     }
 }
 
 impl Leader {
-    /// Ends to tell a home with the next exchange: none while it asks.
-    pub(super) fn ends_to_tell(
+    /// Returns the ends to report to a home cell in the next exchange; empty while the home cell
+    /// polls.
+    pub(super) fn ends_to_report(
         &mut self,
         now: Secs,
         home: &CellName,
@@ -82,58 +86,60 @@
         let Some(Cells { guest_ends, outbound, pending, .. }) = &mut self.cells else {
             return Vec::new();
         };
-        guest_ends.keep(&replica.inbound);
-        if !guest_ends.home_silent(now, home) {
+        guest_ends.retain_guests(&replica.inbound);
+        if !guest_ends.home_not_polling(now, home) {
             return Vec::new();
         }
         let mut ended = Vec::new();
         let guests =
             replica.inbound.iter().filter(|(_, (record, _))| record.transfer.home == *home);
         for (job, (record, _)) in guests.filter(|(job, _)| !self.jobs.contains_key(*job)) {
-            // The mark of a cancellation was written with its end.
+            // The cancellation mark is written in the same transaction as the end.
             let cancelled = replica.is_cancelled(job).then_some(true);
             if let Some(cancelled) = guest_ends.ends.get(job).copied().or(cancelled) {
                 let (job, transfer) = (job.clone(), record.transfer.clone());
                 ended.push(EndedGuest { job, transfer, cancelled });
-            } else if guest_ends.may_read(job) {
+            } else if guest_ends.begin_read(job) {
                 let op = out.store(StoreRequest::Get(end_key(job)));
                 pending.insert(op, Pending::ReadGuestEnd { job: job.clone() });
             }
         }
-        let times_told = |ended: &EndedGuest| guest_ends.told.get(&ended.job).copied().unwrap_or(0);
-        ended.sort_by_key(times_told);
-        let more = ended.get(ENDS_TOLD_MAX).is_some_and(|next| times_told(next) == 0);
-        ended.truncate(ENDS_TOLD_MAX);
+        let times_reported =
+            |ended: &EndedGuest| guest_ends.reported.get(&ended.job).copied().unwrap_or(0);
+        ended.sort_by_key(times_reported);
+        let more = ended.get(ENDS_REPORTED_MAX).is_some_and(|next| times_reported(next) == 0);
+        ended.truncate(ENDS_REPORTED_MAX);
         for ended in &ended {
-            *guest_ends.told.entry(ended.job.clone()).or_default() += 1;
+            *guest_ends.reported.entry(ended.job.clone()).or_default() += 1;
         }
         if more {
-            outbound.more_to_say(home);
+            outbound.expedite_next_exchange(home);
         }
         ended
     }
 
-    /// A job of another cell is over, durably.
+    /// Records that the end of another cell's job is durable in this cell.
     pub(crate) fn guest_over(&mut self, job: &JobId, cancelled: bool) {
         if let Some(Cells { guest_ends, .. }) = &mut self.cells {
-            guest_ends.over(job, cancelled);
+            guest_ends.record_end(job, cancelled);
         }
     }
 
-    /// The end of a guest was read, or not: then it is read again when its home is next told.
+    /// Handles the answer to a read of an end record. A failed read is repeated when ends are next
+    /// reported to the home cell.
     pub(super) fn guest_end_read(&mut self, job: &JobId, result: &StoreResult) {
         let Some(Cells { guest_ends, .. }) = &mut self.cells else { return };
         guest_ends.reading.remove(job);
         if let StoreResult::Value(Some(item)) = result
             && let Ok(end) = from_value::<EndRecord>(&item.value)
         {
-            guest_ends.over(job, end.cancelled);
+            guest_ends.record_end(job, end.cancelled);
         }
     }
 
-    /// Another cell tells ends of this one's jobs, which are made durable like those that it is
-    /// asked about.
-    pub(super) fn ends_told(
+    /// Handles the ends of this cell's jobs that another cell reports. They are made durable in the
+    /// same way as the ends returned by a poll.
+    pub(super) fn ends_reported(
         &mut self,
         now: Secs,
         cell: &CellName,
@@ -144,11 +150,12 @@
         let Some(cells) = &mut self.cells else { return };
         for ended in ended {
             let job = &ended.job;
-            match cells.outbound.end_told(cell, ended) {
+            match cells.outbound.end_reported(cell, ended) {
                 Ok(true) => self.log.push(|| format!("event=end_heard job={job} cell={cell} told")),
                 Ok(false) => {}
-                // Durable here, and the cell doesn't know that yet.
-                Err(_) if acknowledges(replica, cell, ended) => {}
+                // The end is already durable here, and the reporting cell has not yet seen the
+                // acknowledgement.
+                Err(_) if awaits_acknowledgement(replica, cell, ended) => {}
                 Err(error) => {
                     cells.counts.bad_requests += 1;
                     let log = || format!("event=end_refused job={job} cell={cell} why=\"{error}\"");
@@ -160,8 +167,9 @@
     }
 }
 
-/// Whether the end of a job is durable here, to be acknowledged to the cell that tells it.
-fn acknowledges(replica: &Replica, cell: &CellName, ended: &EndedGuest) -> bool {
+/// Returns whether the reported end is durable here and awaits acknowledgement to the reporting
+/// cell.
+fn awaits_acknowledgement(replica: &Replica, cell: &CellName, ended: &EndedGuest) -> bool {
     let record = replica.acknowledge.get(&ended.job).map(|(record, _)| record);
     record.is_some_and(|record| record.target == *cell && record.transfer == ended.transfer)
 }
--- a/crates/core/src/cells/home.rs
+++ b/crates/core/src/cells/home.rs
@@ -1,4 +1,4 @@
-//! Jobs of this cell that move to others.
+//! Home side of transfers: offers jobs of this cell to other cells.
 
 use super::staying::waits_at_home;
 use super::{Call, Cells, Pending, Retry, cond, put};
@@ -20,23 +20,23 @@
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
-/// Seconds between two looks for jobs that may move: they wait for many more already.
-const LOOK_EVERY_S: f64 = 0.5;
-/// Changes of the store that the intent of a transfer takes.
+/// Seconds between scans for jobs that may move. Such jobs have already waited for much longer.
+const SCAN_INTERVAL_S: f64 = 0.5;
+/// State service changes needed to record the intent of a transfer.
 const INTENT_CHANGES: f64 = 1.0;
 
 impl Cells {
-    /// The cells that may be offered a job more. Each has a bound of its own on transfers that
-    /// wait for its answer, so that a silent one holds up none to the others.
-    fn cells_below_bound(&self, replica: &Replica) -> Vec<CellName> {
+    /// Returns the cells that may be offered another job. Each cell has its own limit on transfers
+    /// without an answer, so that an unreachable cell does not block transfers to the others.
+    fn cells_below_transfer_limit(&self, replica: &Replica) -> Vec<CellName> {
         let others = self.settings.others.iter().map(|other| &other.name);
         let known = others.filter(|name| !replica.lost_cells.contains(name));
-        let below = known.filter(|name| self.under_way_to(name) < self.settings.transfers_max);
+        let below = known.filter(|name| self.in_flight_to(name) < self.settings.transfers_max);
         below.cloned().collect()
     }
 
-    /// Transfers to a cell that are being recorded, or wait for its answer.
-    fn under_way_to(&self, cell: &CellName) -> usize {
+    /// Counts the transfers to a cell that are being recorded or are waiting for its answer.
+    fn in_flight_to(&self, cell: &CellName) -> usize {
         let to_cell = |pending: &&Pending| {
             let Pending::Intent { record, .. } = pending else { return false };
             record.forward.as_ref().is_some_and(|forward| forward.target == *cell)
@@ -47,15 +47,15 @@
 }
 
 impl Leader {
-    /// A job's record may say that it is elsewhere.
+    /// Applies the transfer in a job's record, if any, to the in-memory state.
     pub(crate) fn learn_forward(&mut self, now: Secs, id: &JobId) {
         let (Some(cells), Some(job)) = (&mut self.cells, self.jobs.get_mut(id)) else { return };
         let forward = job.record.forward.as_ref();
         job.away = forward.is_some();
-        cells.outbound.learn(now, &job.record.spec, forward);
+        cells.outbound.apply_record(now, &job.record.spec, forward);
     }
 
-    /// The record of a job known already was changed.
+    /// Applies a newer version of a known job's record.
     pub(crate) fn learn_record(&mut self, now: Secs, record: &Arc<SpecRecord>, version: u64) {
         let id = record.spec.id.clone();
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -68,15 +68,15 @@
         self.place_due = true;
     }
 
-    /// Tasks of a job that is elsewhere.
+    /// Returns the task counts of a job that another cell has accepted.
     pub(crate) fn counts_elsewhere(&self, id: &JobId) -> Option<TaskCounts> {
         let open = self.cells.as_ref()?.outbound.get(id)?;
         let (done, running) = open.counts;
         open.record.accepted.then_some(TaskCounts { done, running })
     }
 
-    /// Records the intent to transfer jobs that have waited long enough and that renting
-    /// can't help; of the others it is noted why they stay.
+    /// Records the intent to transfer each job that has waited long enough and that renting
+    /// machines cannot help. For every other waiting job, records why it is not offered.
     pub(super) fn offer_waiting_jobs(
         &mut self,
         now: Secs,
@@ -84,10 +84,10 @@
         out: &mut ActionSink,
     ) {
         let Some(cells) = &mut self.cells else { return };
-        if now < cells.next_look {
+        if now < cells.next_scan {
             return;
         }
-        cells.next_look = now + LOOK_EVERY_S;
+        cells.next_scan = now + SCAN_INTERVAL_S;
         let (mut movable, mut staying) = (Vec::new(), BTreeMap::new());
         for (id, job) in self.jobs.iter().filter(|(_, job)| waits_at_home(job)) {
             match self.stay_reason(now, job) {
@@ -100,11 +100,12 @@
         movable.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
         let movable = movable.into_iter().map(|(_, id)| id).collect();
         staying.extend(self.begin_transfers(now, movable, replica, out));
-        self.note_staying(now, staying);
+        self.record_staying(now, staying);
     }
 
-    /// Begins the transfers of these jobs, in this order; of the others, the reason why not.
-    /// A job that no cell has room for holds up none behind it that asks for something else.
+    /// Starts the transfers of these jobs in the given order, and returns the jobs that were not
+    /// transferred, with the reason. A job that no cell has room for does not block later jobs with
+    /// different requirements.
     fn begin_transfers(
         &mut self,
         now: Secs,
@@ -114,12 +115,12 @@
     ) -> Vec<(JobId, StayReason)> {
         let mut staying = Vec::new();
         let mut without_room = HashSet::new();
-        let mut all_stay = None;
+        let mut reason_for_all = None;
         for id in jobs {
             let Some(request) = self.jobs.get(&id).map(|job| RoomRequest::of(job.spec())) else {
                 continue;
             };
-            let begun = match all_stay {
+            let begun = match reason_for_all {
                 Some(reason) => Err(reason),
                 None if without_room.contains(&request) => Err(StayReason::NoCellWithRoom),
                 None => self.begin_transfer(now, &id, replica, out),
@@ -129,14 +130,15 @@
                 StayReason::NoCellWithRoom => {
                     without_room.insert(request);
                 }
-                reason => all_stay = Some(reason),
+                reason => reason_for_all = Some(reason),
             }
             staying.push((id, reason));
         }
         staying
     }
 
-    /// Chooses a cell and records the intent; else the reason why not.
+    /// Chooses a cell and records the intent to transfer the job, or returns the reason why it
+    /// stays.
     fn begin_transfer(
         &mut self,
         now: Secs,
@@ -158,7 +160,8 @@
         self.log.push(|| format!("event=transfer job={id} target={target} transfer={transfer}"));
         let mut intended = SpecRecord::clone(&record);
         intended.forward = Some(ForwardRecord { transfer, target, accepted: false });
-        // Nothing of it starts from now on, whatever becomes of the transaction.
+        // From here on no task of the job is started in this cell, whatever the outcome of the
+        // transaction.
         job.away = true;
         let conds = vec![
             cond(spec_key(id), job.spec_version),
@@ -178,14 +181,14 @@
         replica: &Replica,
     ) -> Result<CellName, StayReason> {
         let cells = self.cells.as_ref().ok_or(StayReason::NoCellWithRoom)?;
-        let names = cells.cells_below_bound(replica);
+        let names = cells.cells_below_transfer_limit(replica);
         if names.is_empty() {
             return Err(StayReason::TransfersAtLimit);
         }
         let choice = Choice {
             cells: &names,
-            book: &cells.book,
-            promised: &cells.outbound.promised(),
+            capacity_reports: &cells.capacity_reports,
+            reserved: &cells.outbound.reserved(),
             now,
             report_age_s: cells.settings.report_age_s,
             policy: cells.policy.as_ref(),
@@ -197,8 +200,8 @@
         Ok(chosen.cell)
     }
 
-    /// The outcome of an intent. One that is not known is found out by repeating it: its
-    /// conditions let it take effect once at most.
+    /// Handles the outcome of recording an intent. An unknown outcome is resolved by repeating the
+    /// transaction, whose conditions let it take effect at most once.
     pub(super) fn intent_written(
         &mut self,
         now: Secs,
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Asks the store again for what is due.
+    /// Repeats the state service requests that are due for a retry.
     pub(super) fn retry_store(&mut self, now: Secs, out: &mut ActionSink) {
         let Some(cells) = &mut self.cells else { return };
         for (_, retry) in cells.retries.extract_if(.., |(at, _)| now >= *at) {
@@ -242,7 +245,7 @@
         cells.pending.insert(op, Pending::Reread { job });
     }
 
-    /// A job's record as the store has it now.
+    /// Handles the answer to a repeated read of a job's record.
     pub(super) fn reread(
         &mut self,
         now: Secs,
@@ -255,14 +258,14 @@
                 if let Ok(record) = from_value::<SpecRecord>(&item.value) {
                     self.learn_record(now, &Arc::new(record), item.version);
                 }
-                // As it was: what was tried didn't happen, and never will, as whatever made
-                // it fail is there for good.
+                // The attempted write did not take effect and never will, because the condition
+                // that it failed on is permanent.
                 self.learn_forward(now, &job);
                 if let Some(cells) = &mut self.cells {
                     cells.outbound.settle_again(now, &job);
                 }
             }
-            // Over. The end of what was here is the writer's.
+            // The job is over. For a job that ran in this cell, the writer handles the end.
             StoreResult::Value(None) => {
                 let away = self.jobs.get(&job).is_some_and(|j| j.record.forward.is_some());
                 if let Some(cells) = self.cells.as_mut().filter(|_| away) {
@@ -274,7 +277,7 @@
         }
     }
 
-    /// The end of a job that was elsewhere, as the store has it.
+    /// Handles the answer to a read of the end record of a job that ran in another cell.
     pub(super) fn end_read(&mut self, now: Secs, job: JobId, result: &StoreResult) {
         let end = match result {
             StoreResult::Value(Some(item)) => from_value::<EndRecord>(&item.value).ok(),
@@ -293,7 +296,7 @@
         self.closed(now, job, cancelled, tasks);
     }
 
-    /// Sends the offers that are due.
+    /// Sends the offers that are due, up to the limit on offers in flight.
     pub(super) fn send_offers(
         &mut self,
         now: Secs,
@@ -302,10 +305,11 @@
         out: &mut ActionSink,
     ) {
         let Some(cells) = &mut self.cells else { return };
-        let calling = cells.calls.values().filter(|c| matches!(c, Call::Offer { .. })).count();
+        let offers_in_flight =
+            cells.calls.values().filter(|c| matches!(c, Call::Offer { .. })).count();
         let bound = cells.settings.transfers_max * cells.settings.others.len();
-        let most = bound.saturating_sub(calling);
-        for DueOffer { job, transfer, target } in cells.outbound.due_offers(now, most) {
+        let maximum = bound.saturating_sub(offers_in_flight);
+        for DueOffer { job, transfer, target } in cells.outbound.due_offers(now, maximum) {
             let Some(record) = self.jobs.get(&job).map(|j| j.record.clone()) else { continue };
             let offer = Offer {
                 sender: Sender { cell: cells.settings.name.clone(), term: self.term.0 },
@@ -322,7 +326,8 @@
         }
     }
 
-    /// Asks each other cell for its room and for the jobs that are there.
+    /// Sends the periodic exchange to each other cell: requests its free capacity and the state of
+    /// the jobs transferred to it.
     pub(super) fn send_exchanges(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         let Some(cells) = &mut self.cells else { return };
         let names: Vec<CellName> =
@@ -332,11 +337,11 @@
             if replica.lost_cells.contains(&cell) || !cells.outbound.exchange_due(now, &cell) {
                 continue;
             }
-            let ended = self.ends_to_tell(now, &cell, replica, out);
+            let ended = self.ends_to_report(now, &cell, replica, out);
             let Some(cells) = &mut self.cells else { return };
             let exchange = Exchange {
                 sender: Sender { cell: cells.settings.name.clone(), term: self.term.0 },
-                tracked: cells.outbound.tracked(&cell, &replica.cancel_wanted),
+                tracked: cells.outbound.next_tracked_jobs(&cell, &replica.cancel_wanted),
                 finished: finished_for(
                     &cell,
                     replica.acknowledge.iter().map(|(job, (record, _))| (job, record)),
--- a/crates/core/src/cells/mod.rs
+++ b/crates/core/src/cells/mod.rs
@@ -1,10 +1,15 @@
-//! Transfers to and from other cells, as the leader carries them out: `home` offers jobs of
-//! this cell, `staying` tells why others stay, `settle` makes the answers durable, `target` is
-//! for jobs of others, `guest_ends` tells their ends to homes that don't ask, `room` is what
-//! this cell can offer.
+//! Job transfers to and from other cells, as carried out by the leader.
 //!
-//! A transfer's truth is in the state service. What is under way here may be lost with the
-//! leader at any moment: the next one finds the records and goes on from them.
+//! - `home`: offers waiting jobs of this cell to other cells.
+//! - `staying`: records why the remaining jobs are not offered.
+//! - `settle`: makes the answers of other cells durable.
+//! - `target`: decides on jobs that other cells offer.
+//! - `guest_ends`: reports the ends of other cells' jobs to home cells that do not poll.
+//! - `room`: computes the free capacity that this cell reports.
+//!
+//! The state service holds the authoritative record of every transfer. The state in this module may
+//! be lost with the leader at any moment; the next leader loads the records and continues from
+//! them.
 
 mod guest_ends;
 mod home;
@@ -17,12 +22,12 @@
 use crate::leader::{Leader, WriteOutcome};
 use crate::replica::Replica;
 use guest_ends::GuestEnds;
-use marblebarrow_cells::capacity::{CapacityBook, CapacityReport};
+use marblebarrow_cells::capacity::{CapacityReport, CapacityReports};
 use marblebarrow_cells::inbound::Inbound;
 use marblebarrow_cells::message::{
     CellOverview, CellReply, Counts, Offer, Overview, TransferOverview,
 };
-use marblebarrow_cells::outbound::{CALL_LOST_S, Outbound};
+use marblebarrow_cells::outbound::{CALL_TIMEOUT_S, Outbound};
 use marblebarrow_cells::policy::Policy;
 use marblebarrow_cells::settings::CellsSettings;
 use marblebarrow_proto::ids::{CellName, JobId};
@@ -33,45 +38,46 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A change of records that waits for the store's answer.
+/// A state service request that is waiting for its answer.
 #[derive(Debug)]
 enum Pending {
-    /// A job is to be offered: the transaction, repeated until its outcome is known.
+    /// Records the intent to offer a job. The transaction is repeated until its outcome is known.
     Intent { job: JobId, txn: Txn, record: Box<SpecRecord> },
-    /// A job's record changes after an answer to its offer, or as a cell is lost.
+    /// Updates a job's record after an answer to its offer, or after its target cell was declared
+    /// lost.
     Settle { job: JobId, record: Box<SpecRecord> },
-    /// A job that was elsewhere is over.
+    /// Records the end of a job that ran in another cell.
     Finish { job: JobId, cancelled: bool, tasks: u32 },
-    /// A job's record is read again, as a condition on it failed.
+    /// Reads a job's record again after a condition on it failed.
     Reread { job: JobId },
-    /// The end of a job that was elsewhere is read.
+    /// Reads the end record of a job that ran in another cell.
     ReadEnd { job: JobId },
-    /// The end of another cell's job that was here is read.
+    /// Reads the end record of another cell's job that ran in this cell.
     ReadGuestEnd { job: JobId },
-    /// A record of no more use is dropped.
+    /// Deletes a record that is no longer needed.
     Drop,
-    /// A job of another cell is recorded here.
+    /// Records the acceptance of another cell's job.
     Accept { reply: ReplyTo, offer: Box<Offer> },
-    /// A refusal is recorded.
+    /// Records the refusal of an offer.
     Refuse { reply: ReplyTo, transfer: TransferId, reason: RefusalReason },
-    /// A recorded refusal is read.
+    /// Reads a refusal that was recorded earlier.
     ReadRefusal { reply: ReplyTo, transfer: TransferId },
-    /// A lost cell is recorded.
+    /// Records that an operator declared a cell lost.
     DeclareLost { reply: ReplyTo },
 }
 
-/// What must be asked of the store again.
+/// A state service request to be retried.
 #[derive(Debug)]
 enum Retry {
-    /// An intent whose outcome isn't known.
+    /// Repeat the transaction of a transfer intent whose outcome is unknown.
     Intent { job: JobId, txn: Txn, record: Box<SpecRecord> },
-    /// A job's record.
+    /// Read a job's record.
     Reread(JobId),
-    /// A job's end.
+    /// Read a job's end record.
     ReadEnd(JobId),
 }
 
-/// A request to another cell that waits for its answer.
+/// A request to another cell that is waiting for its answer.
 #[derive(Debug)]
 enum Call {
     Offer { job: JobId, transfer: TransferId, sent: Secs },
@@ -86,7 +92,7 @@
     }
 }
 
-/// A leader's part in transfers.
+/// The leader's state for transfers between cells.
 #[derive(Debug)]
 pub(crate) struct Cells {
     settings: Arc<CellsSettings>,
@@ -94,29 +100,29 @@
     outbound: Outbound,
     inbound: Inbound,
     guest_ends: GuestEnds,
-    book: CapacityBook,
+    capacity_reports: CapacityReports,
     counts: Counts,
     pending: HashMap<OpId, Pending>,
     calls: HashMap<OpId, Call>,
-    /// Number of the last report made.
+    /// Sequence number of the last capacity report made.
     sequence: u64,
-    /// The last report, and when it was made.
+    /// The last capacity report, and when it was made.
     report: Option<(Secs, CapacityReport)>,
-    /// What the store didn't take, or perhaps did, and when to try it again.
+    /// State service requests that failed or whose outcome is unknown, and when to retry each.
     retries: Vec<(Secs, Retry)>,
-    /// When jobs are next looked over for those that may move.
-    next_look: Secs,
-    /// Why each job that waits stays, as of the last look.
+    /// When waiting jobs are next scanned for those that may move.
+    next_scan: Secs,
+    /// Why each waiting job is not offered, as of the last scan.
     staying: StayingJobs,
-    /// The array bound to this cell that was last served before services.
+    /// The array restricted to this cell that was last placed before services.
     pub(crate) served_first: Option<JobId>,
 }
 
 impl Cells {
-    /// Nothing under way.
+    /// Creates the state of a new leader, with no transfer in flight.
     pub(crate) fn new(settings: Arc<CellsSettings>, now: Secs) -> Self {
         let known = settings.others.iter().map(|other| other.name.clone()).collect();
-        // The settings' check compiled it already.
+        // `CellsSettings::parse` has already compiled this script, so it cannot fail here.
         let policy = settings.policy.as_deref().and_then(|script| Policy::compile(script).ok());
         Self {
             inbound: Inbound::new(settings.name.clone(), known, settings.transfers_max),
@@ -124,14 +130,14 @@
             policy,
             outbound: Outbound::default(),
             guest_ends: GuestEnds::new(now),
-            book: CapacityBook::default(),
+            capacity_reports: CapacityReports::default(),
             counts: Counts::default(),
             pending: HashMap::new(),
             calls: HashMap::new(),
             sequence: 0,
             report: None,
             retries: Vec::new(),
-            next_look: now,
+            next_scan: now,
             staying: StayingJobs::default(),
             served_first: None,
         }
@@ -139,7 +145,7 @@
 }
 
 impl Leader {
-    /// Steps with time.
+    /// Runs the periodic work on transfers: retries, recording of ends, new offers and exchanges.
     pub(crate) fn cells_tick(
         &mut self,
         now: Secs,
@@ -151,18 +157,19 @@
             return;
         }
         if let Some(cells) = &mut self.cells {
-            cells.calls.retain(|_, call| now - call.sent() < CALL_LOST_S);
+            cells.calls.retain(|_, call| now - call.sent() < CALL_TIMEOUT_S);
         }
         self.retry_store(now, out);
-        // Before jobs move: what a job in another cell came to is more than where one waits.
+        // Ends are recorded before new transfers start, because the outcome of a finished job
+        // matters more than where a waiting job runs.
         self.record_ends(now, replica, out);
         self.offer_waiting_jobs(now, replica, out);
-        self.take_back_from_lost(replica, out);
+        self.reclaim_from_lost_cells(replica, out);
         self.send_offers(now, wall_ms, replica, out);
         self.send_exchanges(now, replica, out);
     }
 
-    /// Sends a transaction that only holds while this leader leads.
+    /// Commits a transaction that takes effect only while this controller is the leader.
     fn commit_for_cells(
         &mut self,
         mut txn: Txn,
@@ -175,7 +182,8 @@
         cells.pending.insert(op, pending(txn));
     }
 
-    /// The store answered; whether that was ours.
+    /// Handles an answer of the state service, and returns whether its request came from this
+    /// module.
     pub(crate) fn cells_written(
         &mut self,
         now: Secs,
@@ -214,19 +222,19 @@
             Pending::ReadRefusal { reply, transfer } => {
                 self.refusal_read(reply, transfer, result, out);
             }
-            Pending::DeclareLost { reply } => Self::loss_written(reply, result, out),
+            Pending::DeclareLost { reply } => Self::declare_lost_written(reply, result, out),
         }
         WriteOutcome::Ours
     }
 
-    /// What an operator is shown.
+    /// Returns the overview of this cell that operators request.
     pub(crate) fn cells_overview(&self, now: Secs, replica: &Replica) -> Option<CellReply> {
         let cells = self.cells.as_ref()?;
         let others = cells.settings.others.iter().map(|other| {
-            let report = cells.book.last(&other.name);
+            let report = cells.capacity_reports.last(&other.name);
             CellOverview {
                 cell: other.name.clone(),
-                silent_s: cells.book.silence(&other.name, now),
+                last_answer_age_s: cells.capacity_reports.last_answer_age(&other.name, now),
                 free_cpus: report.map_or(0.0, CapacityReport::free_cpus),
                 rentable: report.map_or(0, CapacityReport::rentable),
                 backlog: report.map_or(0, |report| report.backlog),
@@ -252,12 +260,12 @@
     }
 }
 
-/// A condition.
+/// Builds a transaction condition on a key's version.
 fn cond(key: String, version: u64) -> Cond {
     Cond { key, version }
 }
 
-/// A value to be written.
+/// Builds a write of a CBOR-encoded value.
 fn put(key: String, value: &impl serde::Serialize) -> Write {
     Write::Put { key, value: marblebarrow_proto::cbor::to_value(value), lease: None }
 }
--- a/crates/core/src/cells/room.rs
+++ b/crates/core/src/cells/room.rs
@@ -1,4 +1,4 @@
-//! What room this cell has, for its own decisions and for others' eyes.
+//! Computes this cell's free capacity, for its own decisions and for the reports to other cells.
 
 use crate::cells::Cells;
 use crate::event::Secs;
@@ -8,44 +8,47 @@
 use marblebarrow_proto::job::JobSpec;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A report is made anew after this, seconds: it looks at all machines and jobs.
-const REPORT_EVERY_S: f64 = 0.5;
-/// Machines of a type and zone that count as rentable while none was refused lately: what
-/// the cloud has shows only when it is asked.
-const RENTABLE: u32 = 8;
-/// Seconds beyond its patience for which a job waits for machines that boot or may be rented:
-/// several requests to the cloud, a boot and a fetch.
-const RENTING_HELPS_WITHIN_S: f64 = 60.0;
-/// Work of the cell's own that waits for longer than this, seconds, is a backlog: a place
-/// is found within half a second where there is room.
+/// Seconds for which a report is reused, because making one scans all machines and jobs.
+const REPORT_INTERVAL_S: f64 = 0.5;
+/// Number of machines of a type and zone assumed to be rentable while no request for them was
+/// refused recently. The cloud's real capacity only shows in its answers to rent requests.
+const RENTABLE_ESTIMATE: u32 = 8;
+/// Seconds beyond the cell's patience setting for which a job waits for machines that are booting
+/// or may be rented: enough for several requests to the cloud, a boot and an image fetch.
+const RENTING_WAIT_MAX_S: f64 = 60.0;
+/// Seconds after which waiting tasks of the cell's own jobs count as backlog. Where there is room,
+/// a task is placed within half a second.
 const BACKLOG_AGE_S: f64 = 2.0;
 
 impl Leader {
-    /// Whether machines that the job may use come up, or can probably be rented. Not for ever:
-    /// the cell may never ask for them, or may need them all for others.
-    pub(super) fn renting_helps(&self, now: Secs, job: &Job, patience_s: Secs) -> bool {
-        if now - job.arrived > patience_s + RENTING_HELPS_WITHIN_S {
+    /// Returns whether machines that the job may use are becoming available or can probably be
+    /// rented. The wait is bounded, because this cell may never request such machines, or may need
+    /// all of them for other jobs.
+    pub(super) fn renting_may_help(&self, now: Secs, job: &Job, patience_s: Secs) -> bool {
+        if now - job.arrived > patience_s + RENTING_WAIT_MAX_S {
             return false;
         }
-        // What can be rented isn't known before the cloud has told its types.
+        // Until the cloud has reported its machine types, it is unknown what can be rented.
         self.cloud_requests.types.is_empty()
-            || self.machines_come_up(now, job.spec())
-            || self.cloud_may_have(now, job.spec())
+            || self.machines_becoming_available(now, job.spec())
+            || self.cloud_may_have_capacity(now, job.spec())
     }
 
-    /// Whether machines that the job may use boot, are asked for, or have only just come up.
-    fn machines_come_up(&self, now: Secs, spec: &JobSpec) -> bool {
+    /// Returns whether machines that the job may use are booting, are requested, or have only just
+    /// become available.
+    fn machines_becoming_available(&self, now: Secs, spec: &JobSpec) -> bool {
         let cloud = &self.cloud_requests;
         let boots = cloud.booting.values().any(|b| may_use(spec, &b.kind, &b.zone, b.spot));
-        let mut asked_for = cloud.unanswered_rents().map(|unanswered| &unanswered.rent);
-        let mut just_up = self.machines.values().filter(|machine| machine.is_just_up(now));
+        let mut requested = cloud.unanswered_rents().map(|unanswered| &unanswered.rent);
+        let mut recently_up = self.machines.values().filter(|machine| machine.is_just_up(now));
         boots
-            || asked_for.any(|r| may_use(spec, &r.kind, &r.zone, r.spot))
-            || just_up.any(|m| may_use(spec, &m.info.kind, &m.info.zone, m.info.spot))
+            || requested.any(|r| may_use(spec, &r.kind, &r.zone, r.spot))
+            || recently_up.any(|m| may_use(spec, &m.info.kind, &m.info.zone, m.info.spot))
     }
 
-    /// Whether the cloud refused no machine lately that holds a task of the job.
-    fn cloud_may_have(&self, now: Secs, spec: &JobSpec) -> bool {
+    /// Returns whether the cloud offers a machine that fits a task of the job and that it has not
+    /// refused recently.
+    fn cloud_may_have_capacity(&self, now: Secs, spec: &JobSpec) -> bool {
         let cloud = &self.cloud_requests;
         let fitting = cloud.types.iter().filter(|t| crate::user_api::type_allows(spec, t));
         let mut offers =
@@ -55,11 +58,12 @@
         })
     }
 
-    /// The cell's room now, promises to guests not taken off.
-    pub(super) fn room(&mut self, now: Secs) -> CapacityReport {
+    /// Returns the cell's current free capacity, without subtracting reservations for accepted
+    /// jobs.
+    pub(super) fn capacity_report(&mut self, now: Secs) -> CapacityReport {
         let last = self.cells.as_ref().and_then(|cells| cells.report.as_ref());
         if let Some((at, report)) = last
-            && now - at < REPORT_EVERY_S
+            && now - at < REPORT_INTERVAL_S
         {
             return report.clone();
         }
@@ -76,17 +80,18 @@
         if let Some(cells) = &mut self.cells {
             cells.sequence += 1;
             report.sequence = cells.sequence;
-            hold_back(&mut report.rooms, cells.settings.reserve_cpus);
+            subtract_cpus(&mut report.rooms, cells.settings.reserve_cpus);
             cells.report = Some((now, report.clone()));
         }
         report
     }
 
-    /// The same for other cells: what is promised is taken off.
-    pub(super) fn room_for_others(&mut self, now: Secs) -> CapacityReport {
-        let mut report = self.room(now);
+    /// Returns the free capacity to report to other cells, with the reservations for accepted jobs
+    /// subtracted.
+    pub(super) fn capacity_report_for_others(&mut self, now: Secs) -> CapacityReport {
+        let mut report = self.capacity_report(now);
         if let Some(cells) = &mut self.cells {
-            hold_back(&mut report.rooms, cells.inbound.promised_in_all().cpus);
+            subtract_cpus(&mut report.rooms, cells.inbound.total_reserved().cpus);
         }
         report
     }
@@ -111,7 +116,7 @@
                     spot,
                     free: Amounts::default(),
                     machine,
-                    rentable: if refused || now < cloud.retry_at { 0 } else { RENTABLE },
+                    rentable: if refused || now < cloud.retry_at { 0 } else { RENTABLE_ESTIMATE },
                 };
                 rooms.insert(place, room);
             }
@@ -130,7 +135,8 @@
         (rooms.into_values().collect(), images)
     }
 
-    /// Tasks of this cell's own jobs that have waited for a place.
+    /// Counts the tasks of this cell's own jobs that have waited for a place beyond the backlog
+    /// threshold.
     fn own_backlog(&self, now: Secs) -> u32 {
         self.jobs
             .values()
@@ -140,24 +146,24 @@
             .fold(0, u32::saturating_add)
     }
 
-    /// Promises to guests end as they begin.
-    pub(super) fn keep_promises(&mut self) {
+    /// Releases the reservations of accepted jobs that have started.
+    pub(super) fn release_reservations(&mut self) {
         let Some(Cells { inbound, .. }) = &mut self.cells else { return };
         let waits = |id: &_| self.jobs.get(id).is_some_and(|job| job.started.is_empty());
-        inbound.keep_promises(waits);
+        inbound.release_reservations(waits);
     }
 }
 
-/// Whether a job may run on machines of that type, zone and kind.
+/// Returns whether a job may run on machines of this type, zone and pricing model (spot or not).
 fn may_use(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.zone.as_ref().is_none_or(|z| z == zone)
         && spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == machine_type))
 }
 
-/// Takes CPUs off what is free, then off what can be rented, with the other amounts in
-/// proportion.
-fn hold_back(rooms: &mut [Room], mut cpus: f64) {
+/// Subtracts CPUs from the free capacity, then from the rentable machines. Free GPUs and memory
+/// shrink in proportion.
+fn subtract_cpus(rooms: &mut [Room], mut cpus: f64) {
     for room in rooms.iter_mut().filter(|room| room.free.cpus > 0.0) {
         let taken = cpus.min(room.free.cpus);
         let left = 1.0 - taken / room.free.cpus;
--- a/crates/core/src/cells/settle.rs
+++ b/crates/core/src/cells/settle.rs
@@ -1,4 +1,4 @@
-//! What other cells answer about jobs of this one, and what is made durable of it.
+//! Handles the answers of other cells about jobs of this cell, and makes their outcome durable.
 
 use super::{Call, Pending, cond, put};
 use crate::consts::STORE_RETRY_S;
@@ -6,20 +6,20 @@
 use crate::leader::Leader;
 use crate::replica::Replica;
 use marblebarrow_cells::message::{CellError, CellReply, ExchangeReply, GuestState, GuestStatus};
-use marblebarrow_cells::outbound::{Settlement, rest_after};
+use marblebarrow_cells::outbound::{Settlement, refusal_backoff};
 use marblebarrow_proto::ids::{CellName, JobId};
 use marblebarrow_proto::records::{EndRecord, SpecRecord, end_key, spec_key};
 use marblebarrow_proto::transfer::{AcknowledgeRecord, acknowledge_key, cancel_wanted_key};
 use marblebarrow_proto::wire::{Txn, Write};
 use std::sync::Arc;
 
-/// Changes of the store that dropping a record takes.
+/// State service changes needed to delete a record.
 const DROP_CHANGES: f64 = 1.0;
-/// Most changes that the end of a job elsewhere takes.
+/// Most state service changes needed to record the end of a job that ran in another cell.
 const FINISH_CHANGES: usize = 4;
 
 impl Leader {
-    /// Another cell answered, or didn't.
+    /// Handles the answer of another cell, or the error that took its place.
     pub(crate) fn cell_answered(
         &mut self,
         now: Secs,
@@ -37,7 +37,7 @@
                     Err(error) => (None, Some(error)),
                 };
                 if let Some(CellError::NoAnswer | CellError::NotLeader) = error {
-                    cells.outbound.offer_lost(&job, &transfer);
+                    cells.outbound.offer_unanswered(&job, &transfer);
                 }
                 let settled = cells.outbound.offer_answered(now, &job, &transfer, reply.as_ref());
                 if let Some(settlement) = settled {
@@ -50,14 +50,14 @@
                 }
                 cells.outbound.exchange_answered(&cell);
                 if let Ok(CellReply::Exchange(reply)) = answer {
-                    self.exchanged(now, &cell, sent, reply, replica, out);
+                    self.exchange_replied(now, &cell, sent, reply, replica, out);
                 }
             }
             (None, _) => {}
         }
     }
 
-    /// Makes a cell's word on an offer durable.
+    /// Makes a cell's verdict on an offer durable.
     fn settle(&mut self, now: Secs, settlement: &Settlement, out: &mut ActionSink) {
         let (Settlement::Accepted(id) | Settlement::Refused(id, _)) = settlement;
         let Some(job) = self.jobs.get_mut(id) else { return };
@@ -73,7 +73,7 @@
                 self.log.push(|| format!("event=transfer_refused job={id} why={reason:?}"));
                 record.forward = None;
                 record.refusals = record.refusals.saturating_add(1);
-                job.rests_until = now + rest_after(record.refusals, *reason);
+                job.rests_until = now + refusal_backoff(record.refusals, *reason);
                 if let Some(cells) = &mut self.cells {
                     cells.counts.refusals_received += 1;
                 }
@@ -86,17 +86,20 @@
         let Some(job) = self.jobs.get(id) else { return };
         let mut writes = vec![put(spec_key(id), &record)];
         if record.forward.is_none() {
-            // The user asks again, and is answered here then.
+            // Clears the pending cancellation: the user repeats the request, which is then handled
+            // in this cell.
             writes.push(Write::Delete { key: cancel_wanted_key(id) });
         }
-        // The other cell acts on it: it can't wait for the rate to allow it.
+        // Charged without waiting for the write rate, because the other cell already acts on its
+        // verdict.
         self.writer.charge(writes.len() as f64);
         let txn = Txn { conds: vec![cond(spec_key(id), job.spec_version)], writes };
         let (job, record) = (id.clone(), Box::new(record));
         self.commit_for_cells(txn, |_| Pending::Settle { job, record }, out);
     }
 
-    /// A settlement was made durable, or not: then the cell is asked again, and says the same.
+    /// Handles the outcome of writing a settlement. If the write failed, the offer is sent again
+    /// and the target repeats its verdict.
     pub(super) fn settled(
         &mut self,
         now: Secs,
@@ -118,7 +121,7 @@
         }
     }
 
-    fn exchanged(
+    fn exchange_replied(
         &mut self,
         now: Secs,
         cell: &CellName,
@@ -128,9 +131,9 @@
         out: &mut ActionSink,
     ) {
         let Some(cells) = &mut self.cells else { return };
-        cells.book.take(cell, reply.capacity, sent);
+        cells.capacity_reports.update(cell, reply.capacity, sent);
         for GuestStatus { job, transfer, state } in reply.statuses {
-            if cells.outbound.status(cell, &job, &transfer, state).is_some() {
+            if cells.outbound.apply_status(cell, &job, &transfer, state).is_some() {
                 self.log.push(|| format!("event=end_heard job={job} cell={cell}"));
             }
         }
@@ -148,8 +151,8 @@
         }
     }
 
-    /// Drops a record of no more use, if the store's rate allows it; else with a later
-    /// exchange.
+    /// Deletes a record that is no longer needed if the write rate allows it; otherwise a later
+    /// exchange does.
     pub(super) fn drop_record(&mut self, key: String, version: u64, out: &mut ActionSink) {
         if !self.writer.afford(DROP_CHANGES) {
             return;
@@ -159,8 +162,8 @@
         self.commit_for_cells(txn, |_| Pending::Drop, out);
     }
 
-    /// Records the ends that other cells told, in the order in which they were heard, so far as
-    /// the store's rate allows; the others wait.
+    /// Records the ends that other cells reported, in the order in which they were received, as far
+    /// as the write rate allows. The rest wait for a later call.
     pub(super) fn record_ends(&mut self, now: Secs, replica: &Replica, out: &mut ActionSink) {
         while self.writer.may_afford(FINISH_CHANGES as f64) {
             let next = self.cells.as_mut().and_then(|cells| cells.outbound.next_end(now));
@@ -169,8 +172,8 @@
         }
     }
 
-    /// A job that is elsewhere is over there, durably: so it becomes here, before anybody is
-    /// told.
+    /// Records the end of a job that is durably over in another cell. The end becomes durable here
+    /// before anybody is notified.
     fn finish_elsewhere(
         &mut self,
         id: &JobId,
@@ -200,7 +203,7 @@
         self.commit_for_cells(txn, |_| Pending::Finish { job, cancelled, tasks }, out);
     }
 
-    /// The end of a job that was elsewhere is durable here, or not yet.
+    /// Handles the outcome of recording the end of a job that ran in another cell.
     pub(super) fn finish_written(
         &mut self,
         now: Secs,
@@ -216,13 +219,13 @@
                 self.closed_elsewhere(now, &job, cancelled, tasks);
             }
             StoreResult::Refused => self.settle_later(now, &job),
-            // Perhaps it is there already.
+            // The end may already be recorded.
             _ => self.read_again(job, out),
         }
     }
 
-    /// Jobs with a cell that an operator declared lost come home.
-    pub(super) fn take_back_from_lost(&mut self, replica: &Replica, out: &mut ActionSink) {
+    /// Takes back the jobs transferred to a cell that an operator has declared lost.
+    pub(super) fn reclaim_from_lost_cells(&mut self, replica: &Replica, out: &mut ActionSink) {
         let Some(cells) = &mut self.cells else { return };
         if replica.lost_cells.is_empty() {
             return;
--- a/crates/core/src/cells/staying.rs
+++ b/crates/core/src/cells/staying.rs
@@ -1,4 +1,4 @@
-//! Which jobs of this cell wait here without being offered to another, and why.
+//! Determines which waiting jobs of this cell are not offered to other cells, and why.
 
 use crate::event::Secs;
 use crate::jobs::Job;
@@ -9,12 +9,12 @@
 use marblebarrow_proto::job::JobSpec;
 use std::collections::BTreeMap;
 
-/// Why each job that waits stays, as of the last look.
+/// Why each waiting job is not offered, as of the last scan.
 #[derive(Debug, Default)]
 pub(super) struct StayingJobs(BTreeMap<JobId, StayReason>);
 
 impl StayingJobs {
-    /// How many jobs stay for each reason.
+    /// Returns the number of jobs kept here by each reason.
     pub(super) fn counts(&self) -> BTreeMap<StayReason, u32> {
         let mut counts = BTreeMap::new();
         for reason in self.0.values() {
@@ -24,13 +24,14 @@
     }
 }
 
-/// Whether tasks of the job wait here, where its user submitted it.
+/// Returns whether the job was submitted to this cell and has waiting tasks.
 pub(super) fn waits_at_home(job: &Job) -> bool {
     job.record.origin.is_none() && job.waiting() > 0
 }
 
 impl Leader {
-    /// What keeps a waiting job here, before any cell is chosen; `None`: it may move.
+    /// Returns what keeps a waiting job in this cell, before any target cell is considered. `None`
+    /// means that the job may move.
     pub(super) fn stay_reason(&self, now: Secs, job: &Job) -> Option<StayReason> {
         let cells = self.cells.as_ref()?;
         let never_started = job.started.is_empty()
@@ -49,15 +50,15 @@
             Some(StayReason::Resting)
         } else if !self.team_has_room(job.spec()) {
             Some(StayReason::TeamLimit)
-        } else if self.renting_helps(now, job, cells.settings.patience_s) {
+        } else if self.renting_may_help(now, job, cells.settings.patience_s) {
             Some(StayReason::RentingMayHelp)
         } else {
             None
         }
     }
 
-    /// Whether the team's limit here allows a task more: what waits for that isn't short of
-    /// machines, and must not evade it elsewhere.
+    /// Returns whether the team's limit in this cell allows another task. A job that waits for this
+    /// limit is not short of machines, and must not evade the limit in another cell.
     pub(super) fn team_has_room(&self, spec: &JobSpec) -> bool {
         let Some(team) = self.team(&spec.team) else {
             return false;
@@ -67,8 +68,8 @@
             && !exceeds_limit(used[1], spec.gpus, team.gpus_max)
     }
 
-    /// Keeps why jobs stay, and logs what has changed.
-    pub(super) fn note_staying(&mut self, now: Secs, staying: BTreeMap<JobId, StayReason>) {
+    /// Stores why jobs are not offered, and logs what has changed.
+    pub(super) fn record_staying(&mut self, now: Secs, staying: BTreeMap<JobId, StayReason>) {
         let Some(cells) = &mut self.cells else { return };
         for (id, reason) in &staying {
             if cells.staying.0.get(id) != Some(reason) {
--- a/crates/core/src/cells/target.rs
+++ b/crates/core/src/cells/target.rs
@@ -1,4 +1,4 @@
-//! Jobs of other cells that come here.
+//! Target side of transfers: handles offers and exchanges from other cells.
 
 use super::{Pending, cond, put};
 use crate::event::{Action, ActionSink, ReplyTo, Secs, StoreRequest, StoreResult};
@@ -20,22 +20,22 @@
 use marblebarrow_proto::wire::Txn;
 use std::sync::Arc;
 
-/// Changes of the store that accepting a job takes.
+/// State service changes needed to accept a job.
 const ACCEPT_CHANGES: f64 = 2.0;
-/// Changes that a refusal takes.
+/// State service changes needed to record a refusal.
 const REFUSE_CHANGES: f64 = 1.0;
 
-/// What an exchange asks of the controller besides its answer.
+/// Work for the controller that results from an exchange, besides its answer.
 #[derive(Debug, Default)]
 pub(crate) struct ExchangeWork {
-    /// Jobs that their users want cancelled.
+    /// Jobs whose users have requested cancellation.
     pub(crate) cancel: Vec<JobId>,
-    /// Jobs whose end must be read from the store, to be told next time.
+    /// Jobs whose end record must be read, so that a later exchange can report it.
     pub(crate) read_end: Vec<JobId>,
 }
 
 impl Leader {
-    /// Another cell offers a job.
+    /// Handles an offer from another cell.
     pub(crate) fn offered(
         &mut self,
         now: Secs,
@@ -46,8 +46,10 @@
     ) {
         match self.decide_on(now, &offer, replica) {
             Err(error) => self.refuse_request(reply, error, out),
-            Ok(Decision::Accepted) => answer_offer(reply, offer.transfer, Verdict::Accepted, out),
-            Ok(Decision::Busy) => busy(reply, out),
+            Ok(Decision::AlreadyAccepted) => {
+                answer_offer(reply, offer.transfer, Verdict::Accepted, out)
+            }
+            Ok(Decision::Busy) => reply_busy(reply, out),
             Ok(Decision::Accept) => self.accept(reply, offer, out),
             Ok(Decision::Refuse(reason)) => self.refuse(reply, &offer, reason, replica, out),
         }
@@ -59,12 +61,12 @@
         offer: &Offer,
         replica: &Replica,
     ) -> Result<Decision, CellError> {
-        // Until all that runs is known, so is no room.
+        // Free capacity is unknown until all running tasks are known.
         if self.loading.is_some() || self.recovering {
             return Ok(Decision::Busy);
         }
-        self.keep_promises();
-        let room = self.room(now);
+        self.release_reservations();
+        let room = self.capacity_report(now);
         let suitable = never_runs(&offer.spec, &self.facts, &self.cloud_requests.types).is_none()
             && self.team_has_room(&offer.spec);
         let job = &offer.spec.id;
@@ -79,7 +81,7 @@
         cells.inbound.decide(offer, &view)
     }
 
-    /// A request that is unfit.
+    /// Rejects an invalid request.
     pub(crate) fn refuse_request(
         &mut self,
         reply: ReplyTo,
@@ -92,11 +94,11 @@
         out.actions.push(Action::CellReply(reply, Err(error)));
     }
 
-    /// Records a job of another cell, so long as its transfer was never refused and its id
-    /// is nobody's here.
+    /// Records the acceptance of another cell's job. The transaction fails if the transfer was
+    /// refused before or if the job id is already in use in this cell.
     fn accept(&mut self, reply: ReplyTo, offer: Offer, out: &mut ActionSink) {
         if !self.writer.afford(ACCEPT_CHANGES) {
-            return busy(reply, out);
+            return reply_busy(reply, out);
         }
         let id = offer.spec.id.clone();
         let mut record = SpecRecord::submitted(offer.spec.clone(), offer.at_ms);
@@ -113,13 +115,13 @@
         };
         if let Some(cells) = &mut self.cells {
             cells.inbound.recording(&offer.transfer);
-            cells.inbound.promise(&offer.spec, &offer.transfer);
+            cells.inbound.reserve(&offer.spec, &offer.transfer);
         }
         let offer = Box::new(offer);
         self.commit_for_cells(txn, |_| Pending::Accept { reply, offer }, out);
     }
 
-    /// An acceptance was written, or not.
+    /// Handles the outcome of recording an acceptance.
     pub(super) fn accept_written(
         &mut self,
         (now, wall_ms): (Secs, u64),
@@ -144,20 +146,22 @@
             StoreResult::Conflict(keys) if keys.contains(&refused_key(&offer.transfer)) => {
                 self.read_refusal(reply, offer.transfer, out);
             }
-            StoreResult::Conflict(keys) if keys.contains(&inbound_key(id)) => busy(reply, out),
-            // Another job of that id is here, or was.
+            StoreResult::Conflict(keys) if keys.contains(&inbound_key(id)) => {
+                reply_busy(reply, out)
+            }
+            // Another job with this id exists or existed in this cell.
             StoreResult::Conflict(_) => {
                 self.refuse(reply, &offer, RefusalReason::IdInUse, replica, out);
             }
             StoreResult::Rejected => {
                 self.refuse(reply, &offer, RefusalReason::Unsuitable, replica, out);
             }
-            // Perhaps written: the next offer finds out.
-            _ => busy(reply, out),
+            // The acceptance may have been recorded; the next copy of the offer finds out.
+            _ => reply_busy(reply, out),
         }
     }
 
-    /// Records a refusal, so that no late copy of the offer is ever accepted.
+    /// Records a refusal, so that no delayed copy of the offer can be accepted later.
     fn refuse(
         &mut self,
         reply: ReplyTo,
@@ -167,11 +171,12 @@
         out: &mut ActionSink,
     ) {
         if !self.writer.afford(REFUSE_CHANGES) {
-            return busy(reply, out);
+            return reply_busy(reply, out);
         }
         let id = &offer.spec.id;
         let transfer = offer.transfer.clone();
-        // An acceptance that is not seen yet makes this fail.
+        // This condition fails if the job was accepted by a transaction that the replica has not
+        // seen yet.
         let inbound = replica.inbound.get(id).map_or(0, |(_, version)| *version);
         let key = refused_key(&transfer);
         let conds = vec![cond(key.clone(), 0), cond(inbound_key(id), inbound)];
@@ -182,7 +187,7 @@
         self.commit_for_cells(txn, |_| Pending::Refuse { reply, transfer, reason }, out);
     }
 
-    /// A refusal was written, or not.
+    /// Handles the outcome of recording a refusal.
     pub(super) fn refusal_written(
         &mut self,
         reply: ReplyTo,
@@ -204,7 +209,7 @@
             StoreResult::Conflict(keys) if keys.contains(&refused_key(&transfer)) => {
                 self.read_refusal(reply, transfer, out);
             }
-            _ => busy(reply, out),
+            _ => reply_busy(reply, out),
         }
     }
 
@@ -214,7 +219,7 @@
         cells.pending.insert(op, Pending::ReadRefusal { reply, transfer });
     }
 
-    /// A refusal given before was read.
+    /// Handles the answer to a read of a refusal that was recorded earlier.
     pub(super) fn refusal_read(
         &mut self,
         reply: ReplyTo,
@@ -228,12 +233,13 @@
                     .map_or(RefusalReason::Other, |record| record.reason);
                 answer_offer(reply, transfer, Verdict::Refused(reason), out);
             }
-            _ => busy(reply, out),
+            _ => reply_busy(reply, out),
         }
     }
 
-    /// A home leader asks about its jobs here and about this cell's room. `terminal` tells
-    /// an end that is surely in the store.
+    /// Handles the exchange of a home cell's leader, which requests the state of its jobs in this
+    /// cell and this cell's free capacity. `terminal` returns the end record of a job if it is
+    /// known to be in the state service.
     pub(crate) fn exchange(
         &mut self,
         now: Secs,
@@ -247,9 +253,9 @@
         if self.loading.is_some() {
             return Err(CellError::Busy);
         }
-        cells.guest_ends.asked(now, &exchange.sender.cell);
-        self.ends_told(now, &exchange.sender.cell, &exchange.ended, replica, out);
-        self.keep_promises();
+        cells.guest_ends.polled(now, &exchange.sender.cell);
+        self.ends_reported(now, &exchange.sender.cell, &exchange.ended, replica, out);
+        self.release_reservations();
         let mut work = ExchangeWork::default();
         let statuses = exchange
             .tracked
@@ -257,14 +263,14 @@
             .filter_map(|tracked| self.status_of(tracked, replica, &terminal, &mut work))
             .collect();
         let dropped = self.drop_finished(now, exchange, replica, out);
-        let mut capacity = self.room_for_others(now);
+        let mut capacity = self.capacity_report_for_others(now);
         if self.recovering {
             capacity.rooms.clear();
         }
         Ok((ExchangeReply { capacity, statuses, dropped }, work))
     }
 
-    /// How a guest stands, if it is known here by that transfer.
+    /// Returns the state of another cell's job, if it is known here under the given transfer.
     fn status_of(
         &self,
         tracked: &TrackedJob,
@@ -280,7 +286,7 @@
         let state = match (terminal(id), self.jobs.get(id)) {
             (Some(end), _) if end.cancelled => GuestState::Cancelled,
             (Some(_), _) => GuestState::Done,
-            // Its mark was written with its end.
+            // The cancellation mark is written in the same transaction as the end.
             (None, _) if replica.is_cancelled(id) => GuestState::Cancelled,
             (None, Some(job)) => {
                 if tracked.cancel {
@@ -296,7 +302,8 @@
         Some(GuestStatus { job: id.clone(), transfer: tracked.transfer.clone(), state })
     }
 
-    /// Jobs of which nothing is kept for their home any more; what can be dropped is.
+    /// Returns the finished jobs of which no record is left for their home cell, and deletes
+    /// further records that are no longer needed.
     fn drop_finished(
         &mut self,
         now: Secs,
@@ -305,27 +312,27 @@
         out: &mut ActionSink,
     ) -> Vec<JobId> {
         let finished = &exchange.finished;
-        let ours = |f: &FinishedJob| {
+        let matching = |f: &FinishedJob| {
             let (record, version) = replica.inbound.get(&f.job)?;
             (record.transfer == f.transfer).then_some(*version)
         };
-        let gone = finished.iter().filter(|f| ours(f).is_none());
+        let gone = finished.iter().filter(|f| matching(f).is_none());
         let dropped = gone.map(|f| f.job.clone()).collect();
         let due = self
             .cells
             .as_mut()
             .is_some_and(|cells| cells.inbound.drop_due(now, &exchange.sender.cell));
         for f in finished.iter().filter(|_| due) {
-            // A cancelled job whose tasks aren't all gone is kept.
+            // The record is kept until all tasks of a cancelled job are gone.
             let over = !replica.specs.contains_key(&f.job);
-            if let Some(version) = ours(f).filter(|_| over) {
+            if let Some(version) = matching(f).filter(|_| over) {
                 self.drop_record(inbound_key(&f.job), version, out);
             }
         }
         dropped
     }
 
-    /// An operator says that a cell is lost for good.
+    /// Records an operator's declaration that a cell is permanently lost.
     pub(crate) fn declare_lost(&mut self, reply: ReplyTo, cell: CellName, out: &mut ActionSink) {
         let known = self
             .cells
@@ -338,8 +345,8 @@
         self.commit_for_cells(txn, |_| Pending::DeclareLost { reply }, out);
     }
 
-    /// A cell's loss was written, or not.
-    pub(super) fn loss_written(reply: ReplyTo, result: &StoreResult, out: &mut ActionSink) {
+    /// Handles the outcome of recording that a cell was declared lost.
+    pub(super) fn declare_lost_written(reply: ReplyTo, result: &StoreResult, out: &mut ActionSink) {
         let answer = match result {
             StoreResult::Committed(_) => Ok(Box::new(CellReply::DeclaredLost)),
             _ => Err(CellError::Busy),
@@ -353,6 +360,6 @@
     out.actions.push(Action::CellReply(reply, Ok(Box::new(answer))));
 }
 
-fn busy(reply: ReplyTo, out: &mut ActionSink) {
+fn reply_busy(reply: ReplyTo, out: &mut ActionSink) {
     out.actions.push(Action::CellReply(reply, Err(CellError::Busy)));
 }
