--- a/crates/proto/src/job.rs
+++ b/crates/proto/src/job.rs
@@ -1,4 +1,4 @@
-//! A job as its user describes it, and the checks a submission must pass.
+//! A job's specification as submitted by a user, and the validation of a submission.
 //!
 //! | on the wire | in the code |
 //! | --- | --- |
@@ -13,35 +13,35 @@
 //! | `builds`, `quarter` | allowed machine types, allowed zone |
 //! | `together` | all tasks in one zone (`one_zone`) |
 //! | `loaners` | spot machines allowed |
-//! | `guess_s` | estimated run time of a task |
-//! | `mark_s`, `stow_s` | checkpoint interval, time to save |
-//! | `due_s` | deadline |
-//! | `waits_on` | DAG dependencies |
+//! | `guess_s` | estimated run time of a task, seconds |
+//! | `mark_s`, `stow_s` | checkpoint interval, time to save, seconds |
+//! | `due_s` | deadline, seconds after submission |
+//! | `waits_on` | dependencies on other jobs (DAG) |
 
 use crate::cbor;
 use crate::ids::JobId;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// The most tasks a job may have (protocol page).
+/// Maximum number of tasks of a job, as the protocol specifies.
 pub const MAX_TASKS: u32 = 100_000;
-/// Longest class, team, type, zone or image name we take: they are copied into
-/// records, and a record must fit a value of the store.
-const MAX_NAME: usize = 200;
-/// Most machine types a job may list.
-const MAX_TYPES: usize = 64;
-/// Most jobs a submission may name as its DAG dependencies: each is a condition of the
-/// check that they were accepted, and the check must fit a few transactions of the store.
+/// Maximum length of a job id, class, team, machine type, zone or image name, in bytes. They
+/// are copied into records, and a record must fit the value limit of the state service.
+const MAX_NAME_LEN: usize = 200;
+/// Maximum number of machine types that a job may list.
+const MAX_MACHINE_TYPES: usize = 64;
+/// Maximum number of dependencies of a job. The check that they were accepted has one
+/// condition for each, and must fit in a few transactions of the state service.
 pub const MAX_DEPENDENCIES: usize = 64;
 
-/// Whether tasks end by themselves.
+/// Kind of a job: how its tasks relate, and whether they end by themselves.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum Kind {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks that each run to completion.
     #[serde(rename = "sweep")]
     Array,
-    /// Tasks that only run all together. The protocol page has no paragraph on
-    /// them, but the design, `fleetbench wire` and `fleetbench real` know them.
+    /// Tasks that run only all at once. The protocol specification doesn't describe this
+    /// kind, but the design, `fleetbench wire` and `fleetbench real` use it.
     #[serde(rename = "gang")]
     Gang,
     /// Replicas that run until cancelled.
@@ -52,114 +52,123 @@
 /// A job's priority, lowest first.
 #[derive(Clone, Copy, PartialEq, Hash, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs when nothing else wants the room.
+    /// Runs only on capacity that no job of a higher priority needs.
     #[serde(rename = "idle")]
     Low,
-    /// The usual one.
+    /// The default priority.
     #[serde(rename = "standard")]
     Normal,
-    /// Above the usual.
+    /// Above normal.
     #[serde(rename = "high")]
     High,
-    /// Above all others.
+    /// Above all other priorities.
     #[serde(rename = "production")]
     Production,
 }
 
-/// A submission that passed validation; also the stored spec record.
+/// A validated submission. It is also stored, as part of the spec record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique id.
+    /// Unique id of the job, chosen by the submitter.
     #[serde(rename = "ref")]
     pub id: JobId,
-    /// Class, as the aims name it.
+    /// Class of the job, by which the service objectives refer to it.
     #[serde(rename = "lot")]
     pub class: String,
-    /// Team that guarantee and limit belong to.
+    /// Team whose guarantee and limit apply to the job.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Array or service.
+    /// Kind of the job: array, gang or service.
     #[serde(rename = "shape")]
     pub kind: Kind,
-    /// Priority.
+    /// Priority of the job.
     #[serde(rename = "rank")]
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// CPUs of a task.
+    /// CPUs per task.
     #[serde(rename = "vcpus", deserialize_with = "cbor::f64_lax")]
     pub cpus: f64,
-    /// GPUs of a task.
+    /// GPUs per task.
     #[serde(rename = "cards", deserialize_with = "cbor::f64_lax")]
     pub gpus: f64,
-    /// Memory of a task, GB.
+    /// Memory per task, GB.
     #[serde(rename = "mem_gb", deserialize_with = "cbor::f64_lax")]
     pub memory_gb: f64,
-    /// Image a machine must have.
+    /// Image that a machine must hold to run a task.
     #[serde(rename = "mould")]
     pub image: String,
-    /// Its size, GB.
+    /// Size of the image, GB.
     #[serde(rename = "size_gb", deserialize_with = "cbor::f64_lax")]
     pub image_gb: f64,
-    /// Machine types allowed; none given means any.
+    /// Machine types that the tasks may run on; `None` allows any.
     #[serde(rename = "builds", default)]
     pub types: Option<Vec<String>>,
-    /// The only zone allowed.
+    /// The only zone that the tasks may run in; `None` allows any.
     #[serde(rename = "quarter", default)]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in a zone.
+    /// Whether a zone may run at most half of the tasks, rounded up.
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time, seconds.
+    /// The submitter's estimate of a task's run time, seconds.
     #[serde(rename = "guess_s", deserialize_with = "cbor::f64_lax")]
     pub estimate_s: f64,
-    /// Progress between checkpoints, seconds; 0: never saves.
+    /// Progress between checkpoints, seconds of run time; 0: the task saves no checkpoints.
     #[serde(rename = "mark_s", deserialize_with = "cbor::f64_lax")]
     pub checkpoint_s: f64,
-    /// Time a stopped task needs to save, seconds.
+    /// Time that a task needs to save its state when it is stopped, seconds.
     #[serde(rename = "stow_s", deserialize_with = "cbor::f64_lax")]
     pub save_s: f64,
-    /// When it should be complete, seconds after submission.
+    /// Deadline for the completion of the job, seconds after submission.
     #[serde(rename = "due_s", default, deserialize_with = "cbor::opt_f64_lax")]
     pub deadline_s: Option<f64>,
-    /// DAG dependencies: jobs that must be done before any task of this one starts. Wire
-    /// name `waits_on`. Left out of the record when empty, so that a spec without
-    /// dependencies is stored byte for byte as the version before them stored it, and a
-    /// version that does not know the field reads one with it (unknown fields are ignored).
+    /// Jobs that must be done before any task of this job starts. Omitted from the record
+    /// when empty, so that a spec without dependencies is stored byte for byte as by the
+    /// versions that predate the field. Those versions ignore unknown fields, and can
+    /// therefore read a spec that has it.
     #[serde(rename = "waits_on", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
 }
 
-/// Why a submission is malformed.
+/// The reason why a submission is invalid.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum BadJob {
-    /// Not CBOR or not a map.
+    /// The body is not CBOR, or not a map.
     #[error("body is not a cbor map")]
     NotAMap,
-    /// A field is absent or has a wrong type or value.
+    /// The named field is absent, or has a wrong type or value.
     #[error("field {0} is missing or invalid")]
     Field(&'static str),
 }
 
+/// The fields of a submission, looked up by wire name. Each accessor reports an absent or
+/// invalid field as [`BadJob::Field`].
 struct Fields<'a>(&'a [(Value, Value)]);
 
 impl<'a> Fields<'a> {
     fn get(&self, name: &str) -> Option<&'a Value> {
         self.0.iter().find(|(k, _)| k.as_text() == Some(name)).map(|(_, v)| v)
     }
+    /// As `get`, with null treated as absent.
     fn optional(&self, name: &str) -> Option<&'a Value> {
         self.get(name).filter(|v| !v.is_null())
     }
+    /// A non-empty string of at most [`MAX_NAME_LEN`] bytes.
     fn text(&self, name: &'static str) -> Result<String, BadJob> {
         let t = self.get(name).and_then(Value::as_text).ok_or(BadJob::Field(name))?;
-        if t.is_empty() || t.len() > MAX_NAME { Err(BadJob::Field(name)) } else { Ok(t.to_owned()) }
+        if t.is_empty() || t.len() > MAX_NAME_LEN {
+            Err(BadJob::Field(name))
+        } else {
+            Ok(t.to_owned())
+        }
     }
+    /// A finite number, 0 or greater.
     fn amount(&self, name: &'static str) -> Result<f64, BadJob> {
         let n = self.get(name).and_then(cbor::number).ok_or(BadJob::Field(name))?;
         if n.is_finite() && n >= 0.0 { Ok(n) } else { Err(BadJob::Field(name)) }
@@ -167,6 +176,7 @@
     fn flag(&self, name: &'static str) -> Result<bool, BadJob> {
         self.get(name).and_then(Value::as_bool).ok_or(BadJob::Field(name))
     }
+    /// The variant of an enum with this wire name.
     fn choice<T: serde::de::DeserializeOwned>(&self, name: &'static str) -> Result<T, BadJob> {
         let v = self.get(name).filter(|v| v.is_text()).ok_or(BadJob::Field(name))?;
         v.deserialized().map_err(|_| BadJob::Field(name))
@@ -174,12 +184,13 @@
 }
 
 impl JobSpec {
-    /// Whether some machines are not allowed for it, however much room they have.
+    /// Whether the job restricts zone, machine types or the use of spot machines, so that some
+    /// machines are excluded whatever their free capacity.
     pub fn bound(&self) -> bool {
         self.zone.is_some() || self.types.is_some() || !self.spot
     }
 
-    /// Checks a submission's body.
+    /// Decodes and validates the body of a submission. Unknown fields are ignored.
     pub fn parse(body: &[u8]) -> Result<Self, BadJob> {
         let value: Value = cbor::decode(body).map_err(|_| BadJob::NotAMap)?;
         let f = Fields(value.as_map().ok_or(BadJob::NotAMap)?);
@@ -199,9 +210,13 @@
                 let list = v.as_array().ok_or(BadJob::Field("builds"))?;
                 let names: Option<Vec<String>> = list
                     .iter()
-                    .map(|t| t.as_text().filter(|t| t.len() <= MAX_NAME).map(str::to_owned))
+                    .map(|t| t.as_text().filter(|t| t.len() <= MAX_NAME_LEN).map(str::to_owned))
                     .collect();
-                Some(names.filter(|n| n.len() <= MAX_TYPES).ok_or(BadJob::Field("builds"))?)
+                Some(
+                    names
+                        .filter(|n| n.len() <= MAX_MACHINE_TYPES)
+                        .ok_or(BadJob::Field("builds"))?,
+                )
             }
         };
         let zone = f.optional("quarter").map(|_| f.text("quarter")).transpose()?;
@@ -236,8 +251,8 @@
     }
 }
 
-/// Reads `waits_on`: a list of well-formed job ids, at most [`MAX_DEPENDENCIES`]. A name
-/// given twice counts once; the order of first mention is kept.
+/// Validates `waits_on`: a list of well-formed job ids, at most [`MAX_DEPENDENCIES`] after
+/// duplicates are removed. The order of first occurrence is kept.
 fn parse_dependencies(value: &Value) -> Result<Vec<JobId>, BadJob> {
     const FIELD: &str = "waits_on";
     let list = value.as_array().ok_or(BadJob::Field(FIELD))?;
